--- a/linetrack/__main__.py
+++ b/linetrack/__main__.py
@@ -10,6 +10,6 @@
 
         command_line()
     else:
-        from linetrack.net.sidecar import main
+        from linetrack.server.lifecycle import main
 
         sys.exit(main(os.environ))
--- a/linetrack/cli/main.py
+++ b/linetrack/cli/main.py
@@ -47,8 +47,8 @@
 @click.option("--config", "path", type=FILE, required=True, help="The operators' file (TOML).")
 def serve(path: Path) -> None:
     """Run one sidecar on an operators' file until SIGTERM; SIGHUP reads the file again."""
-    from linetrack.net import sidecar
-    from linetrack.net.config import Config, ConfigError, config_of
+    from linetrack.server import lifecycle as sidecar
+    from linetrack.server.config import Config, ConfigError, config_of
 
     def read() -> Config:
         try:
@@ -71,7 +71,7 @@
 @click.argument("path", type=FILE)
 def config_check(path: Path) -> None:
     """Whether a file makes sense."""
-    from linetrack.net.config import ConfigError, config_of
+    from linetrack.server.config import ConfigError, config_of
 
     try:
         config_of(operators.platform(operators.read(path)), {})
--- a/linetrack/decide/calls.py
+++ b/linetrack/control/discovery_schedule.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from random import Random
 
-from linetrack.interface import Settings
+from linetrack.policy.interface import Settings
 
 MS, SECOND = 1_000, 1_000_000
 
--- a/linetrack/decide/keys.py
+++ b/linetrack/control/idempotency_keys.py
@@ -13,7 +13,7 @@
 
 from collections import OrderedDict
 
-from linetrack.interface import Ran
+from linetrack.policy.interface import Ran
 
 MOST = 8192
 EACH = 8
--- a/linetrack/decide/storms.py
+++ b/linetrack/control/overload_control.py
@@ -19,8 +19,8 @@
 from enum import Enum
 from random import Random
 
-from linetrack.decide.places import Rate
-from linetrack.interface import Arrival
+from linetrack.control.connection_slots import Rate
+from linetrack.policy.interface import Arrival
 
 SECOND = 1_000_000
 STEP = SECOND // 10  # between changes of the rate
--- a/linetrack/decide/snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -11,9 +11,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from linetrack.evidence import Evidence
-from linetrack.records import Upstream
-from linetrack.rules import Balancer
+from linetrack.policy.decaying_average import Evidence
+from linetrack.policy.records import Upstream
+from linetrack.policy.balancer import Balancer
 
 VERSION = 1
 FIGURES = ("calm", "mean_pace", "busy", "holds", "working", "rest", "rest_at", "heard_at", "usual_errors")
--- a/linetrack/decide/handover.py
+++ b/linetrack/control/settings_switch.py
@@ -10,9 +10,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from linetrack import interface as i
-from linetrack.decide import snapshot
-from linetrack.rules import Balancer
+from linetrack.policy import interface as i
+from linetrack.control import policy_snapshot as snapshot
+from linetrack.policy.balancer import Balancer
 
 FOR_EVER = 1 << 62
 
--- a/linetrack/experiments/baselines.py
+++ b/linetrack/experiments/baselines.py
@@ -13,9 +13,9 @@
 import sys
 from functools import partial
 
-from linetrack import interface as i
-from linetrack.net.config import read_config
-from linetrack.net.sidecar import serve
+from linetrack.policy import interface as i
+from linetrack.server.config import read_config
+from linetrack.server.lifecycle import serve
 
 NAMES = ("random", "round_robin", "least_requests")
 
--- /dev/null
+++ b/linetrack/policy/__init__.py
@@ -0,0 +1,1 @@
+"""The policy: every decision about a request, without I/O and without a clock."""
--- a/linetrack/rules.py
+++ b/linetrack/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of linetrack.  Its whole interface is `linetrack/interface.py`.
+"""Every decision of linetrack.  Its whole interface is `linetrack/policy/interface.py`.
 
 After "Load Balancing in FoundationDB": two candidates drawn up front at odds 1/penalty, the copy
 waiting for the first send's timer.  `docs/design.md` lists each departure and when it acts.
@@ -14,10 +14,10 @@
 from itertools import accumulate
 from random import Random
 
-from linetrack import interface as i
-from linetrack.decide.traffic_share import TrafficShare
-from linetrack.evidence import FORGET_SPEED, SECOND, Evidence
-from linetrack.records import Attempt, Request, Upstream
+from linetrack.policy import interface as i
+from linetrack.policy.traffic_share import TrafficShare
+from linetrack.policy.decaying_average import FORGET_SPEED, SECOND, Evidence
+from linetrack.policy.records import Attempt, Request, Upstream
 
 # --- Tunables: ratios, and times with no counterpart in the settings -----------------------------
 SMOOTH = 0.2  # weight of a new observation in each EWMA: about the last ten decide
--- a/linetrack/interface.py
+++ b/linetrack/policy/interface.py
@@ -310,14 +310,14 @@
 
 
 class Policy(Protocol):
-    """What decides every request: events in, actions out; `linetrack/rules.py` in the program."""
+    """What decides every request: events in, actions out; `linetrack/policy/balancer.py` in the program."""
 
     def handle(self, now: int, event: Event, /) -> list[Action]: ...
 
 
 class Guide(Protocol):
     """How much the fleet can be given, worked out beside the policy, which asks and decides
-    (`linetrack/decide/storms.py`)."""
+    (`linetrack/control/overload_control.py`)."""
 
     def admits(self, now: int, arrival: Arrival, worth: float) -> bool: ...
     def further(self, now: int) -> bool: ...
@@ -326,7 +326,7 @@
 
 
 class Memory(Protocol):
-    """Keys under which something may have run (`linetrack/decide/keys.py`)."""
+    """Keys under which something may have run (`linetrack/control/idempotency_keys.py`)."""
 
     def ran(self, key: int, ran: Ran) -> None: ...
     def never(self, key: int, ran: Ran) -> None: ...
--- a/linetrack/records.py
+++ b/linetrack/policy/records.py
@@ -4,8 +4,8 @@
 
 import zlib
 
-from linetrack import interface as i
-from linetrack.evidence import Evidence
+from linetrack.policy import interface as i
+from linetrack.policy.decaying_average import Evidence
 
 
 class Upstream:
--- a/linetrack/decide/traffic_share.py
+++ b/linetrack/policy/traffic_share.py
@@ -12,8 +12,8 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from linetrack.evidence import FORGET_SPEED, SECOND, Evidence
-from linetrack.records import Upstream
+from linetrack.policy.decaying_average import FORGET_SPEED, SECOND, Evidence
+from linetrack.policy.records import Upstream
 
 WINDOW = 5 * SECOND  # time constant of the count of own sends
 RENEW_AFTER = SECOND  # an estimate stands for so long, as it takes a look at every upstream
--- a/linetrack/net/admin.py
+++ b/linetrack/server/admin.py
@@ -13,9 +13,9 @@
 import structlog
 from gevent import socket
 
-from linetrack.net.clock import clock
-from linetrack.net.connection import READ_SIZE, passing
-from linetrack.net.messages import ClientRequest, MalformedError, RequestReader, encode_answer
+from linetrack.server.clock import clock
+from linetrack.server.connection import READ_SIZE, passing
+from linetrack.server.messages import ClientRequest, MalformedError, RequestReader, encode_answer
 
 log = structlog.get_logger()
 
--- a/linetrack/net/budget.py
+++ b/linetrack/server/budget.py
@@ -9,8 +9,8 @@
 
 import gevent
 
-from linetrack.decide.places import FREE, Need
-from linetrack.net.clock import clock
+from linetrack.control.connection_slots import FREE, Need
+from linetrack.server.clock import clock
 
 RESERVE = 40  # standard streams, the event loop's own, the listener, discovery, files read at start
 PROGRAM_MB = 20  # the program itself, with nothing on its connections
--- a/linetrack/net/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -17,17 +17,17 @@
 from gevent import socket
 from gevent.event import AsyncResult
 
-from linetrack.decide.places import State
-from linetrack.interface import Outcome
-from linetrack.net import messages
-from linetrack.net.budget import SMALL
-from linetrack.net.clock import NEVER, clock
-from linetrack.net.connection import READ_SIZE, Side, Stream, other_side, readable, write
-from linetrack.net.messages import ClientRequest, Framing, MalformedError, RequestReader
-from linetrack.net.owner import Final, Left, Taken
+from linetrack.control.connection_slots import State
+from linetrack.policy.interface import Outcome
+from linetrack.server import messages
+from linetrack.server.budget import SMALL
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.connection import READ_SIZE, Side, Stream, other_side, readable, write
+from linetrack.server.messages import ClientRequest, Framing, MalformedError, RequestReader
+from linetrack.server.dispatcher import Final, Left, Taken
 
 if TYPE_CHECKING:
-    from linetrack.net.clients import Clients
+    from linetrack.server.listener import Clients
 
 log = structlog.get_logger()
 
--- a/linetrack/net/config.py
+++ b/linetrack/server/config.py
@@ -13,9 +13,9 @@
 from hashlib import blake2b
 from typing import Any
 
-from linetrack.interface import Settings
-from linetrack.net import messages
-from linetrack.net.messages import MemberList
+from linetrack.policy.interface import Settings
+from linetrack.server import messages
+from linetrack.server.messages import MemberList
 from linetrack.settings import Node, SettingsError, read_settings
 
 EMPTY_LIST = MemberList(0, True, ())
--- a/linetrack/net/connection.py
+++ b/linetrack/server/connection.py
@@ -13,8 +13,8 @@
 from gevent import socket
 from gevent.event import AsyncResult
 
-from linetrack.interface import Outcome
-from linetrack.net.messages import Answer, AnswerReader, MalformedError
+from linetrack.policy.interface import Outcome
+from linetrack.server.messages import Answer, AnswerReader, MalformedError
 
 READ_SIZE = 64 * 1024
 
--- a/linetrack/net/discovery.py
+++ b/linetrack/server/discovery_client.py
@@ -1,7 +1,7 @@
 """Discovery: the list of upstreams, called for and watched.
 
 Owns the connection to discovery, its address and the version of the list at hand.  Must never decide when to
-call, for how long or when to give up: that is `decide/calls.py`.
+call, for how long or when to give up: that is `control/discovery_schedule.py`.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from gevent import socket
 from gevent.event import Event
 
-from linetrack.decide.calls import Call, Calls, Fault
-from linetrack.interface import Entry, FleetNews, ListForm, Settings
-from linetrack.net import messages
-from linetrack.net.clock import clock
-from linetrack.net.connection import Connection, StalledError
-from linetrack.net.messages import Answer, MalformedError, Member, MemberList
-from linetrack.net.upstreams import Upstreams
+from linetrack.control.discovery_schedule import Call, Calls, Fault
+from linetrack.policy.interface import Entry, FleetNews, ListForm, Settings
+from linetrack.server import messages
+from linetrack.server.clock import clock
+from linetrack.server.connection import Connection, StalledError
+from linetrack.server.messages import Answer, MalformedError, Member, MemberList
+from linetrack.server.upstream_pool import Upstreams
 
 log = structlog.get_logger()
 
--- a/linetrack/net/owner.py
+++ b/linetrack/server/dispatcher.py
@@ -18,11 +18,11 @@
 import structlog
 from gevent.event import Event
 
-from linetrack import interface as i
-from linetrack.decide.figures import Fate, Figures
-from linetrack.net.clock import NEVER, clock
-from linetrack.net.connection import Stream
-from linetrack.net.messages import Answer, ClientRequest
+from linetrack.policy import interface as i
+from linetrack.control.metrics import Fate, Figures
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.connection import Stream
+from linetrack.server.messages import Answer, ClientRequest
 
 log = structlog.get_logger()
 
--- a/linetrack/net/hot_restart.py
+++ b/linetrack/server/hot_restart_channel.py
@@ -1,7 +1,7 @@
 """The link between a process that serves and the one that takes its place: frames and descriptors.
 
 Owns the Unix socket in the folder that both share, what goes over the link, and the clock of its steps, which
-`linetrack/decide/hot_restart.py` decides.  Must never accept a client, nor touch a request: the program does,
+`linetrack/control/hot_restart.py` decides.  Must never accept a client, nor touch a request: the program does,
 as it is told.
 """
 
@@ -23,9 +23,9 @@
 from gevent import socket
 from gevent.lock import Semaphore
 
-from linetrack.decide.hot_restart import NEVER, VERSION, Do, Identity, New, Old
-from linetrack.net.clock import clock
-from linetrack.net.connection import passing
+from linetrack.control.hot_restart import NEVER, VERSION, Do, Identity, New, Old
+from linetrack.server.clock import clock
+from linetrack.server.connection import passing
 
 log = structlog.get_logger()
 
--- a/linetrack/net/sidecar.py
+++ b/linetrack/server/lifecycle.py
@@ -21,21 +21,21 @@
 from gevent.event import Event
 from structlog.typing import EventDict
 
-from linetrack.decide.figures import Figures
-from linetrack.decide.handover import Handover
-from linetrack.decide.hot_restart import Do, Identity
-from linetrack.net import messages
-from linetrack.net.admin import Admin
-from linetrack.net.budget import Budget
-from linetrack.net.clients import Clients
-from linetrack.net.clock import clock
-from linetrack.net.config import STREAMS, Config, ConfigError, read_config
-from linetrack.net.discovery import Discovery
-from linetrack.net.hot_restart import Predecessor, Successor, meeting_place
-from linetrack.net.messages import MalformedError, MemberList
-from linetrack.net.owner import MakePolicy, Owner, Turn
-from linetrack.net.upstreams import Upstreams
-from linetrack.rules import Balancer
+from linetrack.control.metrics import Figures
+from linetrack.control.settings_switch import Handover
+from linetrack.control.hot_restart import Do, Identity
+from linetrack.server import messages
+from linetrack.server.admin import Admin
+from linetrack.server.budget import Budget
+from linetrack.server.listener import Clients
+from linetrack.server.clock import clock
+from linetrack.server.config import STREAMS, Config, ConfigError, read_config
+from linetrack.server.discovery_client import Discovery
+from linetrack.server.hot_restart_channel import Predecessor, Successor, meeting_place
+from linetrack.server.messages import MalformedError, MemberList
+from linetrack.server.dispatcher import MakePolicy, Owner, Turn
+from linetrack.server.upstream_pool import Upstreams
+from linetrack.policy.balancer import Balancer
 
 log = structlog.get_logger()
 
@@ -371,8 +371,8 @@
     """The same policy with what it may be told of storms; one that is not ours stays as it is."""
     if policy is not Balancer:
         return policy
-    from linetrack.decide import storms
-    from linetrack.decide.keys import Keys
+    from linetrack.control import overload_control as storms
+    from linetrack.control.idempotency_keys import Keys
 
     def tell(phase: storms.Phase, figures: dict[str, float]) -> None:
         log.info("storm", phase=phase.value, **figures)
--- a/linetrack/net/clients.py
+++ b/linetrack/server/listener.py
@@ -13,13 +13,13 @@
 import structlog
 from gevent import socket
 
-from linetrack.decide.places import Places, Seat, State
-from linetrack.net.budget import Budget
-from linetrack.net.client_connection import WITHIN, ClientConnection, HandedOverError
-from linetrack.net.clock import NEVER, clock
-from linetrack.net.connection import passing, readable
-from linetrack.net.owner import Owner
-from linetrack.net.request_intake import RequestIntake
+from linetrack.control.connection_slots import Places, Seat, State
+from linetrack.server.budget import Budget
+from linetrack.server.client_connection import WITHIN, ClientConnection, HandedOverError
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.connection import passing, readable
+from linetrack.server.dispatcher import Owner
+from linetrack.server.request_validation import RequestIntake
 
 log = structlog.get_logger()
 
--- a/linetrack/net/messages.py
+++ b/linetrack/server/messages.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from linetrack.interface import Health
+from linetrack.policy.interface import Health
 
 HELD = 64 * 1024  # bytes up to which a body is one piece, held until it is whole; longer ones are parts
 MOST_BODY = 32 * 1024 * 1024  # of a request, or of an upstream's answer
--- a/linetrack/net/request_intake.py
+++ b/linetrack/server/request_validation.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from linetrack.decide.figures import Fate
-from linetrack.interface import Arrival
-from linetrack.net import messages
-from linetrack.net.clock import clock
-from linetrack.net.messages import ClientRequest, MalformedError
-from linetrack.net.owner import Owner
+from linetrack.control.metrics import Fate
+from linetrack.policy.interface import Arrival
+from linetrack.server import messages
+from linetrack.server.clock import clock
+from linetrack.server.messages import ClientRequest, MalformedError
+from linetrack.server.dispatcher import Owner
 
 LONGEST_ID = 128  # characters of an id that are kept as they are
 
--- a/linetrack/net/upstreams.py
+++ b/linetrack/server/upstream_pool.py
@@ -16,13 +16,13 @@
 import structlog
 from gevent import socket
 
-from linetrack.decide.figures import Figures
-from linetrack.decide.places import Rate, Rests, price
-from linetrack.interface import Health, Outcome
-from linetrack.net.budget import Budget
-from linetrack.net.clock import clock
-from linetrack.net.connection import Connection, Stream, readable
-from linetrack.net.messages import (
+from linetrack.control.metrics import Figures
+from linetrack.control.connection_slots import Rate, Rests, price
+from linetrack.policy.interface import Health, Outcome
+from linetrack.server.budget import Budget
+from linetrack.server.clock import clock
+from linetrack.server.connection import Connection, Stream, readable
+from linetrack.server.messages import (
     HELD,
     LAST_CHUNK,
     MOST_BODY,
@@ -34,7 +34,7 @@
     encode_request,
     report,
 )
-from linetrack.net.owner import Attempt, Done, Sent, Started
+from linetrack.server.dispatcher import Attempt, Done, Sent, Started
 
 log = structlog.get_logger()
 
--- a/linetrack/settings.py
+++ b/linetrack/settings.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from linetrack import interface as i
+from linetrack.policy import interface as i
 
 EFFECTS = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
 GROUPS = {"all": i.Group.ALL, "zone": i.Group.ZONE, "cell": i.Group.CELL}
--- a/linetrack/simhost/host.py
+++ b/linetrack/simhost/host.py
@@ -6,8 +6,8 @@
 import traceback
 from typing import TextIO
 
-from linetrack.interface import Entry, FleetNews, ListForm
-from linetrack.rules import Balancer
+from linetrack.policy.interface import Entry, FleetNews, ListForm
+from linetrack.policy.balancer import Balancer
 from linetrack.simhost import wire
 from linetrack.simhost.settings import from_pairs
 from linetrack.simhost.wire import EVENTS, FORMS, Fields, WireError
--- a/linetrack/simhost/settings.py
+++ b/linetrack/simhost/settings.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from linetrack import interface as i
+from linetrack.policy import interface as i
 from linetrack.settings import SettingsError, read_settings
 from linetrack.simhost.wire import Fields, WireError
 
--- a/linetrack/simhost/wire.py
+++ b/linetrack/simhost/wire.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from linetrack import interface as i
+from linetrack.policy import interface as i
 
 
 class WireError(Exception):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from linetrack.interface import (
+from linetrack.policy.interface import (
     Action,
     Arrival,
     Effect,
@@ -18,7 +18,7 @@
     Send,
     Settings,
 )
-from linetrack.rules import Balancer
+from linetrack.policy.balancer import Balancer
 
 MS = 1000
 SECOND = 1_000_000
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.decide.figures import Fate, Figures
-from linetrack.decide.handover import avoided
-from linetrack.interface import Outcome
+from linetrack.control.metrics import Fate, Figures
+from linetrack.control.settings_switch import avoided
+from linetrack.policy.interface import Outcome
 from tests.helpers import SAFE, SECOND, Driver
 from tests.stand_ins import (
     Message,
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linetrack.decide.calls import Call, Calls, Fault
-from linetrack.interface import Settings
+from linetrack.control.discovery_schedule import Call, Calls, Fault
+from linetrack.policy.interface import Settings
 
 MS, SECOND = 1_000, 1_000_000
 GRACE = 300 * MS  # in which sends to one that drains must end
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from linetrack.interface import (
+from linetrack.policy.interface import (
     Action,
     Arrival,
     Cancel,
@@ -32,7 +32,7 @@
     SetTimer,
     TimerDue,
 )
-from linetrack.rules import Balancer
+from linetrack.policy.balancer import Balancer
 from tests.helpers import CELL, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, settings
 
 BEGIN = 1000 * SECOND
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from linetrack.interface import Effect, Group, Load
-from linetrack.net.config import Config, ConfigError, read_config
+from linetrack.policy.interface import Effect, Group, Load
+from linetrack.server.config import Config, ConfigError, read_config
 from tests.stand_ins import SECOND, config
 
 KNOWN: dict[str, Any] = {"id": "a", "addr": "127.0.0.1:9", "state": "SERVING"}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,14 +10,14 @@
 import gevent
 import pytest
 
-from linetrack.decide import calls
-from linetrack.decide.calls import Fault
-from linetrack.interface import FleetNews, Health, ListForm, Settings
-from linetrack.net.budget import Budget
-from linetrack.net.connection import Connection
-from linetrack.net.discovery import Discovery
-from linetrack.net.messages import address, member_list
-from linetrack.net.upstreams import Upstreams
+from linetrack.control import discovery_schedule as calls
+from linetrack.control.discovery_schedule import Fault
+from linetrack.policy.interface import FleetNews, Health, ListForm, Settings
+from linetrack.server.budget import Budget
+from linetrack.server.connection import Connection
+from linetrack.server.discovery_client import Discovery
+from linetrack.server.messages import address, member_list
+from linetrack.server.upstream_pool import Upstreams
 from tests import stand_ins
 from tests.stand_ins import answer, entry, turns_until
 
@@ -275,10 +275,10 @@
     """Guards against a process that ends because its clients left no descriptor for a call to discovery."""
 
     def none_left(*args: object) -> NoReturn:
-        monkeypatch.setattr("linetrack.net.discovery.Connection", Connection)
+        monkeypatch.setattr("linetrack.server.discovery_client.Connection", Connection)
         raise OSError(errno.EMFILE, "Too many open files")
 
-    monkeypatch.setattr("linetrack.net.discovery.Connection", none_left)
+    monkeypatch.setattr("linetrack.server.discovery_client.Connection", none_left)
     watched.start()
     turns_until(lambda: watched.failed)
     assert watched.failed == [Fault.DOWN]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,8 +17,8 @@
 import gevent
 import pytest
 
-from linetrack.decide.hot_restart import Do, Identity
-from linetrack.interface import (
+from linetrack.control.hot_restart import Do, Identity
+from linetrack.policy.interface import (
     Action,
     Arrival,
     ClientLeft,
@@ -29,18 +29,18 @@
     Refuse,
     Send,
 )
-from linetrack.net import client_connection
-from linetrack.net.admin import Admin
-from linetrack.net.budget import RESERVE, Budget
-from linetrack.net.clients import Clients
-from linetrack.net.clock import clock
-from linetrack.net.config import config_of
-from linetrack.net.connection import Connection, readable
-from linetrack.net.hot_restart import Predecessor, Successor
-from linetrack.net.messages import Member, address
-from linetrack.net.owner import Owner
-from linetrack.net.sidecar import Sidecar
-from linetrack.net.upstreams import REST, Upstreams
+from linetrack.server import client_connection
+from linetrack.server.admin import Admin
+from linetrack.server.budget import RESERVE, Budget
+from linetrack.server.listener import Clients
+from linetrack.server.clock import clock
+from linetrack.server.config import config_of
+from linetrack.server.connection import Connection, readable
+from linetrack.server.hot_restart_channel import Predecessor, Successor
+from linetrack.server.messages import Member, address
+from linetrack.server.dispatcher import Owner
+from linetrack.server.lifecycle import Sidecar
+from linetrack.server.upstream_pool import REST, Upstreams
 from tests.stand_ins import (
     MS,
     PATIENCE,
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -15,7 +15,7 @@
 import yaml
 from click.testing import CliRunner
 
-from linetrack import interface as i
+from linetrack.policy import interface as i
 from linetrack.cli.main import cli
 from linetrack.config import operators
 from linetrack.config.check import FileError
@@ -24,7 +24,7 @@
 from linetrack.experiments.baselines import NAMES, Plain
 from linetrack.experiments.run import judge
 from linetrack.experiments.schema import FIGURES, Bound, Goal, read
-from linetrack.net.config import config_of
+from linetrack.server.config import config_of
 from tests.helpers import Driver, fleet, settings
 from tests.stand_ins import ROOT, until
 
@@ -236,7 +236,7 @@
     (tmp_path / "linetrack").mkdir()
     (tmp_path / "linetrack" / "__main__.py").write_text(
         f"import os, sys, threading\nsys.path.insert(0, {str(ROOT)!r})\n"
-        "from linetrack.net.sidecar import main\nimport gevent\n"
+        "from linetrack.server.lifecycle import main\nimport gevent\n"
         "gevent.spawn_later(1.2, os._exit, 7)\nsys.exit(main(os.environ))\n"
     )
     (tmp_path / "linetrack" / "__init__.py").write_text(f"__path__.append({str(ROOT / 'linetrack')!r})\n")
@@ -353,5 +353,5 @@
         "linetrack.load",
         "linetrack.experiments",
     )
-    assert out[0] == "2" and "linetrack.rules" in out
+    assert out[0] == "2" and "linetrack.policy.balancer" in out
     assert not [name for name in out if name.split(".")[0] in tools or name.startswith(ours)]
--- a/tests/test_four_rules.py
+++ b/tests/test_four_rules.py
@@ -7,8 +7,8 @@
 from hypothesis import HealthCheck, given, settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from linetrack.decide.handover import Handover
-from linetrack.interface import (
+from linetrack.control.settings_switch import Handover
+from linetrack.policy.interface import (
     NEVER_RAN,
     Action,
     Arrival,
@@ -30,7 +30,7 @@
     Settings,
     TimerDue,
 )
-from linetrack.rules import Balancer
+from linetrack.policy.balancer import Balancer
 from tests import helpers
 from tests.helpers import CLASSES, MS, SECOND
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -17,11 +17,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linetrack.decide import snapshot
-from linetrack.decide.handover import avoided
-from linetrack.decide.hot_restart import READY_WITHIN, SECOND, SILENT, Do, Identity, New, Old
-from linetrack.interface import Outcome
-from linetrack.rules import Balancer
+from linetrack.control import policy_snapshot as snapshot
+from linetrack.control.settings_switch import avoided
+from linetrack.control.hot_restart import READY_WITHIN, SECOND, SILENT, Do, Identity, New, Old
+from linetrack.policy.interface import Outcome
+from linetrack.policy.balancer import Balancer
 from tests.helpers import MS, SAFE, Driver
 from tests.stand_ins import (
     Discovery,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,8 +8,8 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from linetrack.decide import handover
-from linetrack.interface import (
+from linetrack.control import settings_switch as handover
+from linetrack.policy.interface import (
     Arrival,
     Ended,
     Entry,
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -13,10 +13,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.interface import Arrival, Begun, Cancel, Outcome, Refuse, SetTimer, TimerDue, Written
-from linetrack.net import budget as budget_module
-from linetrack.net.budget import Budget
-from linetrack.net.messages import HELD, AnswerReader, MalformedError, RequestReader
+from linetrack.policy.interface import Arrival, Begun, Cancel, Outcome, Refuse, SetTimer, TimerDue, Written
+from linetrack.server import budget as budget_module
+from linetrack.server.budget import Budget
+from linetrack.server.messages import HELD, AnswerReader, MalformedError, RequestReader
 from tests.helpers import KEYED, MS, SAFE, SECOND, Driver, sends
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, request, until
 from tests.test_admin import admin, figures, row
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.interface import Health
-from linetrack.net import messages
-from linetrack.net.messages import MOST_BODY, AnswerReader, ClientRequest, MalformedError, RequestReader
+from linetrack.policy.interface import Health
+from linetrack.server import messages
+from linetrack.server.messages import MOST_BODY, AnswerReader, ClientRequest, MalformedError, RequestReader
 
 POST = (
     b"POST /pay/k9?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Expires-In: 0.480\r\n"
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -10,10 +10,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack import interface as i
-from linetrack.net import owner as module
-from linetrack.net.messages import Answer, ClientRequest
-from linetrack.net.owner import Attempt, Done, Final, Left, Owner, Taken
+from linetrack.policy import interface as i
+from linetrack.server import dispatcher as module
+from linetrack.server.messages import Answer, ClientRequest
+from linetrack.server.dispatcher import Attempt, Done, Final, Left, Owner, Taken
 from tests.stand_ins import MS, PATIENCE, SECOND
 
 SETTINGS = i.Settings(classes=(i.RequestClass(i.Effect.SAFE, 500 * MS, 2 * SECOND),))
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.decide import places as p
-from linetrack.decide.places import LONGEST, SECOND, SPANS, TERM, YOUNG, Need, Places, Rests, Seat, State
+from linetrack.control import connection_slots as p
+from linetrack.control.connection_slots import LONGEST, SECOND, SPANS, TERM, YOUNG, Need, Places, Rests, Seat, State
 
 MS = 1000
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,17 +9,17 @@
 import pytest
 import structlog
 
-from linetrack.interface import Arrival
-from linetrack.net import client_connection
-from linetrack.net import clients as clients_module
-from linetrack.net.budget import CLIENT_KB, FEWEST, PROGRAM_MB, Budget
-from linetrack.net.clients import Clients
-from linetrack.net.clock import NEVER, clock
-from linetrack.net.connection import readable
-from linetrack.net.messages import ClientRequest
-from linetrack.net.owner import Final
-from linetrack.net.request_intake import RejectedRequestError
-from linetrack.net.sidecar import LINE_EVERY, Sparing, must_live
+from linetrack.policy.interface import Arrival
+from linetrack.server import client_connection
+from linetrack.server import listener as clients_module
+from linetrack.server.budget import CLIENT_KB, FEWEST, PROGRAM_MB, Budget
+from linetrack.server.listener import Clients
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.connection import readable
+from linetrack.server.messages import ClientRequest
+from linetrack.server.dispatcher import Final
+from linetrack.server.request_validation import RejectedRequestError
+from linetrack.server.lifecycle import LINE_EVERY, Sparing, must_live
 from tests.stand_ins import MS, PATIENCE, SECOND, call, turns_until
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack import rules
-from linetrack.evidence import Evidence
-from linetrack.interface import (
+from linetrack.policy import balancer as rules
+from linetrack.policy.decaying_average import Evidence
+from linetrack.policy.interface import (
     Arrival,
     Cancel,
     ClientLeft,
@@ -27,8 +27,8 @@
     TimerDue,
     Watch,
 )
-from linetrack.records import Request, Upstream
-from linetrack.rules import Balancer, Weighed
+from linetrack.policy.records import Request, Upstream
+from linetrack.policy.balancer import Balancer, Weighed
 from tests.helpers import CELL, KEYED, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
 
 
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from linetrack.interface import (
+from linetrack.policy.interface import (
     Arrival,
     CloseIdle,
     Entry,
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from linetrack.net.connection import readable
+from linetrack.server.connection import readable
 from tests.stand_ins import (
     MS,
     ROOT,
@@ -641,7 +641,7 @@
     out = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
     ).stdout
-    assert not {name for name in out.split() if name.startswith(("gevent", "linetrack.net", "structlog"))}
+    assert not {name for name in out.split() if name.startswith(("gevent", "linetrack.server", "structlog"))}
 
 
 def test_the_sweep_closes_idle_connections_before_the_upstream_does(tmp_path: Path) -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -2,11 +2,11 @@
 
 import json
 
-from linetrack.decide import snapshot
-from linetrack.interface import Entry, FleetNews, Health, ListForm
-from linetrack.net import messages
-from linetrack.net.hot_restart import MOST_FRAME
-from linetrack.rules import Balancer
+from linetrack.control import policy_snapshot as snapshot
+from linetrack.policy.interface import Entry, FleetNews, Health, ListForm
+from linetrack.server import messages
+from linetrack.server.hot_restart_channel import MOST_FRAME
+from linetrack.policy.balancer import Balancer
 from tests.helpers import Driver
 from tests.stand_ins import entry
 
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -15,7 +15,7 @@
 
 
 def test_names_its_interface_first() -> None:
-    assert "linetrack/interface.py" in "\n".join(LINES[:5])
+    assert "linetrack/policy/interface.py" in "\n".join(LINES[:5])
 
 
 def test_reads_no_name_of_place_or_deployment() -> None:
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linetrack import interface as i
-from linetrack.decide.keys import KEPT, MOST, Keys
-from linetrack.decide.storms import PROMISES, SECOND, Phase, Storms
-from linetrack.interface import Arrival, Ended, Outcome, Ran, Refuse, Send
-from linetrack.rules import Balancer
+from linetrack.policy import interface as i
+from linetrack.control.idempotency_keys import KEPT, MOST, Keys
+from linetrack.control.overload_control import PROMISES, SECOND, Phase, Storms
+from linetrack.policy.interface import Arrival, Ended, Outcome, Ran, Refuse, Send
+from linetrack.policy.balancer import Balancer
 from tests import helpers
 from tests.helpers import CELL, KEYED, MS, SAFE, UNSAFE
 
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from linetrack.net.config import ConfigError, config_of
+from linetrack.server.config import ConfigError, config_of
 from tests import test_sidecar
 from tests.stand_ins import (
     MS,
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from linetrack.interface import Ended, FleetNews, Health, ListForm, Outcome
+from linetrack.policy.interface import Ended, FleetNews, Health, ListForm, Outcome
 from tests.helpers import KEYED, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
 
 
--- a/tests/test_traffic_share.py
+++ b/tests/test_traffic_share.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from linetrack.decide.traffic_share import EVEN_WEIGHT, RENEW_AFTER, WINDOW, TrafficShare
-from linetrack.evidence import SECOND, Evidence
-from linetrack.interface import Arrival, Ended, Entry, FleetNews, ListForm, Load, Outcome, Send
-from linetrack.records import Upstream
-from linetrack.rules import Balancer
+from linetrack.policy.traffic_share import EVEN_WEIGHT, RENEW_AFTER, WINDOW, TrafficShare
+from linetrack.policy.decaying_average import SECOND, Evidence
+from linetrack.policy.interface import Arrival, Ended, Entry, FleetNews, ListForm, Load, Outcome, Send
+from linetrack.policy.records import Upstream
+from linetrack.policy.balancer import Balancer
 from tests.helpers import MS, SAFE, settings
 
 BEGIN = 1000 * SECOND
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -8,14 +8,14 @@
 import gevent
 import pytest
 
-from linetrack.interface import Arrival, Health, Outcome
-from linetrack.net import upstreams as upstreams_module
-from linetrack.net.budget import COPIES, RESERVE, Budget
-from linetrack.net.clock import clock
-from linetrack.net.connection import Stream, readable
-from linetrack.net.messages import ClientRequest, MalformedError, Member, address
-from linetrack.net.owner import Attempt, Done, Open, Sent, Started
-from linetrack.net.upstreams import REST, Upstreams
+from linetrack.policy.interface import Arrival, Health, Outcome
+from linetrack.server import upstream_pool as upstreams_module
+from linetrack.server.budget import COPIES, RESERVE, Budget
+from linetrack.server.clock import clock
+from linetrack.server.connection import Stream, readable
+from linetrack.server.messages import ClientRequest, MalformedError, Member, address
+from linetrack.server.dispatcher import Attempt, Done, Open, Sent, Started
+from linetrack.server.upstream_pool import REST, Upstreams
 from tests.stand_ins import MS, PATIENCE, SECOND, Message, Upstream, Wire, answer, silent, turns_until, until
 
 GET = ClientRequest("GET", "/look/k", "1")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from linetrack import interface as i
+from linetrack.policy import interface as i
 from linetrack.simhost import wire
 from linetrack.simhost.host import Host
 from linetrack.simhost.settings import from_pairs
@@ -129,7 +129,7 @@
     def broken(*_: object) -> None:
         raise IndexError("out of range")
 
-    monkeypatch.setattr("linetrack.rules.Balancer.handle", broken)
+    monkeypatch.setattr("linetrack.policy.balancer.Balancer.handle", broken)
     _, reply = talk(CONVERSATION[:10])
     assert "GIVE_IN i=sidecar/0 what=IndexError: out of range\n" in reply
     assert "Traceback" in capsys.readouterr().err
