--- a/linetrack/control/connection_slots.py
+++ b/linetrack/control/connection_slots.py
@@ -37,7 +37,7 @@
 SPARE = 0.1  # share of the places that is left for those who come
 
 
-class Rests:
+class IdleTimeModel:
     """What connections did that were kept: for each group and span, how many were used and for how long they
     rested.  A group is a number that a host chooses; `Rests` holds one row of spans for each, and takes the
     rates of its parent (a group of a smaller number, or None) for what it has not seen itself.
@@ -104,7 +104,7 @@
         return until, chance if until else within
 
 
-def price(held: int, most: int, rate: float) -> float:
+def slot_price(held: int, most: int, rate: float) -> float:
     """What a second of a place is worth, in new connections, of which `rate` come a second."""
     share = held / most
     if share <= FREE:
@@ -112,7 +112,7 @@
     return FLOOR + max(0.0, rate) / most * (share - FREE) / max(1 - SPARE - share, 1 / most)
 
 
-class Rate:
+class DecayingRate:
     """How many a second, over about the last second."""
 
     def __init__(self) -> None:
@@ -133,7 +133,7 @@
     were closed, or closing would call for more closing."""
 
     def __init__(self) -> None:
-        self.rate, self.owed, self.at = Rate(), 0.0, 0
+        self.rate, self.owed, self.at = DecayingRate(), 0.0, 0
 
     def _settle(self, now: int) -> None:
         if now > self.at:
@@ -152,7 +152,7 @@
         self.rate.add(now, 1.0 - paid)
 
 
-class Need:
+class UpstreamReserve:
     """How many connections upstreams need at once, lately: the rest of the descriptors may be callers'."""
 
     def __init__(self) -> None:
@@ -178,7 +178,7 @@
     GONE = "closed"
 
 
-class Seat:
+class ConnectionSlot:
     """One connection's place; made by `Places.opened` and changed by it alone."""
 
     __slots__ = ("on_trial", "opened", "queue", "served", "since", "state")
@@ -188,7 +188,7 @@
         self.state = State.FRESH
         self.served = 0  # uses so far
         self.on_trial = False  # kept only to see what it does
-        self.queue: OrderedDict[Seat, None] | None = None  # of those that are as it is, in order of time
+        self.queue: OrderedDict[ConnectionSlot, None] | None = None  # of those that are as it is, in order of time
 
     def group(self, now: int) -> int:
         return bisect_right(FEW, self.served) * 2 + (now - self.opened >= OLD)
@@ -206,7 +206,7 @@
 NEED_LEAST = 4  # and at least one descriptor in so many
 
 
-class Places:
+class ConnectionSlots:
     """Who holds a place among callers' connections.
 
     `most` is how many of them may be open for requests before callers find none, as the configuration tells.
@@ -214,29 +214,29 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.rests = Rests(GROUPS)
+        self.rests = IdleTimeModel(GROUPS)
         # in the order in which they came to be so; those that rest, by group
-        self.fresh: OrderedDict[Seat, None] = OrderedDict()
-        self.half: OrderedDict[Seat, None] = OrderedDict()
-        self.resting: tuple[OrderedDict[Seat, None], ...] = tuple(OrderedDict() for _ in GROUPS)
+        self.fresh: OrderedDict[ConnectionSlot, None] = OrderedDict()
+        self.half: OrderedDict[ConnectionSlot, None] = OrderedDict()
+        self.resting: tuple[OrderedDict[ConnectionSlot, None], ...] = tuple(OrderedDict() for _ in GROUPS)
         self.busy = self.speaking = 0  # in a request; and with those that rest
         self.trials = 0
         self.demand = Demand()
 
     # --- What happens --------------------------------------------------------------------------------
-    def opened(self, now: int) -> Seat:
-        seat = Seat(now)
+    def opened(self, now: int) -> ConnectionSlot:
+        seat = ConnectionSlot(now)
         seat.queue = self.fresh
         self.fresh[seat] = None
         return seat
 
-    def begun(self, seat: Seat, now: int) -> None:
+    def begun(self, seat: ConnectionSlot, now: int) -> None:
         """The first part of a request has come; told again for each part, which changes nothing."""
         if seat.state in (State.FRESH, State.RESTING):
             self._rested(seat, now, True)
             self._move(seat, State.HALF, now)
 
-    def asked(self, seat: Seat, now: int) -> None:
+    def asked(self, seat: ConnectionSlot, now: int) -> None:
         """A request is whole."""
         if seat.state is State.RESTING:
             self._rested(seat, now, True)
@@ -246,7 +246,7 @@
                 self.demand.came(now)
             seat.served += 1
 
-    def answered(self, seat: Seat, now: int) -> bool:
+    def answered(self, seat: ConnectionSlot, now: int) -> bool:
         """The request's answer is about to go: whether its connection is kept, or closed with the answer."""
         if self.speaking <= self.most * FREE:
             return True  # nobody needs the place
@@ -261,16 +261,16 @@
         self.demand.closed(now, chance)
         return False
 
-    def rests_now(self, seat: Seat, now: int) -> None:
+    def rests_now(self, seat: ConnectionSlot, now: int) -> None:
         """The answer has gone and the connection stays."""
         self._move(seat, State.RESTING, now)
 
-    def looked(self, seat: Seat, now: int) -> None:
+    def looked(self, seat: ConnectionSlot, now: int) -> None:
         """What was asked was no request for upstreams, but a look whether this side is ready."""
         if seat.state is State.HALF:
             self._move(seat, State.RESTING if seat.served else State.FRESH, now)
 
-    def closed(self, seat: Seat, now: int) -> None:
+    def closed(self, seat: ConnectionSlot, now: int) -> None:
         """Whoever ended it; a second time changes nothing."""
         if seat.state is not State.GONE:
             self._rested(seat, now, False)
@@ -278,9 +278,9 @@
 
     # --- What is decided -----------------------------------------------------------------------------
     def price(self, now: int) -> float:
-        return price(self.speaking, self.most, self.demand.rate.of(now))
+        return slot_price(self.speaking, self.most, self.demand.rate.of(now))
 
-    def makes_way(self, now: int) -> Seat | None:
+    def makes_way(self, now: int) -> ConnectionSlot | None:
         """Who is to be closed for a new connection: whoever never asked, then who rests longest, then whose
         request stands still; None where nobody may be yet.  The host closes it, or tells what it did."""
         return (
@@ -289,12 +289,12 @@
             or _ripe(self.half, now, HALF_TERM)
         )
 
-    def lets_go(self, now: int) -> Seat | None:
+    def lets_go(self, now: int) -> ConnectionSlot | None:
         """Who rests and is no longer worth its place; the host closes it, or tells what it did."""
         return self._least_used(now, self.price(now))
 
     # --- Within --------------------------------------------------------------------------------------
-    def _move(self, seat: Seat, state: State, now: int) -> None:
+    def _move(self, seat: ConnectionSlot, state: State, now: int) -> None:
         """Several times a request, so each step is looked up once."""
         queue = seat.queue
         if queue is not None:
@@ -317,14 +317,14 @@
             queue[seat] = None
         seat.queue, seat.state, seat.since = queue, state, now
 
-    def _rested(self, seat: Seat, now: int, used: bool) -> None:
+    def _rested(self, seat: ConnectionSlot, now: int, used: bool) -> None:
         if seat.state is State.RESTING:
             self.rests.ended(seat.group(seat.since), now - seat.since, used)
         if seat.on_trial:
             seat.on_trial = False
             self.trials -= 1
 
-    def _least_used(self, now: int, most: float) -> Seat | None:
+    def _least_used(self, now: int, most: float) -> ConnectionSlot | None:
         """Of those that have rested for the term, the least likely to be used by now, if it is used less than
         `most` times a second; one that rests for the longest time has had its day."""
         rates, least, found = self.rests.rates(), most, None
@@ -337,7 +337,7 @@
         return found
 
 
-def _ripe(seats: OrderedDict[Seat, None], now: int, term: int) -> Seat | None:
+def _ripe(seats: OrderedDict[ConnectionSlot, None], now: int, term: int) -> ConnectionSlot | None:
     """The first of them, if it has been so for that long."""
     first = next(iter(seats), None)
     return first if first is not None and now - first.since >= term else None
--- a/linetrack/control/discovery_schedule.py
+++ b/linetrack/control/discovery_schedule.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from random import Random
 
-from linetrack.policy.interface import Settings
+from linetrack.policy.settings import Settings
 
 MS, SECOND = 1_000, 1_000_000
 
@@ -42,18 +42,18 @@
 NO_NEWS = ON_WATCH // 2  # before the next call where a watch did not wait for news
 
 
-class Fault(Enum):
+class PollFailure(Enum):
     """How a call failed."""
 
-    SILENT = "silent"  # no answer
-    CUT = "cut_short"  # it has begun and stands still, or ends before it is whole
-    FAULTY = "faulty"  # it makes no sense, or is older than what is known
-    TURNED_AWAY = "turned_away"  # discovery answers that it does not answer
-    DOWN = "down"  # no connection, or it was reset
+    TIMEOUT = "silent"  # no answer
+    TRUNCATED = "cut_short"  # it has begun and stands still, or ends before it is whole
+    INVALID = "faulty"  # it makes no sense, or is older than what is known
+    REJECTED = "turned_away"  # discovery answers that it does not answer
+    UNREACHABLE = "down"  # no connection, or it was reset
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
+class Poll:
     """One call to discovery.  Times in microseconds."""
 
     at: int  # when it is due
@@ -64,7 +64,7 @@
     whole: int  # how long it may take from its first byte to its last
 
 
-class Calls:
+class DiscoverySchedule:
     """Of one instance: ask `next`, make that call at its time, say how it ended; and again, for ever."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -80,14 +80,14 @@
 
     def set(self, settings: Settings) -> None:
         """The settings from here on."""
-        self.pushed, self.grace = not settings.must_ask, settings.drain_grace
-        self.most = max(AGAIN, min(AGAIN_MOST, settings.ask_every // 2))
+        self.pushed, self.grace = not settings.must_subscribe, settings.drain_grace
+        self.most = max(AGAIN, min(AGAIN_MOST, settings.poll_interval // 2))
 
     def moved(self, now: int) -> None:
         """Another discovery is to be called, at once."""
         self.due, self.current, self.faults, self.again, self.at = now + MOVED, False, 0, AGAIN, now
 
-    def next(self, now: int) -> Call:
+    def next(self, now: int) -> Poll:
         """The call to make next; once it is made, one of `answered`, `failed` and `moved` is due."""
         at = self.began = max(now, self.at)
         fold = min(self.faults, 8)
@@ -96,24 +96,24 @@
             # guards against a fleet whose watches fell silent together and are all given up together
             long_poll = int(LONG_POLL * (1 + self.random.random()) / 2) // MS * MS
             self.due = at + max(SILENCE, long_poll + AFTER_WAIT)
-            return Call(at, long_poll, long_poll + OVERDUE, DIAL, still, whole)
+            return Poll(at, long_poll, long_poll + OVERDUE, DIAL, still, whole)
         left = 0 if self.pushed else 2 * ANSWER if self.due is None else self.due - at
         # guards against a place in discovery's queue given up again and again
         limit = min(ANSWER, max(ANSWER_LEAST, left // 2) << fold)
-        return Call(at, 0, limit, min(DIAL, limit), still, whole)
+        return Poll(at, 0, limit, min(DIAL, limit), still, whole)
 
-    def answered(self, now: int, call: Call, news: bool) -> None:
+    def answered(self, now: int, call: Poll, news: bool) -> None:
         """Its answer has come whole; whether it told anything."""
         self.due, self.current, self.faults, self.again, self.at = None, True, 0, AGAIN, now
         if call.long_poll and not news and now < call.at + call.long_poll:
             # guards against calls without pause where discovery does not wait for news
             self.at = now + NO_NEWS
 
-    def failed(self, now: int, fault: Fault) -> None:
+    def failed(self, now: int, fault: PollFailure) -> None:
         """It has failed; what it may have missed still binds when it did.  From any moment at which discovery
         can be reached on, its list is read within `REACH`, if it answers in what `ROUND` leaves of that."""
         watched, self.current, self.faults = self.current, False, self.faults + 1
-        if watched and fault is Fault.DOWN and (self.due or 0) > now + REACH:
+        if watched and fault is PollFailure.UNREACHABLE and (self.due or 0) > now + REACH:
             # its moment is far off, so that `REACH` is what counts.  Guards against a fleet that comes to a
             # discovery that is down or overrun as often as if its watches had fallen silent
             self.due = None
@@ -128,6 +128,6 @@
         if not watched:
             # guards against a wait behind a call that hung: discovery may have been there all the while
             wait = min(wait, max(AGAIN_LEAST, self.began + ROUND - now))
-        if self.faults == 1 and fault in (Fault.SILENT, Fault.CUT, Fault.FAULTY):
+        if self.faults == 1 and fault in (PollFailure.TIMEOUT, PollFailure.TRUNCATED, PollFailure.INVALID):
             wait = 0  # discovery is up: only this call was not
         self.at = now + wait
--- a/linetrack/control/hot_restart.py
+++ b/linetrack/control/hot_restart.py
@@ -41,7 +41,7 @@
         return told.get("settings") != self.settings and not any(name in self.classes for name in theirs)
 
 
-class Do(Enum):
+class Command(Enum):
     # the old process
     GRANT = "give the listening socket and the list"
     SAY_BUSY = "tell the caller to come again, and close"
@@ -60,7 +60,7 @@
     GIVE_UP = "end: another process takes over or serves"
 
 
-class Old:
+class PredecessorStateMachine:
     """The side that serves; it changes nothing until it is told to leave."""
 
     class State(Enum):
@@ -73,54 +73,54 @@
     def __init__(self) -> None:
         self.state, self.due, self.limit = self.State.SERVING, NEVER, NEVER
 
-    def called(self, now: int, version: object, foreign: bool = False) -> list[Do]:
+    def called(self, now: int, version: object, foreign: bool = False) -> list[Command]:
         if foreign:
             # guards against a customer served, and its list and ids known, by another one's process
-            return [Do.SAY_FOREIGN]
+            return [Command.SAY_FOREIGN]
         if self.state is not self.State.SERVING:
-            return [Do.SAY_BUSY]
+            return [Command.SAY_BUSY]
         if version != VERSION:
-            return [Do.CLOSE]
+            return [Command.CLOSE]
         self.state, self.limit, self.due = self.State.GRANTED, now + READY_WITHIN, now + BEAT
-        return [Do.GRANT]
+        return [Command.GRANT]
 
-    def ready(self) -> list[Do]:
+    def ready(self) -> list[Command]:
         if self.state is self.State.GRANTED:
             self.state, self.limit = self.State.READY, NEVER
         return []
 
-    def lost(self) -> list[Do]:
+    def lost(self) -> list[Command]:
         """The link has ended."""
         self.due = self.limit = NEVER
         if self.state in (self.State.GRANTED, self.State.READY):
             self.state = self.State.SERVING
         elif self.state is self.State.HANDING:
             self.state = self.State.LEAVING
-            return [Do.KEEP]
+            return [Command.KEEP]
         return []
 
-    def leave(self) -> list[Do]:
+    def leave(self) -> list[Command]:
         """This process is to end."""
         if self.state in (self.State.GRANTED, self.State.READY):
             # one that only prepares holds the listening socket already: whoever comes waits in its queue
             self.state, self.due, self.limit = self.State.HANDING, NEVER, NEVER
-            return [Do.HAND_ON]
+            return [Command.HAND_ON]
         if self.state is self.State.SERVING:
             self.state = self.State.LEAVING
-            return [Do.LEAVE]
+            return [Command.LEAVE]
         return []
 
-    def tick(self, now: int) -> list[Do]:
+    def tick(self, now: int) -> list[Command]:
         if now >= self.limit:
             # guards against a new process that hangs: its place is free for another one
-            return [Do.CLOSE, *self.lost()]
+            return [Command.CLOSE, *self.lost()]
         if now >= self.due:
             self.due = now + BEAT
-            return [Do.BEAT]
+            return [Command.BEAT]
         return []
 
 
-class New:
+class SuccessorStateMachine:
     """The side that takes over."""
 
     class State(Enum):
@@ -135,67 +135,67 @@
         self.state, self.due, self.until = self.State.CALLING, now, now + CALL_FOR
         self.prepared_ = self.met_stranger = False
 
-    def start(self, now: int) -> list[Do]:
+    def start(self, now: int) -> list[Command]:
         self.due = now + GRANTED_WITHIN
-        return [Do.CALL]
+        return [Command.CALL]
 
-    def nobody(self) -> list[Do]:
+    def nobody(self) -> list[Command]:
         """Nobody is found there, or whoever was has gone before it granted anything."""
         self.state, self.due = self.State.ALONE, NEVER
-        return [Do.LISTEN]
+        return [Command.LISTEN]
 
-    def stranger(self) -> list[Do]:
+    def stranger(self) -> list[Command]:
         """Whoever is found there is another customer's, which stays as it is and found."""
         self.met_stranger = True
         return self.nobody()
 
-    def taken(self, now: int) -> list[Do]:
+    def taken(self, now: int) -> list[Command]:
         """Nobody was found and the address is not free: whoever has it may be about to be found."""
         # guards against a call that met the old process as it ended, before its successor could be found
         self.state = self.State.CALLING
         return self._give_up() if now + CALL_AGAIN >= self.until else self.busy(now)
 
-    def busy(self, now: int) -> list[Do]:
+    def busy(self, now: int) -> list[Command]:
         if now >= self.until:
             return self._give_up()
         self.due = now + CALL_AGAIN
         return []
 
-    def _give_up(self) -> list[Do]:
+    def _give_up(self) -> list[Command]:
         self.state, self.due = self.State.GAVE_UP, NEVER
-        return [Do.GIVE_UP]
+        return [Command.GIVE_UP]
 
-    def granted(self, now: int) -> list[Do]:
+    def granted(self, now: int) -> list[Command]:
         self.state, self.due = self.State.PREPARING, now + SILENT
         return []
 
-    def prepared(self) -> list[Do]:
+    def prepared(self) -> list[Command]:
         """All that serving needs is here."""
         self.prepared_ = True
         if self.state is self.State.PREPARING:
             self.state = self.State.STANDING_BY
-            return [Do.SAY_READY]
+            return [Command.SAY_READY]
         return self._accept()
 
-    def heard(self, now: int) -> list[Do]:
+    def heard(self, now: int) -> list[Command]:
         """The other side still serves."""
         if self.state in (self.State.PREPARING, self.State.STANDING_BY):
             self.due = now + SILENT
         return []
 
-    def left(self) -> list[Do]:
+    def left(self) -> list[Command]:
         """The other side accepts no more."""
         return self._take()
 
-    def lost(self) -> list[Do]:
+    def lost(self) -> list[Command]:
         """The link has ended: the other side has, or is about to."""
         if self.state is self.State.CALLING:
             return self.nobody()
         do = self._take()
         self.state, self.due = self.State.ALONE, NEVER
-        return [*do, Do.WHOLE]
+        return [*do, Command.WHOLE]
 
-    def tick(self, now: int) -> list[Do]:
+    def tick(self, now: int) -> list[Command]:
         if now < self.due:
             return []
         if self.state is self.State.CALLING:
@@ -205,13 +205,13 @@
         # guards against an old process that hangs with the only listener that is accepted from
         return self._take()
 
-    def _take(self) -> list[Do]:
+    def _take(self) -> list[Command]:
         if self.state not in (self.State.PREPARING, self.State.STANDING_BY):
             return []
         self.state, self.due = self.State.ACCEPTING, NEVER
         return self._accept()
 
-    def _accept(self) -> list[Do]:
+    def _accept(self) -> list[Command]:
         """At the later of two moments: it is its turn, and it is prepared."""
         turn = self.state in (self.State.ACCEPTING, self.State.ALONE)
-        return [Do.ACCEPT] if turn and self.prepared_ else []
+        return [Command.ACCEPT] if turn and self.prepared_ else []
--- a/linetrack/control/idempotency_keys.py
+++ b/linetrack/control/idempotency_keys.py
@@ -13,27 +13,27 @@
 
 from collections import OrderedDict
 
-from linetrack.policy.interface import Ran
+from linetrack.policy.protocols import PossibleExecution
 
 MOST = 8192
 EACH = 8
 KEPT = 60_000_000  # microseconds
 
 
-class Keys:
+class IdempotencyKeyTable:
     def __init__(self) -> None:
-        self.rows: OrderedDict[int, list[Ran]] = OrderedDict()
+        self.rows: OrderedDict[int, list[PossibleExecution]] = OrderedDict()
 
-    def ran(self, key: int, ran: Ran) -> None:
+    def add(self, key: int, ran: PossibleExecution) -> None:
         """An attempt under that key may have run, or may yet."""
-        self._tidy(ran.sent)
+        self._tidy(ran.sent_at)
         row = self.rows.setdefault(key, [])
         if len(row) < EACH:
             row.append(ran)
         if len(self.rows) > MOST:
             self.rows.popitem(last=False)
 
-    def never(self, key: int, ran: Ran) -> None:
+    def discard(self, key: int, ran: PossibleExecution) -> None:
         """That attempt turned out never to have run."""
         row = self.rows.get(key, [])
         if ran in row:
@@ -41,7 +41,7 @@
             if not row:
                 del self.rows[key]
 
-    def recall(self, now: int, key: int) -> list[Ran]:
+    def executions(self, now: int, key: int) -> list[PossibleExecution]:
         """The attempts under that key that may have run, the earliest first."""
         self._tidy(now)
         return self.rows.get(key, [])
@@ -49,6 +49,6 @@
     def _tidy(self, now: int) -> None:
         while self.rows:
             first = next(iter(self.rows))
-            if self.rows[first][0].sent > now - KEPT:
+            if self.rows[first][0].sent_at > now - KEPT:
                 return
             del self.rows[first]
--- a/linetrack/control/metrics.py
+++ b/linetrack/control/metrics.py
@@ -10,15 +10,23 @@
 from enum import IntEnum
 
 
-class Fate(IntEnum):
+class RequestOutcome(IntEnum):
     """How a request ended that was taken and not abandoned; the numbers are columns of a row."""
 
-    FULFILLED = 0  # an upstream's answer went to the client, whole
-    THROTTLED = 1  # refused
-    FAULTED = 2  # failed: given up, or an answer that broke off on its way
+    SERVED = 0  # an upstream's answer went to the client, whole
+    REJECTED = 1  # refused
+    FAILED = 2  # failed: given up, or an answer that broke off on its way
 
 
-class Figures:
+#: What the operators' page calls each outcome.
+STATUS_LABELS = {
+    RequestOutcome.SERVED: "fulfilled",
+    RequestOutcome.REJECTED: "throttled",
+    RequestOutcome.FAILED: "faulted",
+}
+
+
+class Metrics:
     def __init__(self) -> None:
         self.rows: dict[str, list[int]] = {}
         self.taken = self.left = self.sends = 0  # requests; those that clients abandoned; attempts begun
@@ -28,16 +36,16 @@
     def declare(self, classes: tuple[str, ...]) -> None:
         """Classes that exist from here on; each is shown, with noughts until something happens."""
         for klass in classes:
-            self.rows.setdefault(klass, [0] * len(Fate))
+            self.rows.setdefault(klass, [0] * len(RequestOutcome))
 
-    def over(self, klass: str, fate: Fate) -> None:
+    def over(self, klass: str, fate: RequestOutcome) -> None:
         """A request of that class has ended."""
         row = self.rows.get(klass)
         if row is None:
-            row = self.rows[klass] = [0] * len(Fate)
+            row = self.rows[klass] = [0] * len(RequestOutcome)
         row[fate] += 1
 
-    def total(self, fate: Fate) -> int:
+    def total(self, fate: RequestOutcome) -> int:
         return sum(row[fate] for row in self.rows.values())
 
     @property
@@ -49,9 +57,9 @@
         """In the log's words; once nothing is open, taken = served + refused + failed + left."""
         return {
             "taken": self.taken,
-            "served": self.total(Fate.FULFILLED),
-            "refused": self.total(Fate.THROTTLED),
-            "failed": self.total(Fate.FAULTED),
+            "served": self.total(RequestOutcome.SERVED),
+            "refused": self.total(RequestOutcome.REJECTED),
+            "failed": self.total(RequestOutcome.FAILED),
             "left": self.left,
             "sends": self.sends,
         }
@@ -60,9 +68,9 @@
         """All of it in Prometheus's text format, beside how many upstreams are listed and how many of
         them are avoided now."""
         lines = [
-            f'app_operations_total{{priority="{_escaped(klass)}",status="{fate.name.lower()}"}} {row[fate]}'
+            f'app_operations_total{{priority="{_escaped(klass)}",status="{STATUS_LABELS[fate]}"}} {row[fate]}'
             for klass, row in self.rows.items()
-            for fate in Fate
+            for fate in RequestOutcome
         ]
         figures = {
             "relayed_total": self.relayed,
--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -19,8 +19,8 @@
 from enum import Enum
 from random import Random
 
-from linetrack.control.connection_slots import Rate
-from linetrack.policy.interface import Arrival
+from linetrack.control.connection_slots import DecayingRate
+from linetrack.policy.events import RequestReceived
 
 SECOND = 1_000_000
 STEP = SECOND // 10  # between changes of the rate
@@ -69,17 +69,17 @@
     EARLY = 2  # did not wait
 
 
-Tell = Callable[[Phase, dict[str, float]], None]
+PhaseListener = Callable[[Phase, dict[str, float]], None]
 
 
-class Storms:
+class AdaptiveOverloadController:
     """`tell` hears of each change of phase, with figures of what is over."""
 
-    def __init__(self, seed: int, tell: Tell = lambda phase, figures: None) -> None:
+    def __init__(self, seed: int, tell: PhaseListener = lambda phase, figures: None) -> None:
         self.random, self.tell = Random(seed), tell
         self.phase = Phase.CALM
-        self.good, self.quick, self.bad = Rate(), Rate(), Rate()
-        self.offered, self.repeats = Rate(), Rate()
+        self.good, self.quick, self.bad = DecayingRate(), DecayingRate(), DecayingRate()
+        self.offered, self.repeats = DecayingRate(), DecayingRate()
         self.usual = 0.0
         self.limit = 0.0  # requests a second that are let in, while engaged
         self.held = 0.0  # the rate up to which it grows fast
@@ -88,26 +88,26 @@
         self.budget = BUDGET_MOST
         self.stepped = self.calm_since = self.engaged_at = 0
         self.calm_for = -SETTLES  # seconds from which the usual rate is known
-        self.groups: dict[tuple[int, int], tuple[float, Rate]] = {}  # by order and class: worth, rate offered
+        self.groups: dict[tuple[int, int], tuple[float, DecayingRate]] = {}  # by order and class: worth, rate offered
         self.promises: list[int] = []  # times told, a heap
         self.next_return = 0
         self.let_in = self.turned_away = self.streak = 0
 
     # --- What the policy asks ------------------------------------------------------------------------
-    def admits(self, now: int, arrival: Arrival, worth: float) -> bool:
+    def admit(self, now: int, arrival: RequestReceived, worth: float) -> bool:
         """Whether there is room for a request now; `worth` is for the work that it asks for."""
         self._step(now)
         self.offered.add(now)
         order = Order.FIRST
-        if arrival.repeat:
+        if arrival.is_retry:
             self.repeats.add(now)
             # callers' repeats and own ones draw on one budget
             self.budget = max(0.0, self.budget - BUDGET_SHARE)
             order = Order.RETURNED if self._kept_promise(now) else Order.EARLY
         if self.phase is Phase.CALM:
             return True
-        group = (order.value, arrival.klass)
-        _, rate = self.groups.get(group, (worth, Rate()))
+        group = (order.value, arrival.class_index)
+        _, rate = self.groups.get(group, (worth, DecayingRate()))
         rate.add(now)
         self.groups[group] = worth, rate
         most = max(BURST, 2 * self.limit * STEP / SECOND)
@@ -130,7 +130,7 @@
             self.turned_away += 1
         return fits
 
-    def further(self, now: int) -> bool:
+    def allow_retry(self, now: int) -> bool:
         """Whether one more attempt is within the budget that callers' repeats and own ones share."""
         self._step(now)
         if self.budget < 1:
@@ -138,7 +138,7 @@
         self.budget -= 1
         return True
 
-    def ended(self, now: int, good: bool, quick: bool) -> None:
+    def record_response(self, now: int, good: bool, quick: bool) -> None:
         """An attempt has ended: well and within its class's aim, or not; `quick` within half of that."""
         if quick:
             self.quick.add(now)
@@ -148,7 +148,7 @@
             self.budget = min(BUDGET_MOST, self.budget + BUDGET_SHARE)
         self._step(now)
 
-    def returns(self, now: int, usual: int, most: int) -> int:
+    def retry_after(self, now: int, usual: int, most: int) -> int:
         """After how long a refused caller is told to come back: spread over what the backlog needs, from half
         of `usual` on and at most `most` microseconds."""
         if self.phase is Phase.CALM:
--- a/linetrack/control/policy_snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -26,7 +26,7 @@
 UPSTREAM = ("others", "errors", "faults", "heard_at", "load_at", "answered", "credit", "credit_at")
 
 
-def taken(policy: Balancer) -> dict[str, Any]:
+def take(policy: Balancer) -> dict[str, Any]:
     """All of it, ready for JSON."""
     return {
         "version": VERSION,
@@ -36,7 +36,7 @@
         "sizes": [_told(evidence) for evidence in policy.sizes],
         "mean_worth": policy.mean_worth,
         **{name: list(getattr(policy.ledger, name)) for name in LEDGER},
-        "window": policy.s.further_window,
+        "window": policy.s.retry_window,
         "upstreams": {name: _upstream(upstream) for name, upstream in policy.fleet.items()},
     }
 
@@ -64,8 +64,8 @@
                 return False
             sets.append((policy, "sizes", [_evidence(value, now) for value in values["sizes"]]))
             sets.append((policy, "mean_worth", _figure(values["mean_worth"], now)))
-        if policy.s.further_window > int(values["window"]):  # more was sent in it than was kept count of
-            sets.append((policy.ledger, "closed", now + policy.s.further_window))
+        if policy.s.retry_window > int(values["window"]):  # more was sent in it than was kept count of
+            sets.append((policy.ledger, "closed", now + policy.s.retry_window))
         for name in LEDGER:
             sets.append((policy.ledger, name, deque(sorted(min(now, int(at)) for at in values[name]))))
         places: dict[str, dict[int, Any]] = {}
--- a/linetrack/policy/balancer.py
+++ b/linetrack/policy/balancer.py
@@ -14,7 +14,32 @@
 from itertools import accumulate
 from random import Random
 
-from linetrack.policy import interface as i
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    EndpointStatus,
+    Event,
+    ListForm,
+    NEVER_EXECUTED,
+    Outcome,
+    RequestBodySent,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from linetrack.policy.protocols import IdempotencyKeyStore, OverloadController, PossibleExecution
+from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField, Settings
 from linetrack.policy.traffic_share import TrafficShare
 from linetrack.policy.decaying_average import FORGET_SPEED, SECOND, Evidence
 from linetrack.policy.records import Attempt, Request, Upstream
@@ -77,50 +102,50 @@
 class Ledger:
     """Further attempts and requests taken in the stated window: asked before every send but a first one."""
 
-    def __init__(self, settings: i.Settings) -> None:
+    def __init__(self, settings: Settings) -> None:
         self.further: deque[int] = deque()
         self.taken: deque[int] = deque()
         self.closed, self.s = 0, settings
 
-    def limit(self, settings: i.Settings, now: int) -> None:
-        if settings.further_window > self.s.further_window:
+    def limit(self, settings: Settings, now: int) -> None:
+        if settings.retry_window > self.s.retry_window:
             # guards against a longer window in which more was sent than was kept count of
-            self.closed = now + settings.further_window
+            self.closed = now + settings.retry_window
         self.s = settings
 
     def add(self, times: deque[int], now: int) -> None:
-        if self.s.further_window:
+        if self.s.retry_window:
             times.append(now)
             self.full(now)
 
     def full(self, now: int) -> bool:
         """Whether one more would be beyond the limit."""
-        since = now - self.s.further_window
+        since = now - self.s.retry_window
         # guards against either reading of the window's edge: an attempt on it counts, a request does not
         while self.further and self.further[0] < since:
             self.further.popleft()
         while self.taken and self.taken[0] <= since:
             self.taken.popleft()
-        most = self.s.further_free + self.s.further_ratio * len(self.taken)
-        return bool(self.s.further_window) and (now < self.closed or len(self.further) + 1 > most)
+        most = self.s.retry_window_allowance + self.s.retry_window_ratio * len(self.taken)
+        return bool(self.s.retry_window) and (now < self.closed or len(self.further) + 1 > most)
 
 
 class Balancer:
     """One instance: `handle` takes one event and returns the actions it calls for, in order."""
 
     def __init__(
-        self, settings: i.Settings, seed: int, guide: i.Guide | None = None, memory: i.Memory | None = None
+        self, settings: Settings, seed: int, guide: OverloadController | None = None, memory: IdempotencyKeyStore | None = None
     ) -> None:
         # `guide` and `memory` are asked where an installation has them on
         self.s, self.guide, self.memory = settings, guide, memory
         self.random, self.now = Random(seed), 0
-        self.actions: list[i.Action] = []
+        self.actions: list[Action] = []
         self.fleet: dict[str, Upstream] = {}
         self.requests: dict[int, Request] = {}
         self.orphans: dict[tuple[int, int], Attempt] = {}
         self.budget, self.ledger = 1.0, Ledger(settings)
         # an answer's time, in logarithms: calm pace + zone's crowding + kind and upstream + class
-        soonest = max(2, min(c.aim for c in settings.classes))
+        soonest = max(2, min(c.latency_objective for c in settings.classes))
         self.calm, self.calm_most = math.log(FIRST_GUESS * soonest), math.log(CALM_MOST * soonest)
         # by zone: how crowded it is, and the mean of what was told of its upstreams
         self.zones: defaultdict[int, Evidence] = defaultdict(Evidence)
@@ -133,7 +158,7 @@
         self.sizes = [Evidence() for _ in settings.classes]
         self.nominal: dict[int, float] = {}  # by kind, the most that a size that moves with load was
         self.rates: defaultdict[int, Evidence] = defaultdict(Evidence)  # of a kind's warm ones, as reported
-        self.traffic = TrafficShare(settings.instances)
+        self.traffic = TrafficShare(settings.instance_count)
         self.work = Evidence()  # an uncrowded answer's time, the mean over all classes
         self.mean_worth = self.mean_pace = 0.0
         self.asked = [1.0 / len(settings.classes)] * len(settings.classes)
@@ -153,64 +178,64 @@
         self.timely = [(1.0, 0)] * len(settings.classes)  # share of each one's answers in time, as of when
         self.usual_errors = 0.0  # share of errors among an upstream's answers: half of them have no more
 
-    def handle(self, now: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         self.now, self.actions = now, []
         self.seen.clear()
         match event:
-            case i.Arrival():
+            case RequestReceived():
                 self._arrive(event)
-            case i.Ended():
+            case AttemptEnded():
                 self._ended(event)
-            case i.TimerDue():
+            case TimerFired():
                 self._timer(event.token)
-            case i.FleetNews():
+            case EndpointListUpdate():
                 self._news(event)
-            case i.ClientLeft() if request := self.requests.get(event.request):
+            case ClientDisconnected() if request := self.requests.get(event.request_id):
                 self._close(request)
-            case i.Begun() if request := self.requests.get(event.request):
+            case ResponseStarted() if request := self.requests.get(event.request_id):
                 self._begun(request, event.attempt)
-            case i.Written():
-                request = self.requests.get(event.request)
+            case RequestBodySent():
+                request = self.requests.get(event.request_id)
                 if request and (attempt := request.out.get(event.attempt)):
                     attempt.sent = self.now
-                    if not request.arrival.held:
-                        request.at, request.until = self.now, self.now + request.arrival.patience
+                    if not request.arrival.is_replayable:
+                        request.at, request.until = self.now, self.now + request.arrival.timeout
                         attempt.upstream.out[(request.number, attempt.number)] = attempt
         return self.actions  # probes are never sent, peers never asked: nothing rests on their words
 
     # --- Fleet view ------------------------------------------------------------------------------
-    def _news(self, news: i.FleetNews) -> None:
-        if news.form is i.ListForm.REFUSED:
+    def _news(self, news: EndpointListUpdate) -> None:
+        if news.form is ListForm.REJECTED:
             # guards against a broken subscription: asked again with back-off, the old list stands
-            if self.s.must_ask:
-                self.actions.append(i.SetTimer(int(self.ask_wait * (0.5 + self.random.random())), "ask"))
-                self.ask_wait = min(2 * self.ask_wait, max(ASK_AGAIN, self.s.ask_every // 2))
+            if self.s.must_subscribe:
+                self.actions.append(SetTimer(int(self.ask_wait * (0.5 + self.random.random())), "ask"))
+                self.ask_wait = min(2 * self.ask_wait, max(ASK_AGAIN, self.s.poll_interval // 2))
             return
         self.ask_wait, self.up, self.kept = ASK_AGAIN, [], {}
         for entry in news.entries:
-            upstream = self.fleet.get(entry.upstream)
-            bound = entry.health is i.Health.GONE and not self.s.gone_is_advice
+            upstream = self.fleet.get(entry.endpoint)
+            bound = entry.status is EndpointStatus.REMOVED and not self.s.removal_is_advisory
             if upstream is None:
-                upstream = self.fleet[entry.upstream] = Upstream(entry)
-            elif entry.started > upstream.listed_start:
+                upstream = self.fleet[entry.endpoint] = Upstream(entry)
+            elif entry.started_at > upstream.listed_start:
                 upstream.fresh(entry)
-            elif self.s.gone_is_advice:
+            elif self.s.removal_is_advisory:
                 # guards against one that drains, is left out and comes back: a later start alone is another
                 bound = upstream.gone
-            upstream.gone, upstream.absent = bound or entry.health is i.Health.DRAINING, False
-            upstream.warm_at = upstream.listed_start + self.s.warm_up if upstream.listed_start else 0
+            upstream.gone, upstream.absent = bound or entry.status is EndpointStatus.DRAINING, False
+            upstream.warm_at = upstream.listed_start + self.s.slow_start_duration if upstream.listed_start else 0
             self.cold_until = max(self.cold_until, upstream.warm_at)
             # a size that is no positive number tells nothing
-            size = upstream.size = entry.size if 0 < entry.size < math.inf else 1.0
+            size = upstream.size = entry.capacity if 0 < entry.capacity < math.inf else 1.0
             upstream.view_until = 0
-            if self.s.live_sizes:
+            if self.s.capacity_varies_with_load:
                 # guards against load counted twice: a size that moves with it is its kind's most and the load
-                upstream.size = self.nominal[entry.kind] = max(size, self.nominal.get(entry.kind, 0.0))
+                upstream.size = self.nominal[entry.host_class] = max(size, self.nominal.get(entry.host_class, 0.0))
                 self._load(upstream, upstream.size / size - 1, LIST_NEWS)
-        over = {entry.upstream for entry in news.entries if entry.health is i.Health.GONE}
-        if news.form is not i.ListForm.CHANGES:
-            over |= self.fleet.keys() - {entry.upstream for entry in news.entries}
-        if self.s.gone_is_advice:
+        over = {entry.endpoint for entry in news.entries if entry.status is EndpointStatus.REMOVED}
+        if news.form is not ListForm.DELTA:
+            over |= self.fleet.keys() - {entry.endpoint for entry in news.entries}
+        if self.s.removal_is_advisory:
             over = self._absent(over)
         for name in over:
             # guards against records of all that ever was; attempts still out keep theirs
@@ -221,11 +246,11 @@
             for known, there in [*((k, kinds) for k in of_kinds), *((k, zones) for k in of_zones)]:
                 for place in known.keys() - there:
                     del known[place]
-        if self.s.must_ask and not self.watching:
+        if self.s.must_subscribe and not self.watching:
             self.watching = True
             # guards against a stampede: instances that start together spread their calls by lot
-            wait = int(self.random.random() * min(self.s.ask_every // 2, (self.s.instances - 1) * ASK_PACE))
-            self.actions.append(i.SetTimer(wait, "ask") if wait else i.Watch(True))
+            wait = int(self.random.random() * min(self.s.poll_interval // 2, (self.s.instance_count - 1) * ASK_PACE))
+            self.actions.append(SetTimer(wait, "ask") if wait else WatchEndpoints(True))
 
     def _absent(self, over: set[str]) -> set[str]:
         """Guards against a list that is wrong about who is up: those called gone where that is advice stay,
@@ -239,16 +264,16 @@
 
     def _report(self, upstream: Upstream, values: tuple[float, ...]) -> None:
         """Take a report in: requests at the upstream beyond those this instance sent itself."""
-        seen = {f: v for f, v in zip(self.s.report_fields, values, strict=False) if 0 <= v < math.inf}
-        if i.Load.RATE in seen and self._warmth(upstream) >= 1:
-            self.rates[upstream.kind].add(self.now, seen[i.Load.RATE] / SECOND)
-        if self.s.live_sizes:
-            if seen.get(i.Load.UTIL, 1.0) < BUSIEST and upstream.load_at:  # Little's law, cores not short
-                self.busy += SMOOTH / 4 * (seen[i.Load.UTIL] - self.busy)
+        seen = {f: v for f, v in zip(self.s.load_report_fields, values, strict=False) if 0 <= v < math.inf}
+        if LoadField.REQUEST_RATE in seen and self._warmth(upstream) >= 1:
+            self.rates[upstream.kind].add(self.now, seen[LoadField.REQUEST_RATE] / SECOND)
+        if self.s.capacity_varies_with_load:
+            if seen.get(LoadField.UTILIZATION, 1.0) < BUSIEST and upstream.load_at:  # Little's law, cores not short
+                self.busy += SMOOTH / 4 * (seen[LoadField.UTILIZATION] - self.busy)
                 self.holds += SMOOTH / 4 * (upstream.others - self.holds)
                 self.working = min(1.0, self.busy / max(1e-9, self.holds))
             return  # the list tells of every upstream at once, an answer of one that may not be seen for long
-        if (figure := seen.get(i.Load.QUEUE, seen.get(i.Load.INFLIGHT))) is not None:
+        if (figure := seen.get(LoadField.QUEUE_DEPTH, seen.get(LoadField.IN_FLIGHT))) is not None:
             self._load(upstream, figure, FORGET_LOAD, 2 * SMOOTH)
 
     def _load(self, upstream: Upstream, figure: float, over: int, least: float = 0.0) -> None:
@@ -287,8 +312,8 @@
         """The share of its capacity that a started upstream can be counted on to have."""
         if self.now >= upstream.warm_at:
             return 1.0
-        age = max(0, self.now - upstream.listed_start) / self.s.warm_up
-        return min(1.0, self.s.cold_from + (1 - self.s.cold_from) * age)
+        age = max(0, self.now - upstream.listed_start) / self.s.slow_start_duration
+        return min(1.0, self.s.slow_start_initial_fraction + (1 - self.s.slow_start_initial_fraction) * age)
 
     def _pool(self, upstream: Upstream) -> float:
         return self.kinds[upstream.kind].beside(self.now, 0.0)
@@ -316,7 +341,7 @@
             upstream.warmth = self._warmth(upstream)
             upstream.loaded = upstream.alone * (1 + there) / upstream.warmth
             # guards against speed counted twice: a size beside the load a core stands for its kind's
-            usual = math.exp(self._pool(upstream)) if self.s.live_sizes else 1.0
+            usual = math.exp(self._pool(upstream)) if self.s.capacity_varies_with_load else 1.0
             share = max(0.05, upstream.loaded * upstream.warmth / usual) ** -SHARPNESS
             upstream.share = upstream.size * upstream.warmth**COLD_WEIGHT * share
             upstream.view_until = now + (VIEW if upstream.load_at else 2 * VIEW)
@@ -334,7 +359,7 @@
         Guards against leaving sound ones in turn while any answer may be spoilt (a share of few answers
         strays by up to its root), and for all classes where one fails: its own share counts while fresh."""
         sound = self._told_of(upstream.zone)[1]
-        if self.s.streams > 1 and upstream.linked < self.now:
+        if self.s.max_streams_per_connection > 1 and upstream.linked < self.now:
             sound = min(sound, 1.0 - 0.9 * self.refused.value)
         if upstream.errors:
             share = self._failing(upstream, klass) - math.sqrt(self.usual_errors)
@@ -353,7 +378,7 @@
 
     def _survey(self, upstreams: list[Upstream], klass: int) -> Weighed:
         """Of each: expected completion, how sound it is, 1 / penalty; one loop, as it is most of the work."""
-        now, calm, dials = self.now, math.exp(self.calm), self.s.streams > 1
+        now, calm, dials = self.now, math.exp(self.calm), self.s.max_streams_per_connection > 1
         expected, sounds, odds, zone = [], [], [], -1
         for upstream in upstreams:
             if upstream.zone != zone:
@@ -411,35 +436,35 @@
         """The ready ones, what is expected of each, how sound it is, and its odds."""
         # the others' are kept for a view, until something is sent there or heard; the guard asks again
         easy = away and not self.retired and self._limits(request) == (None, None)
-        until, kept = self.kept.get(request.arrival.klass, (0, None))
+        until, kept = self.kept.get(request.arrival.class_index, (0, None))
         if easy and kept and self.now < until:
             return kept
-        kept = self._survey(self._ready(request, away), request.arrival.klass)
+        kept = self._survey(self._ready(request, away), request.arrival.class_index)
         if easy:
-            self.kept[request.arrival.klass] = self.now + VIEW, kept
+            self.kept[request.arrival.class_index] = self.now + VIEW, kept
         return kept
 
     def _open_to(self, request: Request, upstream: Upstream) -> bool:
         """Out of its spell; the first sends after one are trials with a repeatable request."""
-        klass = request.arrival.klass
+        klass = request.arrival.class_index
         until = upstream.spells.get(klass, (0, 0))[1]
         if not until or until > self.now:
             return not until
         # guards against losing one for good: unsafe ones go where others were served since the spell
-        tells = request.klass.effect is not i.Effect.UNSAFE or upstream.answered > until
+        tells = request.klass.idempotency is not Idempotency.NON_IDEMPOTENT or upstream.answered > until
         return tells and all(attempt.klass != klass for attempt in upstream.out.values())
 
     def _pulled(self, request: Request, upstreams: list[Upstream], odds: list[float]) -> list[float]:
         """Odds pulled by each upstream's places, none removed: for a key, alike at all, and the instance."""
-        if self.s.streams > 1:
+        if self.s.max_streams_per_connection > 1:
             # guards against a connection from each instance to each upstream, which costs places and work
             mark, count = self.s.instance * 0x85EBCA6B, len(upstreams)
             odds = [
                 o if u.linked >= self.now else o / (1 + (u.place(mark) * count / LINKS) ** LINK_PULL)
                 for o, u in zip(odds, upstreams, strict=True)
             ]
-        if self.s.warm_keys and request.arrival.key:
-            mark = zlib.crc32(request.arrival.key.encode())
+        if self.s.has_affinity_keys and request.arrival.affinity_key:
+            mark = zlib.crc32(request.arrival.affinity_key.encode())
             odds = [o * u.place(mark) ** -KEY_PULL for o, u in zip(odds, upstreams, strict=True)]
         return odds
 
@@ -491,11 +516,11 @@
             gain = self._net(request, ([away[other]], [abroad[1][other]], [abroad[2][other]], []))[0]
             usual = sum(o * net for o, net in zip(worthy, nets, strict=True)) / (sum(worthy) or 1.0)
             # guards against all instances of a zone leaving and coming back together: graded by lot
-            if pick is None or gain - self.s.price_cross - usual > SPILL * self.random.random():
+            if pick is None or gain - self.s.cross_zone_cost - usual > SPILL * self.random.random():
                 request.first, request.net = away[other], gain
         if request.net < 0:
             return  # it is shed
-        cross = 1 + self.s.price_cross * CROSS_AVERSION
+        cross = 1 + self.s.cross_zone_cost * CROSS_AVERSION
         rest, share = home + away, odds + [o / cross for o in far]
         if request.first is not None:
             at = rest.index(request.first)
@@ -517,22 +542,22 @@
     # --- Admission -------------------------------------------------------------------------------
     def _weigh(self, request: Request) -> None:
         """A request's worth and cost that are the same for every upstream, in worths of a mean request."""
-        klass, classes = request.arrival.klass, range(len(self.s.classes))
+        klass, classes = request.arrival.class_index, range(len(self.s.classes))
         scales = [self._scale(n) for n in classes]
         request.scale, request.value = scales[klass], self._class_worth(klass) * request.within
         request.lot = 0.5 + self.random.random()
         # guards against a jam taken for slow upstreams: lateness itself makes work dearer
         late = self._faded(self.late.value, self.late.at, 0.0, FORGET_SPEED)
         request.strain = 1 + LATE_WEIGHT * max(0.0, late - LATE_USUAL)
-        request.room = sum(self.s.classes[n].aim / scales[n] for n in classes) / len(classes)
+        request.room = sum(self.s.classes[n].latency_objective / scales[n] for n in classes) / len(classes)
         # once nothing was heard for a while, nothing is known to be full: guards against refusing for ever
         request.stretch = self._faded(1.0, self.heard_at, 0.0, FORGET_SPEED)
 
     def _net(self, request: Request, weighed: Weighed) -> list[float]:
         """Worth likely earned at each less what the work costs others: where requests take `crowded` times
         as long as alone, one more delays them by its completion x (crowded - 1) in all, times the slope."""
-        calm, live, nets, zone = math.exp(self.calm), self.s.live_sizes, [], -1
-        left = min(request.klass.aim + request.at, request.until) - self.now
+        calm, live, nets, zone = math.exp(self.calm), self.s.capacity_varies_with_load, [], -1
+        left = min(request.klass.latency_objective + request.at, request.until) - self.now
         pace = (request.scale * request.stretch / left) ** CHANCE if left > 0 else math.inf
         slope, worth = (request.stretch / request.room) ** CHANCE, request.value
         load, filled = request.lot * request.strain * request.scale * CHANCE, 0.0
@@ -561,49 +586,49 @@
 
     def _class_worth(self, klass: int) -> float:
         """Mean worth of a class's request; more while it is the worst served and the goal counts that."""
-        size = self._scale(klass) if self.s.worth_by_work else 1.0
-        worth = max(1e-9, self.s.classes[klass].worth) * size / (self.mean_worth or 1.0)
-        if not 0 < self.s.weight_class < 1:
+        size = self._scale(klass) if self.s.weighs_by_work else 1.0
+        worth = max(1e-9, self.s.classes[klass].priority_weight) * size / (self.mean_worth or 1.0)
+        if not 0 < self.s.goal_weight_of_worst_class < 1:
             return worth
         focus = [math.exp((min(self.served) - share) / EVEN) for share in self.served]
-        part = self.s.weight_class / (1 - self.s.weight_class) / max(0.01, self.asked[klass])
+        part = self.s.goal_weight_of_worst_class / (1 - self.s.goal_weight_of_worst_class) / max(0.01, self.asked[klass])
         return worth + part * focus[klass] / sum(focus)
 
-    def _within(self, arrival: i.Arrival) -> float:
+    def _within(self, arrival: RequestReceived) -> float:
         """Share of its worth that its tenant's part leaves a request: one's burst must not crowd all out."""
-        if arrival.tenant >= len(self.s.tenant_rates):
+        if arrival.tenant >= len(self.s.tenant_quotas):
             return 1.0
         count, at = self.tenants.get(arrival.tenant, (0.0, self.now))
-        count = count * math.exp((at - self.now) / SHARE_SPAN) + (not arrival.repeat)
+        count = count * math.exp((at - self.now) / SHARE_SPAN) + (not arrival.is_retry)
         self.tenants[arrival.tenant] = count, self.now
-        part = self.s.tenant_rates[arrival.tenant] * SHARE_SPAN / SECOND / self.s.instances
+        part = self.s.tenant_quotas[arrival.tenant] * SHARE_SPAN / SECOND / self.s.instance_count
         beyond = max(0.0, 1 - (part + COLD_SPREAD * math.sqrt(part)) / max(count, 1e-9))
-        return 1 - beyond * (1 - self.s.over_share_worth)
+        return 1 - beyond * (1 - self.s.over_quota_weight)
 
-    def _observe(self, arrival: i.Arrival) -> None:
-        self.asked = [a + SMOOTH / 8 * ((n == arrival.klass) - a) for n, a in enumerate(self.asked)]
-        size = self._scale(arrival.klass) if self.s.worth_by_work else 1.0
-        worth = self.s.classes[arrival.klass].worth * size
+    def _observe(self, arrival: RequestReceived) -> None:
+        self.asked = [a + SMOOTH / 8 * ((n == arrival.class_index) - a) for n, a in enumerate(self.asked)]
+        size = self._scale(arrival.class_index) if self.s.weighs_by_work else 1.0
+        worth = self.s.classes[arrival.class_index].priority_weight * size
         self.mean_worth += SMOOTH / 4 * (worth - self.mean_worth) if self.mean_worth else worth
 
     # --- Attempts --------------------------------------------------------------------------------
-    def _arrive(self, arrival: i.Arrival) -> None:
-        request = Request(arrival, self.s.classes[arrival.klass], self.now)
+    def _arrive(self, arrival: RequestReceived) -> None:
+        request = Request(arrival, self.s.classes[arrival.class_index], self.now)
         self.requests[request.number] = request
         request.within = self._within(arrival)
-        if not arrival.repeat:
-            self.patience[arrival.klass] = max(self.patience[arrival.klass], arrival.patience)
-        elif arrival.patience < 0.95 * self.patience[arrival.klass]:
+        if not arrival.is_retry:
+            self.patience[arrival.class_index] = max(self.patience[arrival.class_index], arrival.timeout)
+        elif arrival.timeout < 0.95 * self.patience[arrival.class_index]:
             # guards against repeats taken for first tries: what those have more of is used up
-            request.at = self.now + min(0, arrival.patience - request.klass.deadline)
+            request.at = self.now + min(0, arrival.timeout - request.klass.timeout)
         self.budget = min(BUDGET_BURST, self.budget + BUDGET_SHARE)
         self.ledger.add(self.ledger.taken, self.now)
         self._observe(arrival)
-        worth = self._class_worth(arrival.klass) / self._scale(arrival.klass) if self.guide else 0.0
+        worth = self._class_worth(arrival.class_index) / self._scale(arrival.class_index) if self.guide else 0.0
         # guards against storms of repeats, each weighed against the whole fleet: a verdict holds a moment
-        same = arrival.repeat and self.now - self.shed[arrival.klass] < SHED_HOLDS * len(self.fleet)
-        admitted = not same and (not self.guide or self.guide.admits(self.now, arrival, worth))
-        alone = self._alone(arrival.klass)  # but for a few, which tell when it is over
+        same = arrival.is_retry and self.now - self.shed[arrival.class_index] < SHED_HOLDS * len(self.fleet)
+        admitted = not same and (not self.guide or self.guide.admit(self.now, arrival, worth))
+        alone = self._alone(arrival.class_index)  # but for a few, which tell when it is over
         drags = alone < DRAGS and self.random.random() > max(DRAG_TRIALS, (alone / DRAGS) ** 2)
         sends = not drags and admitted and self._limits(request)
         (self._start if sends else self._end)(request)
@@ -611,24 +636,24 @@
     def _start(self, request: Request) -> None:
         self._candidates(request)
         if request.first is not None and request.net < 0:  # load shedding
-            self.shed[request.arrival.klass] = self.now
+            self.shed[request.arrival.class_index] = self.now
             self._end(request)
         elif request.first is None or not self._send(request, request.first):
             self._hold(request)
 
     def _hold(self, request: Request) -> None:
         """No upstream may be sent to: look again shortly, for a share of the aim at most."""
-        limit = min(request.until - 2 * HOLD_STEP, request.at + int(HOLD_SHARE * request.klass.aim))
+        limit = min(request.until - 2 * HOLD_STEP, request.at + int(HOLD_SHARE * request.klass.latency_objective))
         if self.now + HOLD_STEP > limit:
             self._end(request)
         else:
             request.held = True
-            self.actions.append(i.SetTimer(HOLD_STEP, f"hold:{request.number}"))
+            self.actions.append(SetTimer(HOLD_STEP, f"hold:{request.number}"))
 
     def _timer(self, token: str) -> None:
         kind, _, rest = token.partition(":")
         if kind == "ask":
-            self.actions.append(i.Watch(True))
+            self.actions.append(WatchEndpoints(True))
         request = self.requests.get(int(rest)) if rest.isdigit() else None
         if request and kind == "hold" and request.held:
             request.held = False
@@ -640,7 +665,7 @@
         """The second candidate, then the rotation; a copy only while the first is out."""
         target = self._next(request)
         useful = target is not None and self._useful(request, target) and self.budget >= price
-        useful = useful and (not price or not self.guide or self.guide.further(self.now))
+        useful = useful and (not price or not self.guide or self.guide.allow_retry(self.now))
         if target is not None and useful and self._send(request, target):
             self.budget -= price
         elif not copy and not request.out:
@@ -651,12 +676,12 @@
         if attempt := request.out.get(number):
             attempt.upstream.out.pop((request.number, number), None)
         if self.s.may_cancel:
-            self.actions += [i.Cancel(request.number, nth) for nth in request.out if nth != number]
+            self.actions += [CancelAttempt(request.number, nth) for nth in request.out if nth != number]
         request.began = self.now
 
     def _next(self, request: Request) -> Upstream | None:
         fresh = {*self._ready(request, False, request.tried), *self._ready(request, True, request.tried)}
-        if self.s.further_window:
+        if self.s.retry_window:
             # guards against spending few further attempts on more of what failed: who served here lately
             fresh = {u for u in fresh if u.answered > self.now - FORGET_SPEED} or fresh
         if request.second in fresh:
@@ -673,66 +698,66 @@
         if self.memory and self.now + took >= (self._by(request) or math.inf):
             # guards against a repeat that its group takes up only after it has forgotten the key
             return False
-        price = self.s.price_cross if target.zone != self.s.zone else 0.0
-        left = min(request.klass.aim + request.at, request.until) - self.now
-        worth = self._sound(target, request.arrival.klass)
+        price = self.s.cross_zone_cost if target.zone != self.s.zone else 0.0
+        left = min(request.klass.latency_objective + request.at, request.until) - self.now
+        worth = self._sound(target, request.arrival.class_index)
         worth *= 1 / (1 + (request.stretch * took / left) ** CHANCE) if left > 0 else 0.0
         if took < request.until - self.now:
-            worth = max(worth, request.klass.late_worth)
+            worth = max(worth, request.klass.late_weight)
         # guards against attempts after attempts into a fleet that is full: each takes the place of another's
         price += FULL_COST * request.lot * request.scale * (1.0 - self._told_of(target.zone)[1])
         return worth * request.value > price and worth > 0.05
 
-    def _ended(self, event: i.Ended) -> None:
-        request, key = self.requests.get(event.request), (event.request, event.attempt)
+    def _ended(self, event: AttemptEnded) -> None:
+        request, key = self.requests.get(event.request_id), (event.request_id, event.attempt)
         attempt = request.out.pop(event.attempt, None) if request else self.orphans.pop(key, None)
         if attempt is not None:
             attempt.upstream.out.pop(key, None)
             self._learn(attempt, event)
-            self._moved(attempt.upstream, event.outcome is i.Outcome.OK)
+            self._moved(attempt.upstream, event.outcome is Outcome.SUCCESS)
         if request is None:
             return
-        if event.over:
-            if attempt is not None and attempt.copy and event.outcome is i.Outcome.OK:
+        if event.request_completed:
+            if attempt is not None and attempt.copy and event.outcome is Outcome.SUCCESS:
                 self.budget = min(BUDGET_BURST, self.budget + COPY_PRICE)
-            self._close(request, event.outcome is i.Outcome.OK)
-        if event.over or attempt is None:
+            self._close(request, event.outcome is Outcome.SUCCESS)
+        if event.request_completed or attempt is None:
             return
-        never = event.outcome in i.NEVER_RAN
-        ran = i.Ran(attempt.upstream.zone, attempt.upstream.cell, attempt.sent)
+        never = event.outcome in NEVER_EXECUTED
+        ran = PossibleExecution(attempt.upstream.zone, attempt.upstream.cell, attempt.sent)
         if not never:
             request.ran.append(ran)
         elif self.memory:  # what never ran binds nobody
-            self.memory.never(request.arrival.once, ran)
+            self.memory.discard(request.arrival.idempotency_key, ran)
         if request.out or request.held:
             return
         # what never ran put no load on anybody: the next attempt takes its place and costs no budget
         self._further(request, copy=False, price=0 if never else 1)
 
     # --- Health ------------------------------------------------------------------------------------
-    def _learn(self, attempt: Attempt, event: i.Ended) -> None:
+    def _learn(self, attempt: Attempt, event: AttemptEnded) -> None:
         upstream, outcome, klass = attempt.upstream, event.outcome, attempt.klass
-        upstream.view_until, aim = 0, self.s.classes[klass].aim
+        upstream.view_until, aim = 0, self.s.classes[klass].latency_objective
         if self.retired:
             return
-        if event.report:
-            self._report(upstream, event.report)
-        if outcome is i.Outcome.MOOT:
+        if event.load_report:
+            self._report(upstream, event.load_report)
+        if outcome is Outcome.NOT_SENT:
             return
         upstream.used = self.now
-        broken = outcome in (i.Outcome.CONNECT_FAILED, i.Outcome.RESET)
-        upstream.linked = 0 if broken else self.now + self.s.keep_alive
+        broken = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)
+        upstream.linked = 0 if broken else self.now + self.s.keep_alive_timeout
         if attempt.dials:
-            self.refused.add(self.now, float(event.outcome is i.Outcome.CONNECT_FAILED))
-        if outcome is i.Outcome.RESET and attempt.rest > 0 and 4 * event.latency < attempt.expected:
+            self.refused.add(self.now, float(event.outcome is Outcome.CONNECT_FAILED))
+        if outcome is Outcome.RESET and attempt.rest > 0 and 4 * event.latency < attempt.expected:
             self.rest, self.rest_at = REST_SHARE * attempt.rest, self.now
-            self.actions.append(i.CloseIdle(upstream.name))
+            self.actions.append(CloseIdleConnections(upstream.name))
             return
-        self.full[upstream.zone].add(self.now, float(outcome is i.Outcome.FULL))
-        good = outcome is i.Outcome.OK
+        self.full[upstream.zone].add(self.now, float(outcome is Outcome.OVERLOADED))
+        good = outcome is Outcome.SUCCESS
         upstream.answered = max(upstream.answered, good * attempt.sent)
         in_time = good and event.latency <= aim
-        silence = outcome in (i.Outcome.TIMEOUT, i.Outcome.CANCELLED) and event.latency > attempt.expected
+        silence = outcome in (Outcome.TIMEOUT, Outcome.CANCELLED) and event.latency > attempt.expected
         # a silence that later sends overtook is an answer lost, and tells nothing of the upstream's pace
         if good or (silence and attempt.sent >= upstream.answered):
             share, at = self.timely[klass]
@@ -741,20 +766,20 @@
                 self.timely[klass] = share + DRAG_STEP * (in_time - share), self.now
                 self.dragging = min(self.timely)[0] <= DRAGS
             self._timed(attempt, event.latency)
-        if outcome is i.Outcome.CANCELLED:
+        if outcome is Outcome.CANCELLED:
             return
         if self.guide:
-            self.guide.ended(self.now, in_time, good and 2 * event.latency <= aim)
-        if outcome is i.Outcome.TIMEOUT and upstream.heard_at > attempt.sent:
+            self.guide.record_response(self.now, in_time, good and 2 * event.latency <= aim)
+        if outcome is Outcome.TIMEOUT and upstream.heard_at > attempt.sent:
             return  # slow, not silent: the latency counts it; overload must not look like failure
-        if outcome is not i.Outcome.TIMEOUT:
+        if outcome is not Outcome.TIMEOUT:
             upstream.heard_at = self.heard_at = self.now
-        failed = not good and outcome is not i.Outcome.FULL
+        failed = not good and outcome is not Outcome.OVERLOADED
         own = upstream.own.get(klass, (upstream.errors, 0))[0]
         upstream.own[klass] = own + SMOOTH * (failed - own), self.now
         upstream.errors += SMOOTH * (failed - upstream.errors)
         # guards against half of the fleet out of reach or silent, taken for usual: only spoilt answers are
-        upstream.faults += SMOOTH / 8 * ((outcome in (i.Outcome.ERROR, i.Outcome.RESET)) - upstream.faults)
+        upstream.faults += SMOOTH / 8 * ((outcome in (Outcome.ERROR, Outcome.RESET)) - upstream.faults)
         if failed:
             shares = sorted([u.faults for u in self.fleet.values()])
             self.usual_errors = shares[(len(shares) - 1) // 2] if shares else 0.0
@@ -766,7 +791,7 @@
                 upstream.spells.pop(klass, None)
             return
         # a full or unreachable upstream says so at once, for all; other failures must repeat, or fail a trial
-        plain = outcome in (i.Outcome.FULL, i.Outcome.CONNECT_FAILED)
+        plain = outcome in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED)
         if plain or klass in upstream.spells or sick >= SICK:
             for each in range(len(self.s.classes)) if plain else (klass,):
                 length, until = upstream.spells.get(each, (0, 0))
@@ -809,12 +834,12 @@
         if self.now < upstream.part_until:
             return upstream.part
         upstream.part, upstream.part_until, share = math.inf, self.now + VIEW, self._warmth(upstream)
-        if share < 1 and self.s.overload_for and self.s.fall_multiple:
+        if share < 1 and self.s.overload_window and self.s.overload_multiple:
             slower = math.exp(max(0.0, self._pool(upstream)))
-            cost = 1.5 * (self.work.value * slower or max(c.aim for c in self.s.classes))
+            cost = 1.5 * (self.work.value * slower or max(c.latency_objective for c in self.s.classes))
             # what warm ones of its kind are reported to serve, or at least one request at a time
             bears = max(1 / cost, self.rates[upstream.kind].beside(self.now, 0.0))
-            whole = self.s.fall_multiple * share * COLD_SAFETY * self.s.overload_for * bears
+            whole = self.s.overload_multiple * share * COLD_SAFETY * self.s.overload_window * bears
             room = math.sqrt(COLD_SPREAD**2 + 4 * whole / COLD_SAFETY) - COLD_SPREAD
             own = self.traffic.estimate(self.now, self.fleet.values(), self.rates)
             upstream.part, upstream.lots = whole * own, (room / 2) ** 2 * own
@@ -825,7 +850,7 @@
         if (upstream.part if self.now < upstream.part_until else self._cold_part(upstream)) * COLD_TURNS >= 1:
             return False
         since, credit, lots = self.now - upstream.credit_at, upstream.credit, upstream.lots
-        credit += lots * since / self.s.overload_for if since > 0 else 0.0
+        credit += lots * since / self.s.overload_window if since > 0 else 0.0
         upstream.credit, upstream.credit_at = credit if credit < lots else lots, self.now
         return True
 
@@ -834,42 +859,42 @@
         part = self._cold_part(upstream)
         if part * COLD_TURNS < 1:
             return upstream in (request.first, request.second) or not request.sends
-        turn = max(0, self.now - upstream.listed_start) // self.s.overload_for
+        turn = max(0, self.now - upstream.listed_start) // self.s.overload_window
         if part < 1 and (turn + self.s.instance) % math.ceil(1 / part):
             return False
-        upstream.cold_sent = [t for t in upstream.cold_sent if t > self.now - self.s.overload_for]
+        upstream.cold_sent = [t for t in upstream.cold_sent if t > self.now - self.s.overload_window]
         return len(upstream.cold_sent) < max(1, int(part))
 
     # --- The guard: every send and every final answer passes here --------------------------------
     def _limits(self, request: Request) -> Limits | None:
         """Zone and cell that the request's next attempt must keep to; None where none may be sent."""
-        s, klass, most = self.s, request.klass, self.s.max_attempts if request.arrival.held else 1
+        s, klass, most = self.s, request.klass, self.s.max_attempts if request.arrival.is_replayable else 1
         if request.began or self.now >= request.until or request.sends >= most:
             return None
         if not request.sends and not self.memory:
             return None, None
         maybe = self._maybe(request)
-        barred = (request.out and not s.parallel) or (maybe and klass.effect is i.Effect.UNSAFE)
+        barred = (request.out and not s.may_run_parallel_attempts) or (maybe and klass.idempotency is Idempotency.NON_IDEMPOTENT)
         if barred or (request.sends and self.ledger.full(self.now)):
             return None
-        if maybe and klass.effect is i.Effect.KEYED:
+        if maybe and klass.idempotency is Idempotency.IDEMPOTENCY_KEY:
             if self.now >= self._by(request):
                 return None
-            if klass.group is not i.Group.ALL:
-                return maybe[0].zone, maybe[0].cell if klass.group is i.Group.CELL else None
+            if klass.deduplication_scope is not DeduplicationScope.ALL:
+                return maybe[0].zone, maybe[0].cell if klass.deduplication_scope is DeduplicationScope.CELL else None
         return None, None
 
-    def _maybe(self, request: Request) -> list[i.Ran]:
+    def _maybe(self, request: Request) -> list[PossibleExecution]:
         """All that may have run for it, or may yet; under its key, where that is remembered."""
-        if self.memory and request.arrival.once and request.klass.effect is i.Effect.KEYED:
-            return self.memory.recall(self.now, request.arrival.once)
-        out = [i.Ran(a.upstream.zone, a.upstream.cell, a.sent) for a in request.out.values()]
+        if self.memory and request.arrival.idempotency_key and request.klass.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            return self.memory.executions(self.now, request.arrival.idempotency_key)
+        out = [PossibleExecution(a.upstream.zone, a.upstream.cell, a.sent) for a in request.out.values()]
         return request.ran + out if out else request.ran
 
     def _by(self, request: Request) -> int:
         """When its group begins to forget its key; 0 where nothing may have run, or it has none."""
-        maybe = self._maybe(request) if request.klass.effect is i.Effect.KEYED else []
-        return min(ran.sent for ran in maybe) + request.klass.window if maybe else 0
+        maybe = self._maybe(request) if request.klass.idempotency is Idempotency.IDEMPOTENCY_KEY else []
+        return min(ran.sent_at for ran in maybe) + request.klass.deduplication_window if maybe else 0
 
     def _fits(self, request: Request, limits: Limits, upstream: Upstream) -> bool:
         zone, cell = limits
@@ -885,16 +910,16 @@
         attempt = Attempt(request, upstream, self.now)
         if attempt.rest * math.exp((self.rest_at - self.now) / FORGET_SPEED) > self.rest:
             # guards against connections dropped unseen: what is sent on one may have run, and is lost
-            self.actions.append(i.CloseIdle(upstream.name))
+            self.actions.append(CloseIdleConnections(upstream.name))
             attempt.rest = 0
         by = self._by(request) if request.sends or self.memory else 0
         attempt.expected = expected = self._scale(attempt.klass) * self._expected(upstream)
         attempt.backlog = self._backlog(upstream)
         request.out[attempt.number] = attempt
-        if request.arrival.held:
+        if request.arrival.is_replayable:
             upstream.out[(request.number, attempt.number)] = attempt
-        if self.memory and request.arrival.once and request.klass.effect is i.Effect.KEYED:
-            self.memory.ran(request.arrival.once, i.Ran(upstream.zone, upstream.cell, self.now))
+        if self.memory and request.arrival.idempotency_key and request.klass.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            self.memory.add(request.arrival.idempotency_key, PossibleExecution(upstream.zone, upstream.cell, self.now))
         if request.sends:
             self.ledger.add(self.ledger.further, self.now)
         self._moved(upstream, True)
@@ -904,42 +929,42 @@
             upstream.cold_sent.append(self.now)
         else:
             self.traffic.sent(self.now)
-        self.actions.append(i.Send(request.number, upstream.name, by=by))
-        if self.s.parallel and request.klass.effect is not i.Effect.UNSAFE and expected:
+        self.actions.append(StartAttempt(request.number, upstream.name, write_deadline=by))
+        if self.s.may_run_parallel_attempts and request.klass.idempotency is not Idempotency.NON_IDEMPOTENT and expected:
             # guards against copies, and their crossings, that buy nothing: early is while it can be in time
             copy = request.scale * self._expected(request.second) if request.second else expected
-            left = request.klass.aim - (self.now - request.at)
+            left = request.klass.latency_objective - (self.now - request.at)
             after = max(HEDGE_AFTER * expected, left - HEDGE_ROOM * copy)
-            self.actions.append(i.SetTimer(int(after) + 1, f"copy:{request.number}"))
+            self.actions.append(SetTimer(int(after) + 1, f"copy:{request.number}"))
         return True
 
     def _end(self, request: Request) -> None:
         """The final answer of a request given up on: a refusal where the rule allows one."""
         klass = request.klass
         maybe = bool(self._maybe(request))
-        keyed = klass.effect is i.Effect.KEYED
-        repeats = klass.effect is i.Effect.SAFE or (keyed and klass.group is i.Group.ALL)
-        advice = min(self.s.max_retry_after, klass.aim) if self.s.retry_advice else 0
+        keyed = klass.idempotency is Idempotency.IDEMPOTENCY_KEY
+        repeats = klass.idempotency is Idempotency.IDEMPOTENT or (keyed and klass.deduplication_scope is DeduplicationScope.ALL)
+        advice = min(self.s.max_retry_after, klass.latency_objective) if self.s.may_send_retry_after else 0
         latest = self.now + (self.s.max_retry_after if self.guide else advice)
         if self.memory and maybe and keyed and latest >= self._by(request):
             # guards against calling a repeat harmless that comes when its group has forgotten the key
             repeats = False
         if not maybe or repeats:
             if advice and self.guide:
-                advice = self.guide.returns(self.now, klass.aim, self.s.max_retry_after)
-            self.actions.append(i.Refuse(request.number, advice))
+                advice = self.guide.retry_after(self.now, klass.latency_objective, self.s.max_retry_after)
+            self.actions.append(RejectRequest(request.number, advice))
         else:
-            self.actions.append(i.Fail(request.number))
+            self.actions.append(FailRequest(request.number))
         self._close(request)
 
     def _close(self, request: Request, answered: bool = False) -> None:
         """The request is over: nothing more goes out for it, copies still out are called off."""
         del self.requests[request.number]
-        klass = request.arrival.klass
-        late = (request.began or self.now) - request.at > request.klass.aim
+        klass = request.arrival.class_index
+        late = (request.began or self.now) - request.at > request.klass.latency_objective
         if request.sends and self._alone(klass) >= DRAGS:
             self.late.add(self.now, float(late))
         self.served[klass] += SMOOTH / 8 * ((answered and not late) - self.served[klass])
         self.orphans |= {(request.number, number): attempt for number, attempt in request.out.items()}
         if self.s.may_cancel and not request.began:
-            self.actions += [i.Cancel(request.number, number) for number in request.out]
+            self.actions += [CancelAttempt(request.number, number) for number in request.out]
--- a/linetrack/policy/records.py
+++ b/linetrack/policy/records.py
@@ -4,7 +4,9 @@
 
 import zlib
 
-from linetrack.policy import interface as i
+from linetrack.policy.events import EndpointEntry, EndpointStatus, RequestReceived
+from linetrack.policy.protocols import PossibleExecution
+from linetrack.policy.settings import RequestClass
 from linetrack.policy.decaying_average import Evidence
 
 
@@ -18,17 +20,17 @@
         "warm_at", "warmth", "zone",
     )  # fmt: skip
 
-    def __init__(self, entry: i.Entry) -> None:
-        self.name = entry.upstream
-        self.tag = zlib.crc32(entry.upstream.encode())
+    def __init__(self, entry: EndpointEntry) -> None:
+        self.name = entry.endpoint
+        self.tag = zlib.crc32(entry.endpoint.encode())
         self.out: dict[tuple[int, int], Attempt] = {}
         self.fresh(entry)
 
-    def fresh(self, entry: i.Entry) -> None:
+    def fresh(self, entry: EndpointEntry) -> None:
         """A new process: nothing learnt before holds."""
-        self.zone, self.cell, self.listed_start = entry.zone, entry.cell, entry.started
-        self.gone, self.absent = entry.health is not i.Health.UP, False
-        self.kind, self.size = entry.kind, 1.0
+        self.zone, self.cell, self.listed_start = entry.zone, entry.cell, entry.started_at
+        self.gone, self.absent = entry.status is not EndpointStatus.UP, False
+        self.kind, self.size = entry.host_class, 1.0
         self.others = self.errors = 0.0
         self.faults = 0.0  # the share of errors again, over some forty answers
         # its time for a request over the calm pace: uncrowded, with what it holds, as of a VIEW
@@ -44,7 +46,7 @@
         self.answered = 0  # when the latest of those sends was made that have an answer
         self.cold_sent: list[int] = []
         # in sends: what it may have by lot now and in a span, and its part of the budget, as of a view
-        self.credit, self.credit_at, self.lots = 0.0, entry.started, 0.0
+        self.credit, self.credit_at, self.lots = 0.0, entry.started_at, 0.0
         self.part, self.part_until = 0.0, 0
 
     def place(self, mark: int) -> float:
@@ -56,7 +58,7 @@
     __slots__ = ("backlog", "copy", "dials", "expected", "klass", "number", "rest", "sent", "upstream")
 
     def __init__(self, request: Request, upstream: Upstream, now: int) -> None:
-        self.number, self.klass = request.sends, request.arrival.klass
+        self.number, self.klass = request.sends, request.arrival.class_index
         self.upstream, self.sent = upstream, now
         self.backlog = self.expected = 0.0
         self.copy = bool(request.out)
@@ -70,13 +72,13 @@
         "room", "scale", "second", "sends", "strain", "stretch", "tried", "until", "value", "within",
     )  # fmt: skip
 
-    def __init__(self, arrival: i.Arrival, klass: i.RequestClass, now: int) -> None:
-        self.arrival, self.klass, self.number = arrival, klass, arrival.request
-        self.at, self.until = now, now + arrival.patience
+    def __init__(self, arrival: RequestReceived, klass: RequestClass, now: int) -> None:
+        self.arrival, self.klass, self.number = arrival, klass, arrival.request_id
+        self.at, self.until = now, now + arrival.timeout
         self.first: Upstream | None = None
         self.second: Upstream | None = None
         self.out: dict[int, Attempt] = {}
-        self.ran: list[i.Ran] = []  # all that may have run
+        self.ran: list[PossibleExecution] = []  # all that may have run
         self.tried: list[Upstream] = []
         self.sends, self.net = 0, 0.0
         self.scale = self.value = self.strain = self.room = self.stretch = 1.0
--- a/linetrack/server/admin.py
+++ b/linetrack/server/admin.py
@@ -14,8 +14,8 @@
 from gevent import socket
 
 from linetrack.server.clock import clock
-from linetrack.server.connection import READ_SIZE, passing
-from linetrack.server.messages import ClientRequest, MalformedError, RequestReader, encode_answer
+from linetrack.server.connection import READ_SIZE, is_transient_accept_error
+from linetrack.server.messages import ClientRequest, MalformedError, RequestReader, encode_response
 
 log = structlog.get_logger()
 
@@ -29,7 +29,7 @@
 PAUSE = 0.05  # seconds after a descriptor could not be had
 
 
-class Admin:
+class AdminServer:
     def __init__(
         self, address: tuple[str, int], serving: Callable[[], bool], figures: Callable[[], str]
     ) -> None:
@@ -47,7 +47,7 @@
             try:
                 caller, _ = self.listener.accept()
             except OSError as fault:
-                if not passing(fault):
+                if not is_transient_accept_error(fault):
                     raise
                 gevent.sleep(PAUSE)
                 continue
@@ -65,7 +65,7 @@
                 try:
                     answer = self._answer(_call(caller))
                 except MalformedError as fault:
-                    answer = encode_answer(fault.status, keep=False)
+                    answer = encode_response(fault.status, keep=False)
             with gevent.Timeout(WITHIN, TimeoutError("the answer was not taken")):
                 caller.sendall(answer)
                 caller.shutdown(socket.SHUT_WR)
@@ -83,15 +83,15 @@
 
     def _answer(self, call: ClientRequest) -> bytes:
         if call.path not in (HEALTH, STATS):
-            return encode_answer(404, keep=False)
+            return encode_response(404, keep=False)
         if call.method != "GET":
-            return encode_answer(405, keep=False)
+            return encode_response(405, keep=False)
         if call.path == HEALTH:
-            return encode_answer(200 if self.serving() else 503, keep=False)
+            return encode_response(200 if self.serving() else 503, keep=False)
         now = clock()
         if now - self.made >= FRESH:
             self.text, self.made = self.figures().encode(), now
-        return encode_answer(200, self.text, keep=False, content_type=TEXT)
+        return encode_response(200, self.text, keep=False, content_type=TEXT)
 
 
 def _call(caller: socket.socket) -> ClientRequest:
--- a/linetrack/server/budget.py
+++ b/linetrack/server/budget.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from linetrack.control.connection_slots import FREE, Need
+from linetrack.control.connection_slots import FREE, UpstreamReserve
 from linetrack.server.clock import clock
 
 RESERVE = 40  # standard streams, the event loop's own, the listener, discovery, files read at start
@@ -35,7 +35,7 @@
         # what memory allows of clients; of descriptors they may have what upstreams do not need
         self.most_clients = max(FEWEST, half // (CLIENT_KB * 1024))
         self.callers = min(sockets // CALLERS_PART, self.most_clients)
-        self.need = Need()
+        self.need = UpstreamReserve()
         self.most_held, self.held = half, 0
         self.streams = 0  # messages that go on as they come
         self.used = self.clients = 0
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -18,16 +18,16 @@
 from gevent.event import AsyncResult
 
 from linetrack.control.connection_slots import State
-from linetrack.policy.interface import Outcome
+from linetrack.policy.events import Outcome
 from linetrack.server import messages
 from linetrack.server.budget import SMALL
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import READ_SIZE, Side, Stream, other_side, readable, write
+from linetrack.server.connection import READ_SIZE, PeerState, ResponseStream, peer_state, readable, write
 from linetrack.server.messages import ClientRequest, Framing, MalformedError, RequestReader
-from linetrack.server.dispatcher import Final, Left, Taken
+from linetrack.server.dispatcher import FinalResponse, DisconnectedClient, IncomingRequest
 
 if TYPE_CHECKING:
-    from linetrack.server.listener import Clients
+    from linetrack.server.listener import Listener
 
 log = structlog.get_logger()
 
@@ -69,7 +69,7 @@
         "whole",
     )
 
-    def __init__(self, sock: socket.socket, clients: Clients) -> None:
+    def __init__(self, sock: socket.socket, clients: Listener) -> None:
         self.sock, self.clients = sock, clients
         self.reader = RequestReader()
         self.whole: deque[ClientRequest] = deque()
@@ -228,14 +228,14 @@
         self.busy, self.due = True, NEVER
         if request.path == messages.READY_PATH:
             self.clients.places.looked(self.seat, clock())
-            return self._answer(request, Final(200 if self.clients.serving() else 503))
+            return self._answer(request, FinalResponse(200 if self.clients.serving() else 503))
         arrival = self.clients.intake.arrival(request)
         self.clients.places.asked(self.seat, self.seen)
-        result: AsyncResult[Final | None] = AsyncResult()
-        gone = partial(self._gone, arrival.request, result, request.keep, self.seen)
-        self.clients.owner.put(Taken(request, arrival, result.set, gone), self.seen)
+        result: AsyncResult[FinalResponse | None] = AsyncResult()
+        gone = partial(self._gone, arrival.request_id, result, request.keep, self.seen)
+        self.clients.owner.put(IncomingRequest(request, arrival, result.set, gone), self.seen)
         if isinstance(upload := request.rest, Upload):
-            upload.left = partial(self._left, arrival.request, result)
+            upload.left = partial(self._left, arrival.request_id, result)
             upload.came = partial(self.watch.start, self._look_whether_gone, gone)
         else:
             self.watch.start(self._look_whether_gone, gone)
@@ -256,23 +256,23 @@
         if not gone():
             self.clients.unread[self] = gone
 
-    def _gone(self, number: int, result: AsyncResult[Final | None], keep: bool, seen: int) -> bool:
+    def _gone(self, number: int, result: AsyncResult[FinalResponse | None], keep: bool, seen: int) -> bool:
         """Whether the client has left, as far as its socket shows; then the owner hears so ahead of whatever
         is told later.  One that said that nothing more would come (`keep` is False) may have closed its own
         side only, and is owed an answer; but nothing more is begun for it once it may as well have gone."""
         if result.ready():
             return True
-        side = other_side(self.sock)
-        if side is Side.BROKEN or (keep and side is Side.SHUT):
+        side = peer_state(self.sock)
+        if side is PeerState.BROKEN or (keep and side is PeerState.HALF_CLOSED):
             self._left(number, result)
             return True
-        return side is Side.SHUT and clock() - seen > SHUT_FOR
+        return side is PeerState.HALF_CLOSED and clock() - seen > SHUT_FOR
 
-    def _left(self, number: int, result: AsyncResult[Final | None]) -> None:
-        self.clients.owner.put(Left(number), clock())
+    def _left(self, number: int, result: AsyncResult[FinalResponse | None]) -> None:
+        self.clients.owner.put(DisconnectedClient(number), clock())
         result.set(None)
 
-    def _answer(self, request: ClientRequest, final: Final) -> bool:
+    def _answer(self, request: ClientRequest, final: FinalResponse) -> bool:
         keep = self._keeps_connection(request)
         if final.stream is not None:
             return self._stream_answer(request, final.stream, keep) and self._finish_answer(keep)
@@ -280,14 +280,14 @@
         if self.clients.whole_seconds:
             after = -(-after // 1_000_000) * 1_000_000
         length = final.length if request.method == "HEAD" else None
-        data = messages.encode_answer(
+        data = messages.encode_response(
             final.status, final.body, after, keep, final.content_type, request.old, length
         )
         self.due = clock() + WITHIN
         write(self.sock, data)
         return self._finish_answer(keep)
 
-    def _stream_answer(self, request: ClientRequest, stream: Stream, keep: bool) -> bool:
+    def _stream_answer(self, request: ClientRequest, stream: ResponseStream, keep: bool) -> bool:
         """Write a long answer as it comes; whether it went out whole."""
         how, outcome = messages.framing(stream.length, request.old), Outcome.CANCELLED
         keep = keep and how is not Framing.CLOSE
@@ -295,7 +295,7 @@
             self.due = clock() + TAKES
             write(
                 self.sock,
-                messages.encode_answer_head(how, stream.length, keep, stream.content_type, request.old),
+                messages.encode_response_head(how, stream.length, keep, stream.content_type, request.old),
             )
             while True:
                 self.due = NEVER  # the upstream has a limit of its own
@@ -315,7 +315,7 @@
                     write(self.sock, messages.chunk(part) if how is Framing.CHUNKS else part)
             if how is Framing.CHUNKS:
                 write(self.sock, messages.LAST_CHUNK)
-            outcome = Outcome.OK
+            outcome = Outcome.SUCCESS
             return how is not Framing.CLOSE
         finally:
             stream.end(outcome)
@@ -349,7 +349,7 @@
         """An answer to what is no request."""
         self.busy = True
         try:
-            self.sock.sendall(messages.encode_answer(status, keep=False))
+            self.sock.sendall(messages.encode_response(status, keep=False))
             self._linger()
         except OSError:
             pass
--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -10,15 +10,15 @@
 import resource
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
-from hashlib import blake2b
 from typing import Any
 
-from linetrack.policy.interface import Settings
+from linetrack.control.settings_digest import settings_digest
+from linetrack.policy.settings import Settings
 from linetrack.server import messages
-from linetrack.server.messages import MemberList
+from linetrack.server.messages import EndpointRecords
 from linetrack.settings import Node, SettingsError, read_settings
 
-EMPTY_LIST = MemberList(0, True, ())
+EMPTY_LIST = EndpointRecords(0, True, ())
 STREAMS = 1  # requests that a connection of HTTP/1.1 carries at once, whatever is told
 SOCKETS, MEMORY_MB = 1024, 192  # where no limit is told: what binds on the days that count
 
@@ -36,7 +36,7 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: MemberList
+    known: EndpointRecords
     settings: Settings
     told_streams: int  # requests a connection carries at once, as told; HTTP/1.1 carries STREAMS
     class_names: tuple[str, ...]
@@ -78,12 +78,13 @@
     def digest(self) -> str:
         """Stands for all that decisions go by, names with their numbers: the same in two processes of one
         sidecar under the same settings, whatever else their files say."""
-        told = (self.settings, self.class_names, self.zone_names, self.kind_names, self.report_fields)
-        return blake2b(repr(told).encode(), digest_size=16).hexdigest()
+        return settings_digest(
+            self.settings, self.class_names, self.zone_names, self.kind_names, self.report_fields
+        )
 
     @property
     def deadlines(self) -> tuple[int, ...]:
-        return tuple(klass.deadline for klass in self.settings.classes)
+        return tuple(klass.timeout for klass in self.settings.classes)
 
     @property
     def longest(self) -> int:
@@ -162,11 +163,11 @@
         raise ConfigError(f"seed: {value!r} is no hexadecimal number") from None
 
 
-def _known(value: Any) -> MemberList:
+def _known(value: Any) -> EndpointRecords:
     if value is None:
         return EMPTY_LIST
     try:
-        return messages.member_list(value)
+        return messages.parse_endpoint_list(value)
     except messages.MalformedError as fault:
         raise ConfigError(f"known: {fault}") from None
 
@@ -195,8 +196,8 @@
         raise ConfigError("settings is missing")
     node = root.part("settings")
     settings = read_settings(node.values, "settings")
-    told_streams = settings.streams
-    settings = replace(settings, streams=STREAMS)
+    told_streams = settings.max_streams_per_connection
+    settings = replace(settings, max_streams_per_connection=STREAMS)
     allowed, classes = node.part("allowed"), node.parts("classes")
     names = tuple(item.text("name", str(n)) for n, item in enumerate(classes))
     for n, name in enumerate(names):
@@ -222,7 +223,7 @@
         class_names=names,
         zone_names=tuple(node.names("azs")),
         kind_names=tuple(node.names("skus")),
-        report_fields=tuple(stats.names("fields")) if settings.report_fields else (),
+        report_fields=tuple(stats.names("fields")) if settings.load_report_fields else (),
         dial_timeout=allowed.above("dialTimeoutUs", 1, 250_000),
         keep_alive=allowed.above("keepaliveUs", 0, 30_000_000),
         storms=root.part("storms").flag("damp"),
--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -13,8 +13,8 @@
 from gevent import socket
 from gevent.event import AsyncResult
 
-from linetrack.policy.interface import Outcome
-from linetrack.server.messages import Answer, AnswerReader, MalformedError
+from linetrack.policy.events import Outcome
+from linetrack.server.messages import Response, ResponseReader, MalformedError
 
 READ_SIZE = 64 * 1024
 
@@ -28,7 +28,7 @@
 
     def __init__(self, address: tuple[str, int], most_body: int, held: int) -> None:
         self.address = address
-        self.reader = AnswerReader(most_body, held)
+        self.reader = ResponseReader(most_body, held)
         # while it rests: since when, until when, and how many rested beside it
         self.idle_since = self.until = self.depth = 0
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -52,7 +52,7 @@
     def write(self, data: bytes | bytearray) -> None:
         write(self.sock, data)
 
-    def read(self, within: float, room: Callable[[int], None]) -> Answer | None:
+    def read(self, within: float, room: Callable[[int], None]) -> Response | None:
         """The answer, whole, or a long one that has begun; None where the connection ended first.  `room` is
         told once of one that is large.
 
@@ -78,11 +78,11 @@
         return answer or (reader.answer if reader.long else None)
 
 
-class Stream:
+class ResponseStream:
     """A long answer on its way: whoever writes it to the client reads it here, and says how it ended."""
 
     def __init__(
-        self, connection: Connection, answer: Answer, within: float, piece: Callable[[], int]
+        self, connection: Connection, answer: Response, within: float, piece: Callable[[], int]
     ) -> None:
         """`within` is how many seconds the upstream may give nothing; `piece` tells how many bytes to read at
         once."""
@@ -117,7 +117,7 @@
         sock.sendall(memoryview(data)[sent:])
 
 
-def passing(fault: OSError) -> bool:
+def is_transient_accept_error(fault: OSError) -> bool:
     """Whether what kept a connection from being accepted passes: no descriptor or memory left, or one
     that left the backlog.  Guards against a process that ends, or a listener that dies, of it."""
     return fault.errno in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ECONNABORTED)
@@ -138,17 +138,17 @@
     return bool(_shows(sock, select.POLLIN))
 
 
-class Side(Enum):
+class PeerState(Enum):
     """What the other side of a connection has done with it, whatever it sent before."""
 
     OPEN = "open"
-    SHUT = "sends no more: it may have closed, or may still read"
+    HALF_CLOSED = "sends no more: it may have closed, or may still read"
     BROKEN = "nothing can be sent to it any more"
 
 
-def other_side(sock: socket.socket) -> Side:
+def peer_state(sock: socket.socket) -> PeerState:
     """As far as can be seen without waiting."""
     shown = _shows(sock, select.POLLRDHUP)
     if shown & ~select.POLLRDHUP:
-        return Side.BROKEN
-    return Side.SHUT if shown else Side.OPEN
+        return PeerState.BROKEN
+    return PeerState.HALF_CLOSED if shown else PeerState.OPEN
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -14,40 +14,41 @@
 from gevent import socket
 from gevent.event import Event
 
-from linetrack.control.discovery_schedule import Call, Calls, Fault
-from linetrack.policy.interface import Entry, FleetNews, ListForm, Settings
+from linetrack.control.discovery_schedule import Poll, DiscoverySchedule, PollFailure
+from linetrack.policy.events import EndpointEntry, EndpointListUpdate, ListForm
+from linetrack.policy.settings import Settings
 from linetrack.server import messages
 from linetrack.server.clock import clock
 from linetrack.server.connection import Connection, StalledError
-from linetrack.server.messages import Answer, MalformedError, Member, MemberList
-from linetrack.server.upstream_pool import Upstreams
+from linetrack.server.messages import Response, MalformedError, EndpointRecord, EndpointRecords
+from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
 
 SECOND = 1_000_000
 
 
-class CallError(Exception):
+class PollError(Exception):
     """A call to discovery failed."""
 
-    def __init__(self, fault: Fault, cause: object) -> None:
+    def __init__(self, fault: PollFailure, cause: object) -> None:
         super().__init__(str(cause) or type(cause).__name__)
         self.fault = fault
 
 
-class Discovery:
+class DiscoveryClient:
     def __init__(
         self,
         address: tuple[str, int],
-        upstreams: Upstreams,
-        tell: Callable[[FleetNews, int], None],
+        upstreams: UpstreamPool,
+        tell: Callable[[EndpointListUpdate, int], None],
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
         settings: Settings,
         seed: int,
     ) -> None:
         self.address, self.upstreams, self.tell = address, upstreams, tell
-        self.calls = Calls(settings, seed)
+        self.calls = DiscoverySchedule(settings, seed)
         self.set(zones, kinds, settings)
         self.version: int | None = None
         self.asked, self.moved = Event(), Event()
@@ -62,10 +63,10 @@
         self.kinds = {name: n for n, name in enumerate(kinds)}
         self.calls.set(settings)
 
-    def remember(self, known: MemberList) -> None:
+    def remember(self, known: EndpointRecords) -> None:
         """The list as this sidecar last had it, before anything else is told."""
         self.version = known.version if known.members else None
-        self._tell(known, ListForm.REMEMBERED)
+        self._tell(known, ListForm.CACHED)
 
     def watch(self) -> None:
         """The module asks for the list; from then on it is kept."""
@@ -98,9 +99,9 @@
             if self.moved.is_set():
                 # guards against the old discovery's failure holding back the first call to another
                 self._hear_out(following)
-            elif isinstance(failed := following.get(), CallError):
+            elif isinstance(failed := following.get(), PollError):
                 self.calls.failed(clock(), failed.fault)
-                if failed.fault is Fault.DOWN or not self.calls.pushed:
+                if failed.fault is PollFailure.UNREACHABLE or not self.calls.pushed:
                     self.heard.set()
                 log.warning("discovery_failed", how=failed.fault.value, fault=str(failed))
 
@@ -113,14 +114,14 @@
             self.former.kill(block=False)
         self.former = following
 
-    def _until_it_fails(self, call: Call, turn: int) -> CallError | None:
+    def _until_it_fails(self, call: Poll, turn: int) -> PollError | None:
         try:
             self._follow(call, turn)
-        except CallError as failed:
+        except PollError as failed:
             return failed
         return None
 
-    def _follow(self, call: Call, turn: int) -> None:
+    def _follow(self, call: Poll, turn: int) -> None:
         """This call and all that follow it, on one connection while it is kept; ends by raising, or once
         another discovery is asked."""
         line: Connection | None = None
@@ -131,16 +132,16 @@
                     line = self._dial(call)
                 answer = self._call(line, call)
                 if answer.status != 200:
-                    raise CallError(Fault.TURNED_AWAY, f"discovery answered {answer.status}")
+                    raise PollError(PollFailure.REJECTED, f"discovery answered {answer.status}")
                 before = self.version
                 try:
-                    told = messages.decode_list(answer.body)
+                    told = messages.decode_endpoint_list(answer.body)
                     if turn != self.turn:
                         self._take_last(told)
                         return
                     self._take(told)
                 except MalformedError as fault:
-                    raise CallError(Fault.FAULTY, fault) from None
+                    raise PollError(PollFailure.INVALID, fault) from None
                 self._hear_out(None)
                 self.calls.answered(clock(), call, self.version != before)
                 self.heard.set()
@@ -152,49 +153,49 @@
             if line is not None:
                 line.close()
 
-    def _dial(self, call: Call) -> Connection:
+    def _dial(self, call: Poll) -> Connection:
         try:
             # guards against ending with the process where no descriptor is left
             line = Connection(self.address, messages.MOST_LIST, messages.MOST_LIST)
             line.dial(call.dial / SECOND)
         except OSError as fault:
-            raise CallError(Fault.DOWN, fault) from None
+            raise PollError(PollFailure.UNREACHABLE, fault) from None
         return line
 
-    def _call(self, line: Connection, call: Call) -> Answer:
+    def _call(self, line: Connection, call: Poll) -> Response:
         """One call's answer, whole; a CallError where none comes in time."""
-        fault = Fault.SILENT
+        fault = PollFailure.TIMEOUT
         # a wait begins when discovery has been told of it, however long the dial took
         since = clock() if call.long_poll else call.at
         try:
             with gevent.Timeout(max(0, since + call.limit - clock()) / SECOND, TimeoutError("no answer")):
                 line.sock.sendall(
-                    messages.encode_list_call(self.address, self.version, call.long_poll // 1000)
+                    messages.encode_poll(self.address, self.version, call.long_poll // 1000)
                 )
                 socket.wait_read(line.sock.fileno())
-            fault = Fault.CUT
+            fault = PollFailure.TRUNCATED
             with gevent.Timeout(call.whole / SECOND, TimeoutError("the answer takes too long")):
                 answer = line.read(call.still / SECOND, lambda size: None)
         except TimeoutError as late:
-            raise CallError(fault, late) from None
+            raise PollError(fault, late) from None
         except OSError as broken:
-            raise CallError(Fault.DOWN, broken) from None
+            raise PollError(PollFailure.UNREACHABLE, broken) from None
         except StalledError as late:
-            raise CallError(Fault.CUT, late) from None
+            raise PollError(PollFailure.TRUNCATED, late) from None
         except MalformedError as malformed:
-            raise CallError(Fault.FAULTY, malformed) from None
+            raise PollError(PollFailure.INVALID, malformed) from None
         if answer is None:
-            fault = Fault.DOWN if line.reader.answer is None else Fault.CUT
-            raise CallError(fault, "discovery closed the connection")
+            fault = PollFailure.UNREACHABLE if line.reader.answer is None else PollFailure.TRUNCATED
+            raise PollError(fault, "discovery closed the connection")
         line.reader.next()
         return answer
 
-    def _take_last(self, told: MemberList) -> None:
+    def _take_last(self, told: EndpointRecords) -> None:
         """The last news of a discovery that was left, while the new one has told nothing."""
         if self.version is None:
             self._pass_on(told)
 
-    def _take(self, told: MemberList) -> None:
+    def _take(self, told: EndpointRecords) -> None:
         if told.passed_over:
             log.warning("members_passed_over", entries=told.passed_over)
         if self.version is not None and told.version < self.version:
@@ -205,18 +206,18 @@
         self.version = told.version
         self._pass_on(told)
 
-    def _pass_on(self, told: MemberList) -> None:
+    def _pass_on(self, told: EndpointRecords) -> None:
         if told.members or told.full:
-            self._tell(told, ListForm.WHOLE if told.full else ListForm.CHANGES)
+            self._tell(told, ListForm.SNAPSHOT if told.full else ListForm.DELTA)
 
-    def _tell(self, told: MemberList, form: ListForm) -> None:
+    def _tell(self, told: EndpointRecords, form: ListForm) -> None:
         seen = clock()
-        self.upstreams.learn(told.members, form is not ListForm.CHANGES)
-        self.tell(FleetNews(form, tuple(self._entry(member) for member in told.members)), seen)
+        self.upstreams.learn(told.members, form is not ListForm.DELTA)
+        self.tell(EndpointListUpdate(form, tuple(self._entry(member) for member in told.members)), seen)
 
-    def _entry(self, member: Member) -> Entry:
+    def _entry(self, member: EndpointRecord) -> EndpointEntry:
         zone, kind, health = _place(self.zones, member.zone), _place(self.kinds, member.kind), member.health
-        return Entry(member.name, zone, kind, member.cell, health, member.weight, member.started_ms * 1000)
+        return EndpointEntry(member.name, zone, kind, member.cell, health, member.weight, member.started_ms * 1000)
 
 
 def _place(named: dict[str, int], name: str) -> int:
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -16,22 +16,44 @@
 
 import gevent
 import structlog
-from gevent.event import Event
-
-from linetrack.policy import interface as i
-from linetrack.control.metrics import Fate, Figures
+from gevent.event import Event as WakeUp
+
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    Outcome,
+    RequestBodySent,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from linetrack.policy.protocols import Policy
+from linetrack.policy.settings import Settings
+from linetrack.control.metrics import RequestOutcome, Metrics
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import Stream
-from linetrack.server.messages import Answer, ClientRequest
+from linetrack.server.connection import ResponseStream
+from linetrack.server.messages import Response, ClientRequest
 
 log = structlog.get_logger()
 
 
-MakePolicy = Callable[[i.Settings, int], i.Policy]
+MakePolicy = Callable[[Settings, int], Policy]
 
 
 @dataclass(slots=True)
-class Final:
+class FinalResponse:
     """A request's one final answer: an upstream's, a refusal (503, with advice) or a failure (502)."""
 
     status: int
@@ -39,14 +61,14 @@
     content_type: str = ""
     retry_after: int = 0
     length: int | None = None  # of a body that there is, and that does not go on (HEAD)
-    stream: Stream | None = None  # a long answer, from its first bytes on
+    stream: ResponseStream | None = None  # a long answer, from its first bytes on
 
 
 #: In place of a request that is over, and of who waited for its answer.
 NOTHING = ClientRequest("", "")
 
 
-def _to_nobody(final: Final) -> None:
+def _to_nobody(final: FinalResponse) -> None:
     """Nobody waits any more."""
 
 
@@ -55,7 +77,7 @@
     return False
 
 
-class Open:
+class ActiveRequest:
     """A request from the moment it is taken until it is over and its last attempt has ended."""
 
     __slots__ = (
@@ -74,20 +96,20 @@
 
     def __init__(
         self,
-        arrival: i.Arrival,
+        arrival: RequestReceived,
         request: ClientRequest,
         seen: int,
-        reply: Callable[[Final], None],
+        reply: Callable[[FinalResponse], None],
         gone: Callable[[], bool] = _stays,
     ) -> None:
         self.gone = gone  # whether its client is seen to have left: asked before the first byte of an attempt
-        self.number, self.patience, self.held = arrival.request, arrival.patience, arrival.held
+        self.number, self.patience, self.held = arrival.request_id, arrival.timeout, arrival.is_replayable
         self.request, self.reply, self.klass = request, reply, request.klass
         # a body that goes on as it comes has limits of its own; the request's time begins with its last byte
-        self.until = seen + arrival.patience if arrival.held else NEVER
+        self.until = seen + arrival.timeout if arrival.is_replayable else NEVER
         self.attempts: list[Attempt] = []
         self.over = False
-        self.stream: Stream | None = None  # the answer on its way, from one of its attempts
+        self.stream: ResponseStream | None = None  # the answer on its way, from one of its attempts
 
 
 class Socket(Protocol):
@@ -102,7 +124,7 @@
 
     __slots__ = ("begun", "by", "ended", "number", "open", "sent", "sock", "until", "upstream")
 
-    def __init__(self, open_: Open, upstream: str, sent: int, until: int, by: int = 0) -> None:
+    def __init__(self, open_: ActiveRequest, upstream: str, sent: int, until: int, by: int = 0) -> None:
         self.open, self.upstream, self.sent, self.until = open_, upstream, sent, until
         self.by = by or until  # after which nothing of it may be written
         self.number = len(open_.attempts)
@@ -112,81 +134,81 @@
 
 
 @dataclass(slots=True)
-class Taken:
+class IncomingRequest:
     """A client's request has been read whole."""
 
     request: ClientRequest
-    arrival: i.Arrival
-    reply: Callable[[Final], None]
+    arrival: RequestReceived
+    reply: Callable[[FinalResponse], None]
     gone: Callable[[], bool] = _stays
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class DisconnectedClient:
     number: int
 
 
 @dataclass(slots=True, frozen=True)
-class Sent:
+class SentBody:
     """An attempt's long body is written whole."""
 
     attempt: Attempt
 
 
 @dataclass(slots=True)
-class Started:
+class StartedResponse:
     """An attempt's long answer has begun."""
 
     attempt: Attempt
     latency: int
-    stream: Stream
+    stream: ResponseStream
 
 
 @dataclass(slots=True)
-class Done:
+class FinishedAttempt:
     """An attempt has ended."""
 
     attempt: Attempt
-    outcome: i.Outcome
+    outcome: Outcome
     latency: int
-    answer: Answer | None = None
+    answer: Response | None = None
     report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Turn:
+class SerializedCallback:
     """Something to be done between two events: what was put before is told first, what is put later after."""
 
     work: Callable[[], None]
 
 
-Item = Taken | Left | Sent | Started | Done | Turn | i.FleetNews
+Notification = IncomingRequest | DisconnectedClient | SentBody | StartedResponse | FinishedAttempt | SerializedCallback | EndpointListUpdate
 
 
-class Owner:
+class Dispatcher:
     def __init__(
         self,
-        policy: i.Policy,
+        policy: Policy,
         start: Callable[[Attempt], None],
         give_up: Callable[[Attempt], None],
         watch: Callable[[], None],
         close_idle: Callable[[str], None] = lambda upstream: None,
-        figures: Figures | None = None,
+        figures: Metrics | None = None,
     ) -> None:
         self.policy = policy
         self.start, self.give_up, self.watch, self.close_idle = start, give_up, watch, close_idle
-        self.queue: deque[tuple[int, Item]] = deque()
-        self.rung = Event()
+        self.queue: deque[tuple[int, Notification]] = deque()
+        self.rung = WakeUp()
         self.alarm, self.alarm_due = gevent.get_hub().loop.timer(0), NEVER
         self.now = clock()
-        self.open: dict[int, Open] = {}
-        self.timers: list[tuple[int, int, i.TimerDue | Attempt]] = []
+        self.open: dict[int, ActiveRequest] = {}
+        self.timers: list[tuple[int, int, TimerFired | Attempt]] = []
         self.order = count()
         self.numbers = count(1)
-        self.figures = figures or Figures()
+        self.figures = figures or Metrics()
         self.ends = NEVER  # once the process is to end: when all that it has taken is to be answered
 
-    def put(self, item: Item, seen: int) -> None:
+    def put(self, item: Notification, seen: int) -> None:
         """Called from any greenlet: `seen` is when the socket showed it."""
         self.queue.append((seen, item))
         self.rung.set()
@@ -205,7 +227,7 @@
             else:
                 self._due(clock())
 
-    def _next(self) -> tuple[int, Item] | None:
+    def _next(self) -> tuple[int, Notification] | None:
         """The next thing told, or None once the next timer is due."""
         while not self.queue:
             if self.timers and self.timers[0][0] <= clock():
@@ -237,29 +259,29 @@
             else:
                 self._handle(due, what)
 
-    def _step(self, seen: int, what: Item) -> None:
+    def _step(self, seen: int, what: Notification) -> None:
         match what:
-            case Taken(request, arrival, reply, gone):
+            case IncomingRequest(request, arrival, reply, gone):
                 self.figures.taken += 1
-                self.open[arrival.request] = Open(arrival, request, seen, reply, gone)
+                self.open[arrival.request_id] = ActiveRequest(arrival, request, seen, reply, gone)
                 self._handle(seen, arrival)
-            case Done():
+            case FinishedAttempt():
                 self._done(seen, what)
-            case Left(number):
+            case DisconnectedClient(number):
                 if (open_ := self.open.get(number)) and not open_.over:
                     open_.over = True
                     self.figures.left += 1
-                    self._handle(seen, i.ClientLeft(number))
+                    self._handle(seen, ClientDisconnected(number))
                     if open_.stream is not None:
-                        open_.stream.end(i.Outcome.CANCELLED)
+                        open_.stream.end(Outcome.CANCELLED)
                     self._forget(open_)
-            case Sent(attempt):
+            case SentBody(attempt):
                 self._sent(seen, attempt)
-            case Started(attempt, latency, stream):
+            case StartedResponse(attempt, latency, stream):
                 self._started(seen, attempt, latency, stream)
-            case i.FleetNews():
+            case EndpointListUpdate():
                 self._handle(seen, what)
-            case Turn(work):
+            case SerializedCallback(work):
                 work()
 
     def _sent(self, seen: int, attempt: Attempt) -> None:
@@ -272,17 +294,17 @@
         if not open_.held:
             open_.until = attempt.until = min(seen + open_.patience, self.ends)
             self._set(attempt.until, attempt)
-        self._handle(seen, i.Written(open_.number, attempt.number))
+        self._handle(seen, RequestBodySent(open_.number, attempt.number))
 
-    def _started(self, seen: int, attempt: Attempt, latency: int, stream: Stream) -> None:
+    def _started(self, seen: int, attempt: Attempt, latency: int, stream: ResponseStream) -> None:
         """An attempt's answer has begun: it is the answer, unless the request has one."""
         open_ = attempt.open
         if open_.over or attempt.ended or open_.stream is not None:
-            stream.end(i.Outcome.CANCELLED)
+            stream.end(Outcome.CANCELLED)
             return
         attempt.begun, open_.stream = True, stream
-        open_.reply(Final(200, content_type=stream.content_type, stream=stream))
-        self._handle(seen, i.Begun(open_.number, attempt.number, attempt.upstream, latency))
+        open_.reply(FinalResponse(200, content_type=stream.content_type, stream=stream))
+        self._handle(seen, ResponseStarted(open_.number, attempt.number, attempt.upstream, latency))
         gevent.sleep(0)
 
     def _expire(self, attempt: Attempt, due: int) -> None:
@@ -291,7 +313,7 @@
         if not attempt.ended and not attempt.begun and attempt.until <= due:
             attempt.ended = True
             self.give_up(attempt)
-            self._done(due, Done(attempt, i.Outcome.TIMEOUT, max(0, due - attempt.sent)))
+            self._done(due, FinishedAttempt(attempt, Outcome.TIMEOUT, max(0, due - attempt.sent)))
 
     def _cancel(self, number: int, nth: int) -> None:
         """Call an attempt off; its end is told in its turn, not from within the module's own actions."""
@@ -300,27 +322,27 @@
             attempt, seen = open_.attempts[nth], clock()
             attempt.ended = True
             self.give_up(attempt)
-            self.put(Done(attempt, i.Outcome.CANCELLED, seen - attempt.sent), seen)
+            self.put(FinishedAttempt(attempt, Outcome.CANCELLED, seen - attempt.sent), seen)
 
-    def _end(self, number: int, final: Final, fate: Fate) -> None:
+    def _end(self, number: int, final: FinalResponse, fate: RequestOutcome) -> None:
         """The module's own final answer; what is over stays as it is."""
         open_ = self.open.get(number)
         if open_ is not None and not open_.over:
             self._answer(open_, final, fate)
             self._forget(open_)
 
-    def _done(self, seen: int, done: Done) -> None:
+    def _done(self, seen: int, done: FinishedAttempt) -> None:
         attempt, open_ = done.attempt, done.attempt.open
         if attempt.begun:
             self._streamed(open_, done.outcome)
         elif done.answer is not None and not open_.over and open_.stream is None:
             answer = done.answer
-            final = Final(200, answer.body, answer.content_type, length=answer.length)
-            self._answer(open_, final, Fate.FULFILLED)
+            final = FinalResponse(200, answer.body, answer.content_type, length=answer.length)
+            self._answer(open_, final, RequestOutcome.SERVED)
             # guards against the client waiting for what the module learns: its greenlet writes first.  What
             # others put meanwhile stands in the queue, behind this end
             gevent.sleep(0)
-        ended = i.Ended(
+        ended = AttemptEnded(
             open_.number,
             attempt.number,
             attempt.upstream,
@@ -332,35 +354,35 @@
         self._handle(seen, ended)
         self._forget(open_)
 
-    def _streamed(self, open_: Open, outcome: i.Outcome) -> None:
+    def _streamed(self, open_: ActiveRequest, outcome: Outcome) -> None:
         """A long answer has ended on its way."""
         if open_.over:
             return
         open_.over = True
-        if outcome is i.Outcome.CANCELLED:
+        if outcome is Outcome.CANCELLED:
             self.figures.left += 1
         else:
-            self.figures.over(open_.klass, Fate.FULFILLED if outcome is i.Outcome.OK else Fate.FAULTED)
+            self.figures.over(open_.klass, RequestOutcome.SERVED if outcome is Outcome.SUCCESS else RequestOutcome.FAILED)
 
-    def _answer(self, open_: Open, final: Final, fate: Fate) -> None:
+    def _answer(self, open_: ActiveRequest, final: FinalResponse, fate: RequestOutcome) -> None:
         open_.over = True
         self.figures.over(open_.klass, fate)
         open_.reply(final)
 
-    def _forget(self, open_: Open) -> None:
+    def _forget(self, open_: ActiveRequest) -> None:
         if open_.over and all(attempt.ended for attempt in open_.attempts):
             self.open.pop(open_.number, None)
             # the timers of its attempts still stand: they must not hold the bodies until they are due
             open_.request, open_.reply, open_.gone = NOTHING, _to_nobody, _stays
 
-    def _handle(self, now: int, event: i.Event) -> None:
+    def _handle(self, now: int, event: Event) -> None:
         self.now = max(self.now, now)
         for action in self.policy.handle(self.now, event):
             self._act(action)
 
-    def _act(self, action: i.Action) -> None:
+    def _act(self, action: Action) -> None:
         match action:
-            case i.Send(number, upstream, timeout, by):
+            case StartAttempt(number, upstream, timeout, by):
                 open_ = self.open[number]
                 self.figures.sends += 1
                 until = min(open_.until, self.now + timeout) if timeout else open_.until
@@ -369,20 +391,20 @@
                 if until != NEVER:
                     self._set(until, attempt)
                 self.start(attempt)
-            case i.SetTimer(after, token):
-                self._set(self.now + after, i.TimerDue(token))
-            case i.Refuse(number, retry_after):
-                self._end(number, Final(503, retry_after=retry_after), Fate.THROTTLED)
-            case i.Fail(number):
-                self._end(number, Final(502), Fate.FAULTED)
-            case i.Cancel(number, nth):
+            case SetTimer(after, token):
+                self._set(self.now + after, TimerFired(token))
+            case RejectRequest(number, retry_after):
+                self._end(number, FinalResponse(503, retry_after=retry_after), RequestOutcome.REJECTED)
+            case FailRequest(number):
+                self._end(number, FinalResponse(502), RequestOutcome.FAILED)
+            case CancelAttempt(number, nth):
                 self._cancel(number, nth)
-            case i.Watch(True):
+            case WatchEndpoints(True):
                 self.watch()
-            case i.CloseIdle(upstream):
+            case CloseIdleConnections(upstream):
                 self.close_idle(upstream)
             case _:
                 raise NotImplementedError(f"the module never emitted {action!r} before")
 
-    def _set(self, due: int, what: i.TimerDue | Attempt) -> None:
+    def _set(self, due: int, what: TimerFired | Attempt) -> None:
         heapq.heappush(self.timers, (due, next(self.order), what))
--- a/linetrack/server/hot_restart_channel.py
+++ b/linetrack/server/hot_restart_channel.py
@@ -23,9 +23,9 @@
 from gevent import socket
 from gevent.lock import Semaphore
 
-from linetrack.control.hot_restart import NEVER, VERSION, Do, Identity, New, Old
+from linetrack.control.hot_restart import NEVER, VERSION, Command, Identity, SuccessorStateMachine, PredecessorStateMachine
 from linetrack.server.clock import clock
-from linetrack.server.connection import passing
+from linetrack.server.connection import is_transient_accept_error
 
 log = structlog.get_logger()
 
@@ -39,11 +39,11 @@
 CREDENTIALS = "3i"
 
 
-class LinkError(Exception):
+class HotRestartChannelError(Exception):
     """The other side said what cannot be understood."""
 
 
-class Link:
+class HotRestartChannel:
     """One connection between the two; each frame is one JSON object, with the descriptors that go with it."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -82,7 +82,7 @@
         except OSError:
             return None
         except (ValueError, KeyError, TypeError, IndexError, RecursionError) as fault:
-            raise LinkError(repr(fault)) from None
+            raise HotRestartChannelError(repr(fault)) from None
 
     def _exactly(self, size: int) -> bytes | None:
         while len(self.buffer) < size:
@@ -105,7 +105,7 @@
             os.close(self.fds.popleft())
 
 
-def meeting_place(folder: str, name: str, listen: tuple[str, int]) -> Path | None:
+def socket_path(folder: str, name: str, listen: tuple[str, int]) -> Path | None:
     """Where the processes of one sidecar find one another; None where there is no folder.
 
     Guards against finding another one's that has the same name or address in the same folder: an address is
@@ -128,15 +128,15 @@
         path: Path,
         identity: Callable[[], Identity],
         grant: Callable[[], tuple[int, dict[str, Any]]],
-        act: Callable[[Do], None],
+        act: Callable[[Command], None],
     ) -> None:
         """`identity` tells whose process this is; `grant` gives the listening socket's descriptor and what
         goes with it; `act` does what only the program can."""
         self.path, self.identity, self.grant, self.act = path, identity, grant, act
         self.callers = 0
         self.own = path.with_suffix(f".{os.getpid()}")
-        self.steps = Old()
-        self.link: Link | None = None
+        self.steps = PredecessorStateMachine()
+        self.link: HotRestartChannel | None = None
         self.listener: socket.socket | None = None
 
     def prepare(self) -> None:
@@ -172,7 +172,7 @@
             try:
                 sock, _ = self.listener.accept()
             except OSError as fault:
-                if not passing(fault):
+                if not is_transient_accept_error(fault):
                     raise
                 gevent.sleep(LOOK)
                 continue
@@ -188,7 +188,7 @@
             self._do(self.steps.tick(clock()))
 
     def _caller(self, sock: socket.socket) -> None:
-        link = Link(sock)
+        link = HotRestartChannel(sock)
         try:
             size = struct.calcsize(CREDENTIALS)
             _, uid, _ = struct.unpack(
@@ -201,15 +201,15 @@
             do = self.steps.called(
                 clock(), heard[0].get("version"), self.identity().foreign(heard[0].get("identity"))
             )
-            if Do.GRANT not in do:
-                link.say("busy" if Do.SAY_BUSY in do else "foreign" if Do.SAY_FOREIGN in do else "no")
+            if Command.GRANT not in do:
+                link.say("busy" if Command.SAY_BUSY in do else "foreign" if Command.SAY_FOREIGN in do else "no")
                 return
             self.link = link
             log.info("hot_restart_called")
             fd, values = self.grant()
             if link.say("grant", (fd,), identity=self.identity().told(), **values):
                 self._listen(link)
-        except (OSError, LinkError) as fault:
+        except (OSError, HotRestartChannelError) as fault:
             log.warning("hot_restart_caller_faulty", fault=str(fault))
         except Exception:
             log.exception("hot_restart_broke")
@@ -221,7 +221,7 @@
                 log.info("hot_restart_link_ended", state=self.steps.state.name.lower())
                 self._do(self.steps.lost())
 
-    def _listen(self, link: Link) -> None:
+    def _listen(self, link: HotRestartChannel) -> None:
         while (heard := link.hear()) is not None:
             if heard[0]["what"] == "ready":
                 log.info("hot_restart_ready")
@@ -231,13 +231,13 @@
         """This process is to end: hand over, or leave as without a successor."""
         self._do(self.steps.leave())
 
-    def _do(self, do: list[Do]) -> None:
+    def _do(self, do: list[Command]) -> None:
         for what in do:
-            if what is Do.BEAT and self.link is not None:
+            if what is Command.BEAT and self.link is not None:
                 self.link.say("beat")
-            elif what is Do.CLOSE and self.link is not None:
+            elif what is Command.CLOSE and self.link is not None:
                 self.link.close()
-            elif what in (Do.HAND_ON, Do.KEEP, Do.LEAVE):
+            elif what in (Command.HAND_ON, Command.KEEP, Command.LEAVE):
                 self.act(what)
 
 
@@ -248,14 +248,14 @@
         self,
         path: Path,
         identity: Identity,
-        act: Callable[[Do], None],
+        act: Callable[[Command], None],
         told: Callable[[str, dict[str, Any], list[int]], None],
     ):
         """`identity` is whose process this is; `act` does what only the program can; `told` is given what
         came over, with its descriptors."""
         self.path, self.identity, self.act, self.told = path, identity, act, told
-        self.steps = New(clock())
-        self.link: Link | None = None
+        self.steps = SuccessorStateMachine(clock())
+        self.link: HotRestartChannel | None = None
 
     def call(self) -> tuple[int, dict[str, Any]] | None:
         """The listening socket's descriptor and what came with it; None where this start is an ordinary one.
@@ -264,33 +264,33 @@
         """
         while True:
             do = self.steps.tick(clock())
-            if Do.GIVE_UP in do:
+            if Command.GIVE_UP in do:
                 raise OSError(f"{self.path}: another process serves or takes over")
-            if Do.CALL in do:
+            if Command.CALL in do:
                 if (granted := self._call()) is not None:
                     self.steps.granted(clock())
                     log.info("hot_restart_granted")
                     return granted
-                if self.steps.state is New.State.ALONE:
+                if self.steps.state is SuccessorStateMachine.State.ALONE:
                     return None
             gevent.sleep(LOOK)
 
     def taken(self) -> bool:
         """The address is another process's though nobody was found: whether to call again."""
         log.info("hot_restart_address_taken")
-        return Do.GIVE_UP not in self.steps.taken(clock())
+        return Command.GIVE_UP not in self.steps.taken(clock())
 
     def _call(self) -> tuple[int, dict[str, Any]] | None:
         link, heard = None, None
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            link = Link(sock)
+            link = HotRestartChannel(sock)
             with gevent.Timeout(max(0, self.steps.due - clock()) / 1_000_000, OSError("no answer")):
                 sock.connect(str(self.path))
                 own = self.identity.told()
                 greeted = link.say("hello", version=VERSION, pid=os.getpid(), identity=own)
                 heard = link.hear() if greeted else None
-        except (OSError, LinkError) as fault:
+        except (OSError, HotRestartChannelError) as fault:
             log.info("hot_restart_nobody", fault=str(fault))
         values, fds = heard or ({}, [])
         what, foreign = values.get("what"), self.identity.foreign(values.get("identity"))
@@ -323,7 +323,7 @@
         log.info("hot_restart_alone")
         self._do(self.steps.lost())
 
-    def _hear(self, link: Link) -> None:
+    def _hear(self, link: HotRestartChannel) -> None:
         try:
             while (heard := link.hear()) is not None:
                 values, fds = heard
@@ -333,15 +333,15 @@
                     self.told(what, values, fds)
                 if what == "leave":
                     self._do(self.steps.left())
-        except LinkError as fault:
+        except HotRestartChannelError as fault:
             log.warning("hot_restart_faulty", fault=str(fault))
         except Exception:
             # guards against a link that nobody reads any more and that is not seen to have ended
             log.exception("hot_restart_broke")
 
-    def _do(self, do: list[Do]) -> None:
+    def _do(self, do: list[Command]) -> None:
         for what in do:
-            if what is Do.SAY_READY and self.link is not None:
+            if what is Command.SAY_READY and self.link is not None:
                 self.link.say("ready")
-            elif what in (Do.ACCEPT, Do.WHOLE):
+            elif what in (Command.ACCEPT, Command.WHOLE):
                 self.act(what)
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -21,20 +21,20 @@
 from gevent.event import Event
 from structlog.typing import EventDict
 
-from linetrack.control.metrics import Figures
-from linetrack.control.settings_switch import Handover
-from linetrack.control.hot_restart import Do, Identity
+from linetrack.control.metrics import Metrics
+from linetrack.control.settings_switch import SettingsSwitch
+from linetrack.control.hot_restart import Command, Identity
 from linetrack.server import messages
-from linetrack.server.admin import Admin
+from linetrack.server.admin import AdminServer
 from linetrack.server.budget import Budget
-from linetrack.server.listener import Clients
+from linetrack.server.listener import Listener
 from linetrack.server.clock import clock
 from linetrack.server.config import STREAMS, Config, ConfigError, read_config
-from linetrack.server.discovery_client import Discovery
-from linetrack.server.hot_restart_channel import Predecessor, Successor, meeting_place
-from linetrack.server.messages import MalformedError, MemberList
-from linetrack.server.dispatcher import MakePolicy, Owner, Turn
-from linetrack.server.upstream_pool import Upstreams
+from linetrack.server.discovery_client import DiscoveryClient
+from linetrack.server.hot_restart_channel import Predecessor, Successor, socket_path
+from linetrack.server.messages import MalformedError, EndpointRecords
+from linetrack.server.dispatcher import MakePolicy, Dispatcher, SerializedCallback
+from linetrack.server.upstream_pool import UpstreamPool
 from linetrack.policy.balancer import Balancer
 
 log = structlog.get_logger()
@@ -63,9 +63,9 @@
         config = self.config
         self.phase = Phase.STARTING
         budget = Budget(config.sockets, config.memory_mb)
-        self.figures = Figures()
+        self.figures = Metrics()
         self.figures.declare(config.class_names)
-        self.upstreams = Upstreams(
+        self.upstreams = UpstreamPool(
             budget,
             config.dial_timeout,
             config.keep_alive,
@@ -73,7 +73,7 @@
             lambda done, seen: self.owner.put(done, seen),
             self.figures,
         )
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             config.discovery,
             self.upstreams,
             lambda news, seen: self.owner.put(news, seen),
@@ -84,8 +84,8 @@
         )
         if config.storms:
             policy = _damping(policy)
-        self.handover = Handover(policy(config.settings, config.seed))
-        self.owner = Owner(
+        self.handover = SettingsSwitch(policy(config.settings, config.seed))
+        self.owner = Dispatcher(
             self.handover,
             self.upstreams.start,
             self.upstreams.give_up,
@@ -94,14 +94,14 @@
             self.figures,
         )
         self.longest = config.longest
-        self.clients = Clients(
+        self.clients = Listener(
             self.owner, budget, config.class_names, config.deadlines, self.serving, config.whole_seconds
         )
         self.leave, self.again = Event(), Event()
         self.budget = budget
         self.predecessor: Predecessor | None = None
         self.told_all = False  # whether the process whose place this one takes has told what it learnt
-        self.handed: Do | None = None  # what became of the end: to a successor, or without one
+        self.handed: Command | None = None  # what became of the end: to a successor, or without one
         self.accepting: gevent.Greenlet | None = None
 
     def serving(self) -> bool:
@@ -126,7 +126,7 @@
         successor, known = self._listen()
         self.discovery.remember(known)
         if self.config.admin is not None:
-            must_live("admin", Admin(self.config.admin, self.serving, self._text).accept)
+            must_live("admin", AdminServer(self.config.admin, self.serving, self._text).accept)
         must_live("owner", self.owner.run)
         if successor is None:
             self._accept()
@@ -150,7 +150,7 @@
             self.predecessor.leave()
         limit = began + self.longest + int((STILL_COMING + LAST_WORD) * 1_000_000)
         self.owner.ends = limit - int(LAST_WORD * 1_000_000)
-        if self.handed is not Do.HAND_ON or not self._until_handed(limit):
+        if self.handed is not Command.HAND_ON or not self._until_handed(limit):
             # no successor, or it ended meanwhile
             if self.accepting is not None:
                 # one that never accepted leaves the queue to the process whose it is
@@ -177,10 +177,10 @@
             log.warning("list_unheard", entries=len(self.upstreams.known))
 
     # --- Taking another process's place, and giving this one's ---------------------------------------
-    def _listen(self) -> tuple[Successor | None, MemberList]:
+    def _listen(self) -> tuple[Successor | None, EndpointRecords]:
         """Open the listener, or have it from the process that serves; and the list, as that one has it."""
         config = self.config
-        path = meeting_place(os.environ.get("TMPDIR", ""), config.name, config.listen)
+        path = socket_path(os.environ.get("TMPDIR", ""), config.name, config.listen)
         if path is None:
             self.clients.listen(config.listen)
             return None, config.known
@@ -229,7 +229,7 @@
 
     def _grant(self) -> tuple[int, dict[str, Any]]:
         assert self.clients.listener is not None
-        members = messages.encode_members(self.upstreams.members())
+        members = messages.encode_endpoints(self.upstreams.members())
         told = {"version": self.discovery.version or 0, "full": True, "servers": members}
         return self.clients.listener.fileno(), {"list": told, "discovery": list(self.discovery.address)}
 
@@ -237,14 +237,14 @@
         """What another process is told of this one, to see what it may have of it."""
         return Identity(self.config.class_names, self.config.digest)
 
-    def _list(self, values: Mapping[str, Any]) -> MemberList:
+    def _list(self, values: Mapping[str, Any]) -> EndpointRecords:
         """The list as the other process has it; the one of the configuration where that makes no sense, or is
         of another discovery, whose versions are its own."""
         if values.get("discovery", list(self.config.discovery)) != list(self.config.discovery):
             log.warning("hot_restart_list_left", discovery=values["discovery"])
             return self.config.known
         try:
-            return messages.member_list(values.get("list"))
+            return messages.parse_endpoint_list(values.get("list"))
         except MalformedError as fault:
             log.warning("hot_restart_list_faulty", fault=str(fault))
             return self.config.known
@@ -257,26 +257,26 @@
             self.accepting.kill()
             self.accepting = None
 
-    def _act(self, do: Do) -> None:
+    def _act(self, do: Command) -> None:
         """What only the program can do of a replacement."""
         match do:
-            case Do.ACCEPT:
+            case Command.ACCEPT:
                 if not self.told_all:
                     self.handover.alone(clock())
                 self._prepare_to_give()
                 self._be_found()
                 self._accept()
-            case Do.WHOLE:
+            case Command.WHOLE:
                 self.budget.whole()
-            case Do.HAND_ON:
+            case Command.HAND_ON:
                 self._hand_on()
-            case Do.KEEP:
+            case Command.KEEP:
                 # guards against having no room for those who come back from a successor that has ended
                 self.budget.whole()
                 self.handover.alone(clock())
                 self.clients.passes = None
                 self._accept()
-        if do in (Do.HAND_ON, Do.KEEP, Do.LEAVE):
+        if do in (Command.HAND_ON, Command.KEEP, Command.LEAVE):
             self.handed = do
 
     def _hand_on(self) -> None:
@@ -304,7 +304,7 @@
     def _until_handed(self, limit: int) -> bool:
         """Wait until nothing is left here; False where the successor has ended before."""
         while self.clients.open and clock() < limit:
-            if self.handed is Do.KEEP:
+            if self.handed is Command.KEEP:
                 return False
             gevent.sleep(LOOK)
         return True
@@ -354,7 +354,7 @@
         self.discovery.set(new.zone_names, new.kind_names, new.settings)
         self.figures.declare(new.class_names)
         self.clients.intake.set(new.class_names, new.deadlines)
-        self.owner.put(Turn(partial(self._succeed, new)), clock())
+        self.owner.put(SerializedCallback(partial(self._succeed, new)), clock())
         self.config, self.longest = new, max(self.longest, new.longest)
 
     def _succeed(self, new: Config) -> None:
@@ -372,12 +372,12 @@
     if policy is not Balancer:
         return policy
     from linetrack.control import overload_control as storms
-    from linetrack.control.idempotency_keys import Keys
+    from linetrack.control.idempotency_keys import IdempotencyKeyTable
 
     def tell(phase: storms.Phase, figures: dict[str, float]) -> None:
         log.info("storm", phase=phase.value, **figures)
 
-    return lambda settings, seed: Balancer(settings, seed, storms.Storms(seed, tell), Keys())
+    return lambda settings, seed: Balancer(settings, seed, storms.AdaptiveOverloadController(seed, tell), IdempotencyKeyTable())
 
 
 def _tidy() -> None:
@@ -402,7 +402,7 @@
     return gevent.spawn(live)
 
 
-class Sparing:
+class LogRateLimiter:
     """At most one line of an event a second, but for phases: a flood of lines would hold up the one core."""
 
     def __init__(self, time: Callable[[], int] = clock) -> None:
@@ -432,7 +432,7 @@
     """One sidecar in the foreground until SIGTERM; the exit status."""
     structlog.configure(
         processors=[
-            Sparing(),
+            LogRateLimiter(),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.format_exc_info,
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -13,13 +13,13 @@
 import structlog
 from gevent import socket
 
-from linetrack.control.connection_slots import Places, Seat, State
+from linetrack.control.connection_slots import ConnectionSlots, ConnectionSlot, State
 from linetrack.server.budget import Budget
 from linetrack.server.client_connection import WITHIN, ClientConnection, HandedOverError
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import passing, readable
-from linetrack.server.dispatcher import Owner
-from linetrack.server.request_validation import RequestIntake
+from linetrack.server.connection import is_transient_accept_error, readable
+from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.request_validation import RequestValidator
 
 log = structlog.get_logger()
 
@@ -29,12 +29,12 @@
 ROOM_WAIT = 0.01  # seconds until it is looked again whether there is room for a connection
 
 
-class Clients:
+class Listener:
     """The listener, and all connections that were taken on it."""
 
     def __init__(
         self,
-        owner: Owner,
+        owner: Dispatcher,
         budget: Budget,
         classes: tuple[str, ...],
         deadlines: tuple[int, ...],
@@ -43,9 +43,9 @@
     ) -> None:
         self.owner, self.budget, self.serving = owner, budget, serving
         self.whole_seconds = whole_seconds
-        self.intake = RequestIntake(owner, classes, deadlines)
-        self.places = Places(budget.callers)
-        self.open: dict[Seat, ClientConnection] = {}
+        self.intake = RequestValidator(owner, classes, deadlines)
+        self.places = ConnectionSlots(budget.callers)
+        self.open: dict[ConnectionSlot, ClientConnection] = {}
         # whose request is out with something unread behind it, and how to see whether it has left
         self.unread: dict[ClientConnection, Callable[[], bool]] = {}
         budget.make_way = self._make_room
@@ -81,7 +81,7 @@
                 try:
                     self._take_one()
                 except OSError as fault:
-                    if not passing(fault):
+                    if not is_transient_accept_error(fault):
                         raise
                     log.error("accept_failed", fault=str(fault))
                     gevent.sleep(ROOM_WAIT)
@@ -121,7 +121,7 @@
         """Close the connection that is to make way, where there is one that may."""
         return self._close_one(self.places.makes_way)
 
-    def _close_one(self, which: Callable[[int], Seat | None]) -> bool:
+    def _close_one(self, which: Callable[[int], ConnectionSlot | None]) -> bool:
         now = clock()
         while seat := which(now):
             client = self.open[seat]
--- a/linetrack/server/messages.py
+++ b/linetrack/server/messages.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from linetrack.policy.interface import Health
+from linetrack.policy.events import EndpointStatus
 
 HELD = 64 * 1024  # bytes up to which a body is one piece, held until it is whole; longer ones are parts
 MOST_BODY = 32 * 1024 * 1024  # of a request, or of an upstream's answer
@@ -25,7 +25,7 @@
 MOST_LIST = 16 * 1024 * 1024  # a discovery answer: thousands of entries with room to spare
 READY_PATH = "/_health"
 LIST_PATH = "/catalog/members"
-MEMBER_STATES = {"SERVING": Health.UP, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
+MEMBER_STATES = {"SERVING": EndpointStatus.UP, "DRAINING": EndpointStatus.DRAINING, "DELETED": EndpointStatus.REMOVED}
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
     409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """One whole answer from an upstream or from discovery."""
 
     status: int
@@ -219,7 +219,7 @@
             self.text(b"content-type"),
             self.text(b"x-expires-in"),
             self.text(b"x-second-try") == "1",
-            props(self.text(b"x-props")),
+            parse_properties(self.text(b"x-props")),
             b"",
             self.parser.should_keep_alive(),
             self.parser.get_http_version() == "1.0",
@@ -249,7 +249,7 @@
         return done
 
 
-class AnswerReader(_Message):
+class ResponseReader(_Message):
     """Bytes of one connection to an upstream or to discovery to one answer at a time.
 
     `held` is the size up to which an answer's body is kept here until it is whole.
@@ -258,8 +258,8 @@
     def __init__(self, most_body: int, held: int) -> None:
         super().__init__(most_body, held)
         self.parser = httptools.HttpResponseParser(self)
-        self.answer: Answer | None = None  # the one at hand, once its head has come whole
-        self.whole: Answer | None = None
+        self.answer: Response | None = None  # the one at hand, once its head has come whole
+        self.whole: Response | None = None
         self.stray = False  # something came that no request asked for
         self.bodiless = False  # the answer has no body, whatever its head says of one
 
@@ -274,7 +274,7 @@
         status = self.parser.get_status_code()
         if status < 200 or self.whole is not None:
             return
-        self.answer = Answer(
+        self.answer = Response(
             status,
             b"",
             self.text(b"content-type"),
@@ -297,7 +297,7 @@
         if not self.long:
             self.whole.body = b"".join(self.take())
 
-    def finish(self) -> Answer | None:
+    def finish(self) -> Response | None:
         """The connection has ended: the answer, where its end is that of the connection.  One without a body
         cannot be told from one that was cut off, and is none."""
         if self.answer is not None and self.whole is None and self.size and self._until_close():
@@ -307,7 +307,7 @@
     def _until_close(self) -> bool:
         return not self.lengths and b"transfer-encoding" not in self.headers
 
-    def feed(self, data: bytes) -> Answer | None:
+    def feed(self, data: bytes) -> Response | None:
         """The answer, once it is whole; what follows it makes the connection useless, not the answer."""
         try:
             _feed(self.parser, data, self)
@@ -322,13 +322,13 @@
         self.deaf = False
 
 
-def props(text: str) -> dict[str, str]:
+def parse_properties(text: str) -> dict[str, str]:
     """`name=value,name=value`; a part of another form is passed over."""
     pairs = (part.partition("=") for part in text.split(","))
     return {name.strip(): value.strip() for name, sign, value in pairs if sign}
 
 
-def patience(text: str) -> int | None:
+def parse_timeout(text: str) -> int | None:
     """`X-Expires-In` in microseconds; None where it is no number."""
     try:
         # an underscore is a sign of Python's own
@@ -338,12 +338,12 @@
     return round(seconds * 1_000_000) if math.isfinite(seconds) else None
 
 
-def report(text: str, fields: tuple[str, ...]) -> tuple[float, ...]:
+def parse_load_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...]:
     """A load report's values in the order of the settings; what is missing or no number is NaN."""
     kind, _, rest = text.partition(" ")
     if kind.upper() != "TEXT":
         return ()
-    values = props(rest)
+    values = parse_properties(rest)
     row = []
     for name in fields:
         try:
@@ -377,7 +377,7 @@
     return _head(f"{request.method} {request.target} HTTP/1.1", fields, request.body)
 
 
-def encode_answer(
+def encode_response(
     status: int,
     body: bytes = b"",
     retry_after: int = 0,
@@ -415,7 +415,7 @@
     return Framing.CLOSE if old else Framing.CHUNKS
 
 
-def encode_answer_head(how: Framing, length: int | None, keep: bool, content_type: str, old: bool) -> bytes:
+def encode_response_head(how: Framing, length: int | None, keep: bool, content_type: str, old: bool) -> bytes:
     """The head of a long answer that is served."""
     fields = [
         ("Content-Type", content_type),
@@ -439,14 +439,14 @@
     return str(us // 1_000_000) if us % 1_000_000 == 0 else f"{us / 1_000_000:.6f}"
 
 
-def encode_list_call(to: tuple[str, int], version: int | None = None, hold_ms: int = 0) -> bytes:
+def encode_poll(to: tuple[str, int], version: int | None = None, hold_ms: int = 0) -> bytes:
     """A call to discovery: the whole list, or a watch from a version on."""
     query = "" if version is None else f"?from={version}&hold_ms={hold_ms}"
     return _head(f"GET {LIST_PATH}{query} HTTP/1.1", [("Host", f"{to[0]}:{to[1]}")], b"")
 
 
 @dataclass(slots=True, frozen=True)
-class Member:
+class EndpointRecord:
     """One entry of discovery's list, in its own words."""
 
     name: str
@@ -454,16 +454,16 @@
     zone: str
     kind: str
     cell: int
-    health: Health
+    health: EndpointStatus
     weight: float
     started_ms: int
 
 
 @dataclass(slots=True, frozen=True)
-class MemberList:
+class EndpointRecords:
     version: int
     full: bool
-    members: tuple[Member, ...]
+    members: tuple[EndpointRecord, ...]
     passed_over: int = 0  # entries that made no sense
 
 
@@ -480,7 +480,7 @@
     return host, number
 
 
-def encode_members(members: Iterable[Member]) -> list[dict[str, Any]]:
+def encode_endpoints(members: Iterable[EndpointRecord]) -> list[dict[str, Any]]:
     """The entries in discovery's form."""
     states = {health: state for state, health in MEMBER_STATES.items()}
     return [
@@ -498,9 +498,9 @@
     ]
 
 
-def _member(value: Any) -> Member:
+def _member(value: Any) -> EndpointRecord:
     weight = value.get("weight", 1.0)
-    return Member(
+    return EndpointRecord(
         _text(value["id"]),
         # one that is gone needs no address
         address(_text(value["addr"])) if value.get("state") != "DELETED" else ("", 0),
@@ -519,7 +519,7 @@
     return value
 
 
-def member_list(value: Any) -> MemberList:
+def parse_endpoint_list(value: Any) -> EndpointRecords:
     """Discovery's answer; an entry that makes no sense is passed over, as is all but the last of doubles."""
     try:
         version, full, entries = int(value["version"]), value["full"], value["servers"]
@@ -527,7 +527,7 @@
             raise ValueError("full or servers is of another type")
     except (KeyError, TypeError, ValueError, OverflowError) as fault:
         raise MalformedError(f"no list of members: {fault!r}") from None
-    members: dict[str, Member] = {}
+    members: dict[str, EndpointRecord] = {}
     passed_over = 0
     for entry in entries:
         try:
@@ -538,12 +538,12 @@
         members[member.name] = member
     if passed_over and not members:
         raise MalformedError("no entry of the list makes sense")
-    return MemberList(version, full, tuple(members.values()), passed_over)
+    return EndpointRecords(version, full, tuple(members.values()), passed_over)
 
 
-def decode_list(body: bytes) -> MemberList:
+def decode_endpoint_list(body: bytes) -> EndpointRecords:
     try:
         value = json.loads(body)
     except (ValueError, RecursionError):
         raise MalformedError("the list of members is not JSON") from None
-    return member_list(value)
+    return parse_endpoint_list(value)
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from linetrack.control.metrics import Fate
-from linetrack.policy.interface import Arrival
+from linetrack.control.metrics import RequestOutcome
+from linetrack.policy.events import RequestReceived
 from linetrack.server import messages
 from linetrack.server.clock import clock
 from linetrack.server.messages import ClientRequest, MalformedError
-from linetrack.server.dispatcher import Owner
+from linetrack.server.dispatcher import Dispatcher
 
 LONGEST_ID = 128  # characters of an id that are kept as they are
 
@@ -39,10 +39,10 @@
     patience: int
 
 
-class RequestIntake:
+class RequestValidator:
     """The checks of one process; the ids that it has seen are its own."""
 
-    def __init__(self, owner: Owner, classes: tuple[str, ...], deadlines: tuple[int, ...]) -> None:
+    def __init__(self, owner: Dispatcher, classes: tuple[str, ...], deadlines: tuple[int, ...]) -> None:
         self.owner = owner
         self.set(classes, deadlines)
         # the ids of open requests and of those lately over: a copy may have been sent meanwhile
@@ -58,7 +58,7 @@
         """Return what a request says; raises a `RejectedRequestError` where it is none."""
         steps, mark = request.steps(), _mark(request.trace)
         klass = self.classes.get(steps[0]) if steps else None
-        patience = messages.patience(request.expires)
+        patience = messages.parse_timeout(request.expires)
         if klass is None or not request.trace or patience is None or patience < 0:
             raise RejectedRequestError(request, BAD_REQUEST)
         if mark in self.ids or mark in self.lately[0] or mark in self.lately[1]:
@@ -69,7 +69,7 @@
         key = steps[-1] if len(steps) > 1 else ""
         return CheckedRequest(steps[0], klass, key, mark, patience)
 
-    def arrival(self, request: ClientRequest) -> Arrival:
+    def arrival(self, request: ClientRequest) -> RequestReceived:
         """Return what the module is told of a request, whose id is open from here on; raises a
         `RejectedRequestError` where it is none, or where its time is over."""
         try:
@@ -77,16 +77,16 @@
         except RejectedRequestError as rejected:
             if rejected.status == GATEWAY_TIMEOUT:
                 # it was a request, whose time was over when it came
-                self._count_as_over(request.steps()[0], Fate.FAULTED)
+                self._count_as_over(request.steps()[0], RequestOutcome.FAILED)
             raise
         request.klass = checked.class_name
         # guards against a request that comes late in this process's end and outlasts it
         patience = min(checked.patience, self.deadlines[checked.klass], self.owner.ends - clock())
         if patience <= 0:
-            self._count_as_over(request.klass, Fate.THROTTLED)
+            self._count_as_over(request.klass, RequestOutcome.REJECTED)
             raise RejectedRequestError(request, UNAVAILABLE)
         self.ids.add(checked.id_mark)
-        return Arrival(
+        return RequestReceived(
             self.owner.number(),
             checked.klass,
             patience,
@@ -117,7 +117,7 @@
         """Take over the ids that another process remembers."""
         self.lately[0].update(marks)
 
-    def _count_as_over(self, class_name: str, fate: Fate) -> None:
+    def _count_as_over(self, class_name: str, fate: RequestOutcome) -> None:
         self.owner.figures.taken += 1
         self.owner.figures.over(class_name, fate)
 
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -16,25 +16,25 @@
 import structlog
 from gevent import socket
 
-from linetrack.control.metrics import Figures
-from linetrack.control.connection_slots import Rate, Rests, price
-from linetrack.policy.interface import Health, Outcome
+from linetrack.control.metrics import Metrics
+from linetrack.control.connection_slots import DecayingRate, IdleTimeModel, slot_price
+from linetrack.policy.events import EndpointStatus, Outcome
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import Connection, Stream, readable
+from linetrack.server.connection import Connection, ResponseStream, readable
 from linetrack.server.messages import (
     HELD,
     LAST_CHUNK,
     MOST_BODY,
-    Answer,
+    Response,
     ClientRequest,
     MalformedError,
-    Member,
+    EndpointRecord,
     chunk,
     encode_request,
-    report,
+    parse_load_report,
 )
-from linetrack.server.dispatcher import Attempt, Done, Sent, Started
+from linetrack.server.dispatcher import Attempt, FinishedAttempt, SentBody, StartedResponse
 
 log = structlog.get_logger()
 
@@ -48,31 +48,31 @@
 
 
 @dataclass(slots=True)
-class Known:
+class PooledUpstream:
     """What is known of one upstream, and its idle connections, the newest last."""
 
     address: tuple[str, int]
-    health: Health
+    health: EndpointStatus
     idle: list[Connection]
-    member: Member  # as discovery told it last
+    member: EndpointRecord  # as discovery told it last
 
 
-class Upstreams:
+class UpstreamPool:
     def __init__(
         self,
         budget: Budget,
         dial_timeout: int,
         keep_alive: int,
         fields: tuple[str, ...],
-        tell: Callable[[Done | Sent | Started, int], None],
-        figures: Figures | None = None,
+        tell: Callable[[FinishedAttempt | SentBody | StartedResponse, int], None],
+        figures: Metrics | None = None,
     ) -> None:
-        self.budget, self.tell, self.figures = budget, tell, figures or Figures()
+        self.budget, self.tell, self.figures = budget, tell, figures or Metrics()
         self.set(dial_timeout, keep_alive, fields)
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, PooledUpstream] = {}
         # all that rest, the longest first, and the pool that each is in
-        self.resting: OrderedDict[Connection, Known] = OrderedDict()
-        self.rests, self.dials = Rests((None,) * DEPTHS), Rate()
+        self.resting: OrderedDict[Connection, PooledUpstream] = OrderedDict()
+        self.rests, self.dials = IdleTimeModel((None,) * DEPTHS), DecayingRate()
         budget.shrink = self.close_oldest
 
     def set(self, dial_timeout: int, keep_alive: int, fields: tuple[str, ...]) -> None:
@@ -81,15 +81,15 @@
         self.dial_timeout, self.keep, self.fields = dial_timeout, int(keep_alive * KEEP_SHARE), fields
 
     # --- The directory -----------------------------------------------------------------------------
-    def learn(self, members: tuple[Member, ...], full: bool) -> None:
+    def learn(self, members: tuple[EndpointRecord, ...], full: bool) -> None:
         for member in members:
             known = self.known.get(member.name)
-            if member.health is Health.GONE:
+            if member.health is EndpointStatus.REMOVED:
                 self._drop(member.name)
             elif known is None:
-                self.known[member.name] = Known(member.address, member.health, [], member)
+                self.known[member.name] = PooledUpstream(member.address, member.health, [], member)
             else:
-                if member.address != known.address or member.health is not Health.UP:
+                if member.address != known.address or member.health is not EndpointStatus.UP:
                     self._close_idle(known)
                 known.address, known.health, known.member = member.address, member.health, member
         if full:
@@ -100,7 +100,7 @@
         """Forget one that is gone, as new ones come for ever; an attempt still out keeps its own record of
         it, by which its connection is not used again, whoever has the name or the address then."""
         if known := self.known.pop(name, None):
-            known.health = Health.GONE
+            known.health = EndpointStatus.REMOVED
             self._close_idle(known)
 
     # --- Idle connections --------------------------------------------------------------------------
@@ -108,25 +108,25 @@
         connection.close()
         self.budget.give_back()
 
-    def _rest(self, connection: Connection, known: Known, now: int) -> None:
+    def _rest(self, connection: Connection, known: PooledUpstream, now: int) -> None:
         """A connection whose answer has come whole waits for its next use, while that is worth it."""
         connection.idle_since, connection.depth = now, min(len(known.idle), DEPTHS - 1)
         budget = self.budget
         connection.until = now + self.keep
         if budget.short:
             # guards against idle connections in the places of callers while the upstreams' keep-alive lasts
-            cost = price(budget.used, budget.most, self.dials.of(now))
+            cost = slot_price(budget.used, budget.most, self.dials.of(now))
             connection.until = now + self.rests.kept(connection.depth, cost, 0, self.keep)[0]
         known.idle.append(connection)
         self.resting[connection] = known
 
-    def _leave(self, connection: Connection, known: Known, used: bool) -> None:
+    def _leave(self, connection: Connection, known: PooledUpstream, used: bool) -> None:
         """Its rest is over, in a use or not."""
         known.idle.remove(connection)
         del self.resting[connection]
         self.rests.ended(connection.depth, clock() - connection.idle_since, used)
 
-    def _close_idle(self, known: Known) -> None:
+    def _close_idle(self, known: PooledUpstream) -> None:
         for connection in list(known.idle):
             self._leave(connection, known, False)
             self._close(connection)
@@ -136,7 +136,7 @@
         while self.close_oldest():
             pass
 
-    def members(self) -> list[Member]:
+    def members(self) -> list[EndpointRecord]:
         """The list as it stands."""
         return [known.member for known in self.known.values()]
 
@@ -163,7 +163,7 @@
                 self._leave(connection, known, False)
                 self._close(connection)
 
-    def _reused(self, known: Known) -> Connection | None:
+    def _reused(self, known: PooledUpstream) -> Connection | None:
         """The newest idle connection that has rested and is still sound."""
         now, at = clock(), len(known.idle) - 1
         # guards against what comes right behind an answer, which would be read as the next request's
@@ -205,14 +205,14 @@
             known = self.known.get(attempt.upstream)
             if known is None:
                 # gone between the module's decision and this turn
-                self._finish(attempt, Outcome.MOOT)
+                self._finish(attempt, Outcome.NOT_SENT)
                 return
             connection = self._reused(known) or self._dial(attempt, known)
             if connection is None:
                 return
             attempt.sock = connection.sock
             if self._forbidden(attempt, known):
-                self._finish(attempt, Outcome.MOOT)
+                self._finish(attempt, Outcome.NOT_SENT)
                 return
             remaining = attempt.until - clock()
             request = attempt.open.request
@@ -224,7 +224,7 @@
                 if not self._write_long(attempt, request, connection):
                     return
                 attempt.sent = clock()
-                self.tell(Sent(attempt), attempt.sent)
+                self.tell(SentBody(attempt), attempt.sent)
             written = True
             self.figures.relayed += 1
             answer = connection.read(self.dial_timeout / 1_000_000, room)
@@ -232,14 +232,14 @@
             if answer is None:
                 self._finish(attempt, Outcome.RESET, seen=seen)
                 return
-            if connection.reader.long and _outcome(answer) is Outcome.OK:
+            if connection.reader.long and _outcome(answer) is Outcome.SUCCESS:
                 # also where its end has come already: its body is not in the answer
                 self._stream(attempt, connection, answer, seen)
             else:
                 self._finish(attempt, _outcome(answer), answer, seen)
             if (whole := connection.reader.whole) is None:
                 return
-            fit = known.health is Health.UP and connection.address == known.address
+            fit = known.health is EndpointStatus.UP and connection.address == known.address
             if fit and whole.keep and not connection.reader.stray:
                 attempt.sock = None
                 connection.reader.next()
@@ -285,31 +285,31 @@
             self.budget.streams -= 1
         return True
 
-    def _stream(self, attempt: Attempt, connection: Connection, answer: Answer, seen: int) -> None:
+    def _stream(self, attempt: Attempt, connection: Connection, answer: Response, seen: int) -> None:
         """A long answer goes on from its first bytes; whoever writes it to the client reads it."""
-        stream = Stream(connection, answer, STALLED, self.budget.piece)
+        stream = ResponseStream(connection, answer, STALLED, self.budget.piece)
         latency = seen - attempt.sent
         self.budget.streams += 1
         try:
-            self.tell(Started(attempt, latency, stream), seen)
+            self.tell(StartedResponse(attempt, latency, stream), seen)
             outcome = stream.over.get()
         finally:
             self.budget.streams -= 1
         connection.sock.settimeout(None)
         self._finish(attempt, outcome, answer, attempt.sent + latency)
 
-    def _forbidden(self, attempt: Attempt, known: Known) -> bool:
+    def _forbidden(self, attempt: Attempt, known: PooledUpstream) -> bool:
         """Whether, while it dialled or waited, the upstream began to drain, its client left, or its request
         or time ended."""
-        if attempt.ended or attempt.open.over or known.health is not Health.UP:
+        if attempt.ended or attempt.open.over or known.health is not EndpointStatus.UP:
             return True
         # guards against sends for a client whose leaving still stands in the owner's queue, or was not seen
         return clock() >= min(attempt.until, attempt.by) or attempt.open.gone()
 
-    def _dial(self, attempt: Attempt, known: Known) -> Connection | None:
+    def _dial(self, attempt: Attempt, known: PooledUpstream) -> Connection | None:
         """A new connection; None where the attempt ended first, has been told so or could not connect."""
         if self._forbidden(attempt, known):
-            self._finish(attempt, Outcome.MOOT)
+            self._finish(attempt, Outcome.NOT_SENT)
             return None
         if not self.budget.take():
             log.warning("no_descriptor", upstream=attempt.upstream)
@@ -326,20 +326,20 @@
             raise
 
     def _finish(
-        self, attempt: Attempt, outcome: Outcome, answer: Answer | None = None, seen: int | None = None
+        self, attempt: Attempt, outcome: Outcome, answer: Response | None = None, seen: int | None = None
     ) -> None:
         if attempt.ended:
             return
         attempt.ended = True
         seen = clock() if seen is None else seen
-        told = report(answer.report, self.fields) if answer and answer.report else ()
-        served = answer if outcome is Outcome.OK and not attempt.begun else None
-        self.tell(Done(attempt, outcome, seen - attempt.sent, served, told), seen)
+        told = parse_load_report(answer.report, self.fields) if answer and answer.report else ()
+        served = answer if outcome is Outcome.SUCCESS and not attempt.begun else None
+        self.tell(FinishedAttempt(attempt, outcome, seen - attempt.sent, served, told), seen)
 
 
-def _outcome(answer: Answer) -> Outcome:
+def _outcome(answer: Response) -> Outcome:
     if answer.status == 200:
-        return Outcome.OK
+        return Outcome.SUCCESS
     if answer.status in (503, 504) and answer.never_ran:
-        return Outcome.FULL
+        return Outcome.OVERLOADED
     return Outcome.ERROR
--- a/linetrack/settings.py
+++ b/linetrack/settings.py
@@ -10,17 +10,17 @@
 from collections.abc import Mapping
 from typing import Any
 
-from linetrack.policy import interface as i
+from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField, RequestClass, Settings
 
-EFFECTS = {"free": i.Effect.SAFE, "guarded": i.Effect.KEYED, "single_shot": i.Effect.UNSAFE}
-GROUPS = {"all": i.Group.ALL, "zone": i.Group.ZONE, "cell": i.Group.CELL}
+EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.IDEMPOTENCY_KEY, "single_shot": Idempotency.NON_IDEMPOTENT}
+GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 LOADS = {
-    "concurrent": i.Load.INFLIGHT,
-    "depth": i.Load.QUEUE,
-    "load_share": i.Load.UTIL,
-    "mean_ms": i.Load.LATENCY_MS,
-    "tps": i.Load.RATE,
-    "err_ps": i.Load.ERROR_RATE,
+    "concurrent": LoadField.IN_FLIGHT,
+    "depth": LoadField.QUEUE_DEPTH,
+    "load_share": LoadField.UTILIZATION,
+    "mean_ms": LoadField.MEAN_LATENCY,
+    "tps": LoadField.REQUEST_RATE,
+    "err_ps": LoadField.ERROR_RATE,
 }
 SIZES = {"off": False, "nominal": False, "rough": False, "live": True}  # whether they move with load
 FLAGS = {"true": True, "1": True, "false": False, "0": False}
@@ -111,22 +111,22 @@
         return flag
 
 
-def _class(node: Node) -> i.RequestClass:
+def _class(node: Node) -> RequestClass:
     deadline = node.above("deadlineUs", 1)
-    return i.RequestClass(
-        effect=node.one_of("repeat", EFFECTS, "single_shot"),
-        aim=node.above("aimUs", 1, deadline),
-        deadline=deadline,
-        aim_stretch=node.number("aimStretch", 0.0),
-        worth=node.number("worth", 1.0),
-        late_worth=node.number("lateWorth", 0.0),
-        group=node.one_of("dedupScope", GROUPS, "all"),
-        window=node.whole("dedupWindowUs", 0),
-        stream=node.flag("stream"),
+    return RequestClass(
+        idempotency=node.one_of("repeat", EFFECTS, "single_shot"),
+        latency_objective=node.above("aimUs", 1, deadline),
+        timeout=deadline,
+        latency_objective_stretch=node.number("aimStretch", 0.0),
+        priority_weight=node.number("worth", 1.0),
+        late_weight=node.number("lateWorth", 0.0),
+        deduplication_scope=node.one_of("dedupScope", GROUPS, "all"),
+        deduplication_window=node.whole("dedupWindowUs", 0),
+        streams_response=node.flag("stream"),
     )
 
 
-def read_settings(values: Mapping[str, Any], path: str = "") -> i.Settings:
+def read_settings(values: Mapping[str, Any], path: str = "") -> Settings:
     root = Node(values, path)
     classes = tuple(_class(node) for node in root.parts("classes"))
     if not classes:
@@ -135,41 +135,41 @@
     prices, goal = root.part("deductions"), root.part("goal")
     inline = stats.text("how", "off") != "off"
     limited = any(name in rules.values for name in ("freeResends", "furtherRatio", "extraWindowUs"))
-    return i.Settings(
+    return Settings(
         classes=classes,
         instance=root.whole("me", 0),
-        instances=root.above("balancers", 1, 1),
+        instance_count=root.above("balancers", 1, 1),
         zone=root.whole("zone", 0),
-        zones=max(1, len(root.names("azs"))),
-        report_fields=tuple(LOADS.get(f, i.Load.OTHER) for f in (stats.names("fields") if inline else [])),
-        must_ask=root.text("registryMode", "automatic") == "subscribe",
-        ask_every=rules.whole("askEveryUs", 0),
+        zone_count=max(1, len(root.names("azs"))),
+        load_report_fields=tuple(LOADS.get(f, LoadField.OTHER) for f in (stats.names("fields") if inline else [])),
+        must_subscribe=root.text("registryMode", "automatic") == "subscribe",
+        poll_interval=rules.whole("askEveryUs", 0),
         drain_grace=rules.whole("drainGraceUs", 0),
-        cold_from=rules.number("coldFrom", 1.0),
-        warm_up=rules.whole("warmUpUs", 0),
-        fall_multiple=rules.number("fallMultiple", 0.0),
-        overload_for=rules.whole("overloadForUs", 0),
+        slow_start_initial_fraction=rules.number("coldFrom", 1.0),
+        slow_start_duration=rules.whole("warmUpUs", 0),
+        overload_multiple=rules.number("fallMultiple", 0.0),
+        overload_window=rules.whole("overloadForUs", 0),
         may_cancel=allowed.flag("mayCancel"),
-        may_probe=allowed.flag("mayProbe"),
-        parallel=allowed.flag("parallelTries"),
-        retry_advice=allowed.flag("retryAfter"),
+        may_send_health_checks=allowed.flag("mayProbe"),
+        may_run_parallel_attempts=allowed.flag("parallelTries"),
+        may_send_retry_after=allowed.flag("retryAfter"),
         max_retry_after=allowed.whole("maxRetryAfterUs", 0),
         max_attempts=allowed.above("maxAttempts", 1, 1),
-        price_cross=prices.number("crossZone", 0.0),
-        price_waste=prices.number("waste", 0.0),
-        price_late=prices.number("lateFail", 0.0),
-        worth_by_work=root.text("worthBy", "request") == "work",
-        weight_whole=goal.number("whole", 1.0),
-        weight_class=goal.number("worstClass", 0.0),
-        tenant_rates=tuple(node.number("quotaRps", 0.0) for node in root.parts("customers")),
-        over_share_worth=root.number("overShareWorth", 1.0),
-        warm_keys=root.part("extra").flag("warmKeys"),
-        live_sizes=root.one_of("weights", SIZES, "off"),
-        streams=allowed.above("multiplex", 1, 1),
-        keep_alive=allowed.above("keepaliveUs", 0, 0),
+        cross_zone_cost=prices.number("crossZone", 0.0),
+        wasted_work_cost=prices.number("waste", 0.0),
+        late_failure_cost=prices.number("lateFail", 0.0),
+        weighs_by_work=root.text("worthBy", "request") == "work",
+        goal_weight_of_total=goal.number("whole", 1.0),
+        goal_weight_of_worst_class=goal.number("worstClass", 0.0),
+        tenant_quotas=tuple(node.number("quotaRps", 0.0) for node in root.parts("customers")),
+        over_quota_weight=root.number("overShareWorth", 1.0),
+        has_affinity_keys=root.part("extra").flag("warmKeys"),
+        capacity_varies_with_load=root.one_of("weights", SIZES, "off"),
+        max_streams_per_connection=allowed.above("multiplex", 1, 1),
+        keep_alive_timeout=allowed.above("keepaliveUs", 0, 0),
         # one of them said without the window would be a limit that never binds
-        further_window=rules.above("extraWindowUs", 1) if limited else 0,
-        further_free=rules.least("freeResends", 0.0, 0.0),
-        further_ratio=rules.least("furtherRatio", 0.0, 0.0),
-        gone_is_advice=rules.flag("goneIsAdvice"),
+        retry_window=rules.above("extraWindowUs", 1) if limited else 0,
+        retry_window_allowance=rules.least("freeResends", 0.0, 0.0),
+        retry_window_ratio=rules.least("furtherRatio", 0.0, 0.0),
+        removal_is_advisory=rules.flag("goneIsAdvice"),
     )
--- a/linetrack/simhost/host.py
+++ b/linetrack/simhost/host.py
@@ -6,7 +6,7 @@
 import traceback
 from typing import TextIO
 
-from linetrack.policy.interface import Entry, FleetNews, ListForm
+from linetrack.policy.events import EndpointEntry, EndpointListUpdate, ListForm
 from linetrack.policy.balancer import Balancer
 from linetrack.simhost import wire
 from linetrack.simhost.settings import from_pairs
@@ -22,7 +22,7 @@
         self.lines_read = 0
         self.now = 0
         self.instances: dict[str, Balancer] = {}
-        self.lists: dict[int, tuple[Entry, ...]] = {}
+        self.lists: dict[int, tuple[EndpointEntry, ...]] = {}
         self.reply: list[str] = []
 
     def run(self) -> int:
@@ -99,16 +99,16 @@
             entries.append(wire.entry(entry))
         self.lists[wire.whole(fields, "slot")] = tuple(entries)
 
-    def _news(self, fields: Fields) -> FleetNews:
+    def _news(self, fields: Fields) -> EndpointListUpdate:
         form = wire.text(fields, "form")
         if form not in FORMS:
             raise WireError(f"form={form!r} is no known form")
-        if FORMS[form] is ListForm.REFUSED:
-            return FleetNews(ListForm.REFUSED)
+        if FORMS[form] is ListForm.REJECTED:
+            return EndpointListUpdate(ListForm.REJECTED)
         slot = wire.whole(fields, "slot")
         if slot not in self.lists:
             raise WireError(f"slot={slot} holds no inventory")
-        return FleetNews(FORMS[form], self.lists[slot])
+        return EndpointListUpdate(FORMS[form], self.lists[slot])
 
     def _deliver(self, instance: str, event: object) -> None:
         try:
--- a/linetrack/simhost/settings.py
+++ b/linetrack/simhost/settings.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from linetrack.policy import interface as i
+from linetrack.policy.settings import Settings
 from linetrack.settings import SettingsError, read_settings
 from linetrack.simhost.wire import Fields, WireError
 
@@ -40,7 +40,7 @@
     return [below.get(str(n), {}) for n in range(int(count))]
 
 
-def from_pairs(pairs: Fields) -> i.Settings:
+def from_pairs(pairs: Fields) -> Settings:
     try:
         return read_settings(nested(pairs))
     except SettingsError as fault:
--- a/linetrack/simhost/wire.py
+++ b/linetrack/simhost/wire.py
@@ -6,7 +6,34 @@
 from collections.abc import Callable
 from typing import Any
 
-from linetrack.policy import interface as i
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    Log,
+    RejectRequest,
+    SendHealthCheck,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointStatus,
+    Event,
+    HealthCheckEnded,
+    ListForm,
+    Outcome,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
 
 
 class WireError(Exception):
@@ -16,21 +43,21 @@
 Fields = dict[str, str]
 
 OUTCOMES = {
-    "done": i.Outcome.OK,
-    "err": i.Outcome.ERROR,
-    "busy": i.Outcome.FULL,
-    "etimedout": i.Outcome.TIMEOUT,
-    "econnrefused": i.Outcome.CONNECT_FAILED,
-    "econnreset": i.Outcome.RESET,
-    "ecanceled": i.Outcome.CANCELLED,
-    "skipped": i.Outcome.MOOT,
+    "done": Outcome.SUCCESS,
+    "err": Outcome.ERROR,
+    "busy": Outcome.OVERLOADED,
+    "etimedout": Outcome.TIMEOUT,
+    "econnrefused": Outcome.CONNECT_FAILED,
+    "econnreset": Outcome.RESET,
+    "ecanceled": Outcome.CANCELLED,
+    "skipped": Outcome.NOT_SENT,
 }
-HEALTH = {"U": i.Health.UP, "L": i.Health.DRAINING, "D": i.Health.GONE}
+HEALTH = {"U": EndpointStatus.UP, "L": EndpointStatus.DRAINING, "D": EndpointStatus.REMOVED}
 FORMS = {
-    "changes": i.ListForm.CHANGES,
-    "all": i.ListForm.WHOLE,
-    "remembered": i.ListForm.REMEMBERED,
-    "refused": i.ListForm.REFUSED,
+    "changes": ListForm.DELTA,
+    "all": ListForm.SNAPSHOT,
+    "remembered": ListForm.CACHED,
+    "refused": ListForm.REJECTED,
 }
 
 
@@ -91,7 +118,7 @@
     return tuple(values)
 
 
-def _outcome(fields: Fields) -> i.Outcome:
+def _outcome(fields: Fields) -> Outcome:
     how = text(fields, "how")
     if how not in OUTCOMES:
         raise WireError(f"how={how!r} is no known outcome")
@@ -106,11 +133,11 @@
         raise WireError(f"body={value!r} is not base64") from None
 
 
-def entry(fields: Fields) -> i.Entry:
+def entry(fields: Fields) -> EndpointEntry:
     health = fields.get("health", "U")
     if health not in HEALTH:
         raise WireError(f"health={health!r} is no known state")
-    return i.Entry(
+    return EndpointEntry(
         text(fields, "upstream"),
         whole(fields, "rackZone", 0),
         whole(fields, "classOfHost", 0),
@@ -121,8 +148,8 @@
     )
 
 
-def _request(f: Fields) -> i.Event:
-    return i.Arrival(
+def _request(f: Fields) -> Event:
+    return RequestReceived(
         whole(f, "ref"),
         whole(f, "kind"),
         whole(f, "patienceLeftUs"),
@@ -134,12 +161,12 @@
     )
 
 
-def _established(f: Fields) -> i.Event:
-    return i.Begun(whole(f, "ref"), whole(f, "trial"), text(f, "upstream"), whole(f, "rttUs"))
+def _established(f: Fields) -> Event:
+    return ResponseStarted(whole(f, "ref"), whole(f, "trial"), text(f, "upstream"), whole(f, "rttUs"))
 
 
-def _finished(f: Fields) -> i.Event:
-    return i.Ended(
+def _finished(f: Fields) -> Event:
+    return AttemptEnded(
         whole(f, "ref"),
         whole(f, "trial"),
         text(f, "upstream"),
@@ -150,45 +177,45 @@
     )
 
 
-EVENTS: dict[str, Callable[[Fields], i.Event]] = {
+EVENTS: dict[str, Callable[[Fields], Event]] = {
     "REQ": _request,
     "ESTABLISHED": _established,
     "FINISHED": _finished,
-    "CLIENT_LEFT": lambda f: i.ClientLeft(whole(f, "ref")),
-    "ALARM": lambda f: i.TimerDue(text(f, "nonce")),
-    "CHECKED": lambda f: i.ProbeEnded(text(f, "upstream"), _outcome(f), whole(f, "rttUs"), report(f)),
-    "MEMO": lambda f: i.PeerMessage(whole(f, "originPeer"), _body(f)),
+    "CLIENT_LEFT": lambda f: ClientDisconnected(whole(f, "ref")),
+    "ALARM": lambda f: TimerFired(text(f, "nonce")),
+    "CHECKED": lambda f: HealthCheckEnded(text(f, "upstream"), _outcome(f), whole(f, "rttUs"), report(f)),
+    "MEMO": lambda f: PeerMessageReceived(whole(f, "originPeer"), _body(f)),
 }
 
 
-def _send(name: str, action: i.Send) -> str:
+def _send(name: str, action: StartAttempt) -> str:
     within = f" withinUs={action.timeout}" if action.timeout else ""
-    return f"SUBMIT_TO i={name} ref={action.request} upstream={action.upstream}{within}"
+    return f"SUBMIT_TO i={name} ref={action.request_id} upstream={action.endpoint}{within}"
 
 
-def _refuse(name: str, action: i.Refuse) -> str:
+def _refuse(name: str, action: RejectRequest) -> str:
     advice = f" backoffUs={action.retry_after}" if action.retry_after else ""
-    return f"OVERLOAD_REPLY i={name} ref={action.request}{advice}"
+    return f"OVERLOAD_REPLY i={name} ref={action.request_id}{advice}"
 
 
 # by type: a row of patterns took a twentieth of a busy day
 ACTIONS: dict[type, Callable[[str, Any], str]] = {
-    i.Send: _send,
-    i.Refuse: _refuse,
-    i.SetTimer: lambda name, a: f"REMIND i={name} offsetUs={a.after} nonce={a.token}",
-    i.Cancel: lambda name, a: f"UNDO_SEND i={name} ref={a.request} trial={a.attempt}",
-    i.Fail: lambda name, a: f"GIVE_UP i={name} ref={a.request}",
-    i.Watch: lambda name, a: f"FOLLOW i={name} want={int(a.on)}",
-    i.FetchList: lambda name, a: f"FETCH i={name}",
-    i.Probe: lambda name, a: f"PROBE i={name} upstream={a.upstream}",
-    i.CloseIdle: lambda name, a: f"DROP_CONNS i={name} upstream={a.upstream}",
-    i.Tell: lambda name, a: (
+    StartAttempt: _send,
+    RejectRequest: _refuse,
+    SetTimer: lambda name, a: f"REMIND i={name} offsetUs={a.delay} nonce={a.token}",
+    CancelAttempt: lambda name, a: f"UNDO_SEND i={name} ref={a.request_id} trial={a.attempt}",
+    FailRequest: lambda name, a: f"GIVE_UP i={name} ref={a.request_id}",
+    WatchEndpoints: lambda name, a: f"FOLLOW i={name} want={int(a.enabled)}",
+    FetchEndpoints: lambda name, a: f"FETCH i={name}",
+    SendHealthCheck: lambda name, a: f"PROBE i={name} upstream={a.endpoint}",
+    CloseIdleConnections: lambda name, a: f"DROP_CONNS i={name} upstream={a.endpoint}",
+    SendToPeer: lambda name, a: (
         f"WRITE_PEER i={name} dst={a.receiver} body={base64.b64encode(a.body).decode() or '-'}"
     ),
-    i.Note: lambda name, a: f"NOTE_DOWN i={name} what={' '.join(a.text.split())}",
+    Log: lambda name, a: f"NOTE_DOWN i={name} what={' '.join(a.text.split())}",
 }
 
 
-def format_action(name: str, action: i.Action) -> str:
+def format_action(name: str, action: Action) -> str:
     """The line of one action of the instance `name`."""
     return ACTIONS[type(action)](name, action)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,33 +2,28 @@
 
 from collections.abc import Callable
 
-from linetrack.policy.interface import (
-    Action,
-    Arrival,
-    Effect,
-    Ended,
-    Entry,
+from linetrack.policy.actions import Action, StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
     Event,
-    FleetNews,
-    Group,
     ListForm,
-    Load,
     Outcome,
-    RequestClass,
-    Send,
-    Settings,
+    RequestReceived,
 )
+from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField, RequestClass, Settings
 from linetrack.policy.balancer import Balancer
 
 MS = 1000
 SECOND = 1_000_000
 
 CLASSES = (
-    RequestClass(Effect.SAFE, 500 * MS, 2 * SECOND, worth=3.0),
-    RequestClass(Effect.KEYED, 500 * MS, 2 * SECOND, worth=5.0, group=Group.ZONE, window=SECOND),
-    RequestClass(Effect.UNSAFE, 500 * MS, 2 * SECOND, worth=9.0),
-    RequestClass(Effect.KEYED, 500 * MS, 2 * SECOND, worth=1.0, group=Group.CELL, window=SECOND),
-    RequestClass(Effect.KEYED, 500 * MS, 2 * SECOND, worth=1.0, group=Group.ALL, window=SECOND),
+    RequestClass(Idempotency.IDEMPOTENT, 500 * MS, 2 * SECOND, priority_weight=3.0),
+    RequestClass(Idempotency.IDEMPOTENCY_KEY, 500 * MS, 2 * SECOND, priority_weight=5.0, deduplication_scope=DeduplicationScope.ZONE, deduplication_window=SECOND),
+    RequestClass(Idempotency.NON_IDEMPOTENT, 500 * MS, 2 * SECOND, priority_weight=9.0),
+    RequestClass(Idempotency.IDEMPOTENCY_KEY, 500 * MS, 2 * SECOND, priority_weight=1.0, deduplication_scope=DeduplicationScope.CELL, deduplication_window=SECOND),
+    RequestClass(Idempotency.IDEMPOTENCY_KEY, 500 * MS, 2 * SECOND, priority_weight=1.0, deduplication_scope=DeduplicationScope.ALL, deduplication_window=SECOND),
 )
 SAFE, KEYED, UNSAFE, CELL, KEYED_ALL = range(5)
 
@@ -36,37 +31,37 @@
 def settings(**changes: object) -> Settings:
     values: dict[str, object] = {
         "classes": CLASSES,
-        "instances": 3,
-        "zones": 2,
-        "report_fields": (Load.QUEUE,),
-        "cold_from": 0.2,
-        "warm_up": 10 * SECOND,
-        "fall_multiple": 3.0,
-        "overload_for": SECOND,
+        "instance_count": 3,
+        "zone_count": 2,
+        "load_report_fields": (LoadField.QUEUE_DEPTH,),
+        "slow_start_initial_fraction": 0.2,
+        "slow_start_duration": 10 * SECOND,
+        "overload_multiple": 3.0,
+        "overload_window": SECOND,
         "drain_grace": SECOND,
         "may_cancel": True,
-        "parallel": True,
-        "retry_advice": True,
+        "may_run_parallel_attempts": True,
+        "may_send_retry_after": True,
         "max_retry_after": SECOND,
         "max_attempts": 4,
-        "price_cross": 0.1,
+        "cross_zone_cost": 0.1,
     }
     return Settings(**{**values, **changes})  # type: ignore[arg-type]
 
 
-def fleet(home: int = 4, away: int = 3) -> tuple[Entry, ...]:
-    entries = [Entry(f"h{n}", zone=0, cell=n // 2) for n in range(home)]
-    return (*entries, *(Entry(f"a{n}", zone=1, cell=10 + n // 2) for n in range(away)))
+def fleet(home: int = 4, away: int = 3) -> tuple[EndpointEntry, ...]:
+    entries = [EndpointEntry(f"h{n}", zone=0, cell=n // 2) for n in range(home)]
+    return (*entries, *(EndpointEntry(f"a{n}", zone=1, cell=10 + n // 2) for n in range(away)))
 
 
 class Driver:
     """Feeds one balancer and keeps what it did."""
 
-    def __init__(self, seed: int = 1, entries: tuple[Entry, ...] | None = None, **changes: object) -> None:
+    def __init__(self, seed: int = 1, entries: tuple[EndpointEntry, ...] | None = None, **changes: object) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 1000 * SECOND
         self.count = 0
-        self.feed(FleetNews(ListForm.REMEMBERED, fleet() if entries is None else entries))
+        self.feed(EndpointListUpdate(ListForm.CACHED, fleet() if entries is None else entries))
 
     def feed(self, event: Event, after: int = 0) -> list[Action]:
         self.now += after
@@ -74,19 +69,19 @@
 
     def ask(self, klass: int = SAFE, after: int = 0, patience: int = 2 * SECOND) -> tuple[int, list[Action]]:
         self.count += 1
-        return self.count, self.feed(Arrival(self.count, klass, patience), after)
+        return self.count, self.feed(RequestReceived(self.count, klass, patience), after)
 
     def end(
         self,
         request: int,
         upstream: str,
-        outcome: Outcome = Outcome.OK,
+        outcome: Outcome = Outcome.SUCCESS,
         latency: int = 50 * MS,
         attempt: int = 0,
         report: tuple[float, ...] = (),
     ) -> list[Action]:
-        over = outcome is Outcome.OK
-        return self.feed(Ended(request, attempt, upstream, outcome, latency, over, report), latency)
+        over = outcome is Outcome.SUCCESS
+        return self.feed(AttemptEnded(request, attempt, upstream, outcome, latency, over, report), latency)
 
     def finish(self, answer: Callable[[str], tuple[Outcome, int]], klass: int = SAFE) -> list[str]:
         """One request to its end, each attempt ended as `answer` says of its upstream; where it went."""
@@ -107,4 +102,4 @@
 
 
 def sends(actions: list[Action]) -> list[str]:
-    return [action.upstream for action in actions if isinstance(action, Send)]
+    return [action.endpoint for action in actions if isinstance(action, StartAttempt)]
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -10,9 +10,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.control.metrics import Fate, Figures
-from linetrack.control.settings_switch import avoided
-from linetrack.policy.interface import Outcome
+from linetrack.control.metrics import RequestOutcome, Metrics
+from linetrack.control.settings_switch import count_unavailable
+from linetrack.policy.events import Outcome
 from tests.helpers import SAFE, SECOND, Driver
 from tests.stand_ins import (
     Message,
@@ -147,11 +147,11 @@
 LINE = re.compile(r'app_[a-z_]+(\{priority="(\\.|[^"\\\n])*",status="[a-z]+"\})? \d+')
 
 
-@given(st.lists(st.tuples(st.text(max_size=5), st.sampled_from(Fate)), max_size=30), st.integers(0, 9))
+@given(st.lists(st.tuples(st.text(max_size=5), st.sampled_from(RequestOutcome)), max_size=30), st.integers(0, 9))
 def test_totals_agree_and_whatever_a_class_is_called_the_text_can_be_read(
-    ends: list[tuple[str, Fate]], left: int
+    ends: list[tuple[str, RequestOutcome]], left: int
 ) -> None:
-    figures = Figures()
+    figures = Metrics()
     figures.taken, figures.left = len(ends) + left + 2, left
     for klass, fate in ends:
         figures.over(klass, fate)
@@ -164,13 +164,13 @@
 
 
 def test_an_upstream_is_out_of_rotation_while_it_drains_or_is_in_a_spell_for_every_class() -> None:
-    driver = Driver(warm_up=0)
-    assert avoided(driver.balancer, driver.now) == 0
+    driver = Driver(slow_start_duration=0)
+    assert count_unavailable(driver.balancer, driver.now) == 0
     request, actions = driver.ask(SAFE)
-    first = actions[0].upstream  # type: ignore[union-attr]
+    first = actions[0].endpoint  # type: ignore[union-attr]
     driver.end(request, first, Outcome.CONNECT_FAILED)
-    assert avoided(driver.balancer, driver.now) == 1
+    assert count_unavailable(driver.balancer, driver.now) == 1
     driver.balancer.fleet[first].spells.pop(SAFE)
-    assert avoided(driver.balancer, driver.now) == 0, "some class still uses it"
+    assert count_unavailable(driver.balancer, driver.now) == 0, "some class still uses it"
     driver.balancer.fleet["h0"].gone = True
-    assert avoided(driver.balancer, driver.now + 60 * SECOND) == 1
+    assert count_unavailable(driver.balancer, driver.now + 60 * SECOND) == 1
