--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linetrack.control.discovery_schedule import Call, Calls, Fault
-from linetrack.policy.interface import Settings
+from linetrack.control.discovery_schedule import Poll, DiscoverySchedule, PollFailure
+from linetrack.policy.settings import Settings
 
 MS, SECOND = 1_000, 1_000_000
 GRACE = 300 * MS  # in which sends to one that drains must end
@@ -30,7 +30,7 @@
         self.turns_away, self.turned = turns_away, 0
         self.made: list[int] = []  # when each call was made
 
-    def play(self, calls: Calls, until: int, least: int) -> tuple[int, int]:
+    def play(self, calls: DiscoverySchedule, until: int, least: int) -> tuple[int, int]:
         """When the change counts as told and when it was heard, for an instance that starts at 0.  One that
         met no waiting call counts `least` after it was made."""
         now, told, heard, on_watch = 0, self.change + least, until, False
@@ -41,7 +41,7 @@
             if not on_watch:
                 if self.turns_away and self.turned < 2 and self.random.random() < 0.5:
                     self.turned += 1
-                    calls.failed(start, Fault.TURNED_AWAY)
+                    calls.failed(start, PollFailure.REJECTED)
                     now = start
                     continue
                 taken, self.turned = start + self.random.randrange(1, self.slow), 0
@@ -52,7 +52,7 @@
                 if heard == until and self.change <= start + call.limit:
                     told = max(self.silence + 6 * SECOND, start + call.long_poll + 2 * SECOND)
                 now = start + call.limit
-                calls.failed(now, Fault.SILENT)
+                calls.failed(now, PollFailure.TIMEOUT)
                 continue
             now = answered
             if news:
@@ -63,7 +63,7 @@
         return told, heard
 
 
-ASKED = Settings((), must_ask=True, ask_every=10 * SECOND, drain_grace=GRACE)
+ASKED = Settings((), must_subscribe=True, poll_interval=10 * SECOND, drain_grace=GRACE)
 PUSHED = Settings((), drain_grace=GRACE)
 
 
@@ -76,7 +76,7 @@
     had been announced as leaving were still sent to (days calm+brink, every seed)."""
     slow = 5 * MS if pushed else 600 * MS
     discovery = Discovery(seed, max(0, silence + after), silence, slow, turns_away=not pushed)
-    calls = Calls(PUSHED if pushed else ASKED, seed)
+    calls = DiscoverySchedule(PUSHED if pushed else ASKED, seed)
     until = silence + 60 * SECOND
     told, heard = discovery.play(calls, until, 0 if pushed else 10 * SECOND)
     assert heard <= told + GRACE
@@ -87,14 +87,14 @@
     """Guards against all of a fleet calling again at one moment: discovery works through calls in turn."""
     discovery = Discovery(1, 3 * SECOND, 2 * SECOND, 600 * MS, turns_away=False)
     for n in range(count):
-        discovery.play(Calls(ASKED, n), 30 * SECOND, 10 * SECOND)
+        discovery.play(DiscoverySchedule(ASKED, n), 30 * SECOND, 10 * SECOND)
     # one at the start, one after the silence, and watches of ten seconds at least
     assert len(discovery.made) <= 5 * count
     seconds = [sum(at // SECOND == s for at in discovery.made) for s in range(5, 30)]
     assert max(seconds) <= count / 3
 
 
-def failing(calls: Calls, fault: Fault, until: int, now: int = 0) -> list[int]:
+def failing(calls: DiscoverySchedule, fault: PollFailure, until: int, now: int = 0) -> list[int]:
     """When it calls a discovery that fails at once, until then."""
     at = []
     while (call := calls.next(now)).at < until:
@@ -104,20 +104,20 @@
     return at
 
 
-def silent(calls: Calls) -> tuple[int, int]:
+def silent(calls: DiscoverySchedule) -> tuple[int, int]:
     """A first watch that says nothing: when it was given up, and when what it missed binds."""
     call = calls.next(0)
     assert calls.due is not None and call.long_poll
     due, now = calls.due, call.limit
-    calls.failed(now, Fault.SILENT)
+    calls.failed(now, PollFailure.TIMEOUT)
     return now, due
 
 
 @given(st.integers(0, 10**6))
 def test_a_discovery_that_turns_calls_away_is_tried_often_only_near_the_moment(seed: int) -> None:
-    calls = Calls(ASKED, seed)
+    calls = DiscoverySchedule(ASKED, seed)
     now, due = silent(calls)
-    tries = failing(calls, Fault.TURNED_AWAY, due + 60 * SECOND, now)
+    tries = failing(calls, PollFailure.REJECTED, due + 60 * SECOND, now)
     assert sum(at <= due for at in tries) >= 4
     assert sum(at <= due + 2 * SECOND for at in tries) <= 25
     late = [at for at in tries if at > due + 30 * SECOND]
@@ -128,11 +128,11 @@
 def test_a_discovery_that_is_down_is_called_often_enough_to_be_met_and_no_oftener(seed: int) -> None:
     """Whatever failed before, a change counts 6 s after discovery could be reached: waits that grew to half
     of `ask_every` were too long.  A refused call costs discovery nothing."""
-    calls = Calls(ASKED, seed)
+    calls = DiscoverySchedule(ASKED, seed)
     call = calls.next(0)
     calls.due = None
-    calls.failed(call.at, Fault.DOWN)
-    tries = [0, *failing(calls, Fault.DOWN, 120 * SECOND)]
+    calls.failed(call.at, PollFailure.UNREACHABLE)
+    tries = [0, *failing(calls, PollFailure.UNREACHABLE, 120 * SECOND)]
     waits = [after - before for before, after in pairwise(tries)]
     assert max(waits) <= 2 * SECOND and len(tries) < 100
     assert waits[0] <= 1500 * MS and min(waits[10:]) >= SECOND
@@ -154,7 +154,7 @@
         self.reached = end
         self.states.append((end, end + 60 * SECOND, "answers"))
 
-    def play(self, calls: Calls) -> tuple[int, int]:
+    def play(self, calls: DiscoverySchedule) -> tuple[int, int]:
         """When the first answer after it could be reached for good was read, and when it binds at the
         latest."""
         now, binds, watched = 0, self.reached + 6 * SECOND, -1  # the last: the end of a watch's state
@@ -169,10 +169,10 @@
                 state = next(s[2] for s in self.states if s[0] == watched)
                 if state in ("refuses", "turns away"):
                     now = watched
-                    calls.failed(now, Fault.DOWN)
+                    calls.failed(now, PollFailure.UNREACHABLE)
                 else:
                     now = call.at + call.limit
-                    calls.failed(now, Fault.SILENT)
+                    calls.failed(now, PollFailure.TIMEOUT)
                     binds = max(binds, quiet + 2 * SECOND)
                 watched = -1
                 continue
@@ -186,13 +186,13 @@
                 calls.answered(now, call, call.long_poll > 0)
                 continue
             now, fault = {
-                "refuses": (call.at, Fault.DOWN),
-                "cannot be dialled": (call.at + call.dial, Fault.DOWN),
-                "turns away": (call.at + MS, Fault.TURNED_AWAY),
-                "spoils": (taken, Fault.FAULTY),
-                "cuts short": (taken + call.still, Fault.CUT),
-                "drips": (taken + call.whole, Fault.CUT),
-            }.get(state, (call.at + call.limit, Fault.SILENT))
+                "refuses": (call.at, PollFailure.UNREACHABLE),
+                "cannot be dialled": (call.at + call.dial, PollFailure.UNREACHABLE),
+                "turns away": (call.at + MS, PollFailure.REJECTED),
+                "spoils": (taken, PollFailure.INVALID),
+                "cuts short": (taken + call.still, PollFailure.TRUNCATED),
+                "drips": (taken + call.whole, PollFailure.TRUNCATED),
+            }.get(state, (call.at + call.limit, PollFailure.TIMEOUT))
             calls.failed(now, fault)
 
 
@@ -214,15 +214,15 @@
     discovery could be reached: a dial of 5 s, a call that hangs for 5 s, a wait of half of `ask_every`."""
     states = [("refuses", MS), *states, (last, lasts)]
     states = [s for n, s in enumerate(states) if n == 0 or s[0] != states[n - 1][0]]
-    read, binds = Troubled(seed, states).play(Calls(PUSHED if pushed else ASKED, seed))
+    read, binds = Troubled(seed, states).play(DiscoverySchedule(PUSHED if pushed else ASKED, seed))
     assert read <= binds
 
 
 @given(st.integers(0, 10**6))
 def test_where_lists_are_pushed_a_discovery_that_was_down_is_met_within_the_grace(seed: int) -> None:
     """What it gets at its return counts at once, whether or not a watch is open."""
-    calls = Calls(PUSHED, seed)
-    tries = failing(calls, Fault.DOWN, 20 * SECOND)
+    calls = DiscoverySchedule(PUSHED, seed)
+    tries = failing(calls, PollFailure.UNREACHABLE, 20 * SECOND)
     assert max(after - before for before, after in pairwise(tries)) <= GRACE
 
 
@@ -230,10 +230,10 @@
 def test_another_discovery_is_called_at_once_and_again_before_its_news_counts(seed: int, at: int) -> None:
     """Guards against the back-off of the old discovery, and against three refusals of the new one that
     outlast the four seconds after SIGHUP."""
-    calls = Calls(ASKED, seed)
-    failing(calls, Fault.DOWN, at)
+    calls = DiscoverySchedule(ASKED, seed)
+    failing(calls, PollFailure.UNREACHABLE, at)
     calls.moved(at)
-    tries = failing(calls, Fault.TURNED_AWAY, at + 4 * SECOND, at)
+    tries = failing(calls, PollFailure.REJECTED, at + 4 * SECOND, at)
     assert tries[0] == at and len(tries) >= 5
 
 
@@ -246,11 +246,11 @@
 ) -> None:
     """Discovery works through calls in turn and turns away at once what would wait too long.  Guards against
     a fleet of 230 that gives up its places in that queue, or comes so seldom that the queue runs empty."""
-    fleet, began, random = [Calls(ASKED, n) for n in range(230)], 20 * SECOND, Random(work)
-    ends: list[tuple[int, int, Fault]] = []  # when each call fails; watches of every age at first
+    fleet, began, random = [DiscoverySchedule(ASKED, n) for n in range(230)], 20 * SECOND, Random(work)
+    ends: list[tuple[int, int, PollFailure]] = []  # when each call fails; watches of every age at first
     for n, calls in enumerate(fleet):
         calls.next(random.randrange(began - 10 * SECOND, began))
-        heapq.heappush(ends, (began, n, Fault.DOWN))
+        heapq.heappush(ends, (began, n, PollFailure.UNREACHABLE))
     down += began
     made, free, read = [0] * 100, down, []
     while ends:
@@ -259,9 +259,9 @@
         call = fleet[n].next(now)
         made[call.at // SECOND] += 1
         if call.at < down:
-            heapq.heappush(ends, (call.at, n, Fault.DOWN))
+            heapq.heappush(ends, (call.at, n, PollFailure.UNREACHABLE))
         elif max(free, call.at) + work - call.at > most_wait:
-            heapq.heappush(ends, (call.at, n, Fault.TURNED_AWAY))
+            heapq.heappush(ends, (call.at, n, PollFailure.REJECTED))
         else:
             free = max(free, call.at) + work
             assert free <= call.at + call.limit, "a place in the queue was given up"
@@ -272,10 +272,10 @@
 
 
 def test_a_call_after_a_failure_is_answered_at_once_and_a_watch_comes_behind_it() -> None:
-    calls = Calls(ASKED, 1)
+    calls = DiscoverySchedule(ASKED, 1)
     now, _ = silent(calls)
     prompt = calls.next(now)
     assert prompt.long_poll == 0 and prompt.at == now
     calls.answered(now + MS, prompt, False)
     watch = calls.next(now + MS)
-    assert isinstance(watch, Call) and watch.long_poll and watch.at - now <= 200 * MS
+    assert isinstance(watch, Poll) and watch.long_poll and watch.at - now <= 200 * MS
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,23 +15,18 @@
 
 import pytest
 
-from linetrack.policy.interface import (
-    Action,
-    Arrival,
-    Cancel,
-    Ended,
-    Entry,
+from linetrack.policy.actions import Action, CancelAttempt, FailRequest, RejectRequest, SetTimer, StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
     Event,
-    Fail,
-    FleetNews,
     ListForm,
-    Load,
     Outcome,
-    Refuse,
-    Send,
-    SetTimer,
-    TimerDue,
+    RequestReceived,
+    TimerFired,
 )
+from linetrack.policy.settings import LoadField
 from linetrack.policy.balancer import Balancer
 from tests.helpers import CELL, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, settings
 
@@ -61,17 +56,17 @@
 
     def __init__(self, shape: Shape, seed: int) -> None:
         self.shape, self.random, self.count = shape, Random(seed), 0
-        fields = (Load.QUEUE, Load.RATE) if shape.reports else ()
+        fields = (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE) if shape.reports else ()
         self.balancers = [
             Balancer(
                 settings(
-                    instances=shape.instances,
+                    instance_count=shape.instances,
                     instance=n,
-                    report_fields=fields,
-                    cold_from=shape.cold_from,
-                    warm_up=shape.warm_up,
-                    fall_multiple=shape.multiple,
-                    overload_for=shape.span,
+                    load_report_fields=fields,
+                    slow_start_initial_fraction=shape.cold_from,
+                    slow_start_duration=shape.warm_up,
+                    overload_multiple=shape.multiple,
+                    overload_window=shape.span,
                 ),
                 seed * 1000 + n,
             )
@@ -97,54 +92,54 @@
 
     def _plan(self) -> None:
         shape, random = self.shape, self.random
-        old = tuple(Entry(f"warm{n}") for n in range(shape.warm))
+        old = tuple(EndpointEntry(f"warm{n}") for n in range(shape.warm))
         shares = [1 / (n + 1) ** 1.2 for n in range(shape.instances)]
         rate = shape.load * shape.cores / shape.work * max(1, shape.warm)
         for n, share in enumerate(shares):
-            self.put(BEGIN, n, FleetNews(ListForm.REMEMBERED, old))
+            self.put(BEGIN, n, EndpointListUpdate(ListForm.CACHED, old))
             told = START + random.randrange(0, 600 * MS)
-            self.put(told, n, FleetNews(ListForm.CHANGES, (Entry(COLD, started=START),)))
+            self.put(told, n, EndpointListUpdate(ListForm.DELTA, (EndpointEntry(COLD, started_at=START),)))
             at = BEGIN
             while at < START + shape.warm_up:
                 burst = 3.0 if at // SECOND % 5 == 0 else 1.0
                 at += 1 + int(random.expovariate(rate * burst * share / sum(shares)))
-                self.put(at, n, Arrival(0, random.choice((SAFE, SAFE, UNSAFE, CELL, KEYED_ALL)), 2 * SECOND))
+                self.put(at, n, RequestReceived(0, random.choice((SAFE, SAFE, UNSAFE, CELL, KEYED_ALL)), 2 * SECOND))
 
     def run(self) -> Play:
         number = 0
         while self.queue:
             now, _, n, what = heapq.heappop(self.queue)
             event: Event = what
-            if isinstance(what, Arrival):
+            if isinstance(what, RequestReceived):
                 number += 1
                 self.attempts[n, number] = 0
-                event = Arrival(number, what.klass, what.patience)
-            elif isinstance(what, Ended):
-                key = (n, what.request, what.attempt)
+                event = RequestReceived(number, what.class_index, what.timeout)
+            elif isinstance(what, AttemptEnded):
+                key = (n, what.request_id, what.attempt)
                 if key in self.ended:
                     continue
                 self.ended.add(key)
-                if what.outcome is Outcome.OK:
-                    self.over.add((n, what.request))
-                what.over = (n, what.request) in self.over
+                if what.outcome is Outcome.SUCCESS:
+                    self.over.add((n, what.request_id))
+                what.request_completed = (n, what.request_id) in self.over
                 if self.shape.reports:
-                    lately = [at for at in self.served[what.upstream][-300:] if at > now - SECOND]
-                    what.report = (0.0, float(len(lately)))
+                    lately = [at for at in self.served[what.endpoint][-300:] if at > now - SECOND]
+                    what.load_report = (0.0, float(len(lately)))
             for action in self.balancers[n].handle(now, event):
                 self._act(now, n, action)
         return self
 
     def _act(self, now: int, n: int, action: Action) -> None:
         match action:
-            case Send(request, upstream):
+            case StartAttempt(request, upstream):
                 self._send(now, n, request, upstream)
             case SetTimer(after, token):
-                self.put(now + after, n, TimerDue(token))
-            case Cancel(request, attempt):
+                self.put(now + after, n, TimerFired(token))
+            case CancelAttempt(request, attempt):
                 if (n, request, attempt) not in self.ended:
-                    took = Ended(request, attempt, COLD, Outcome.CANCELLED, 0, True)
+                    took = AttemptEnded(request, attempt, COLD, Outcome.CANCELLED, 0, True)
                     self.put(now, n, took)
-            case Refuse(request) | Fail(request):
+            case RejectRequest(request) | FailRequest(request):
                 self.over.add((n, request))
 
     def _send(self, now: int, n: int, request: int, upstream: str) -> None:
@@ -161,10 +156,10 @@
         self.served[upstream].append(now)
         if self.random.random() < 0.08:
             outcome = self.random.choice((Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED))
-            self.put(now + 5 * MS, n, Ended(request, attempt, upstream, outcome, 5 * MS, False))
+            self.put(now + 5 * MS, n, AttemptEnded(request, attempt, upstream, outcome, 5 * MS, False))
         else:
-            self.put(done, n, Ended(request, attempt, upstream, Outcome.OK, done - now, True))
-        late = Ended(request, attempt, upstream, Outcome.TIMEOUT, 2 * SECOND, False)
+            self.put(done, n, AttemptEnded(request, attempt, upstream, Outcome.SUCCESS, done - now, True))
+        late = AttemptEnded(request, attempt, upstream, Outcome.TIMEOUT, 2 * SECOND, False)
         self.put(now + 2 * SECOND, n, late)
 
     def beyond(self) -> float:
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from linetrack.policy.interface import Effect, Group, Load
+from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField
 from linetrack.server.config import Config, ConfigError, read_config
 from tests.stand_ins import SECOND, config
 
@@ -30,10 +30,10 @@
     assert read_values.listen == ("127.0.0.1", 8081) and read_values.discovery == ("127.0.0.1", 8500)
     assert read_values.seed == 0x8C1F30D27A5BE964
     assert read_values.class_names == ("look", "pay", "book")
-    assert read_values.settings.classes[2].effect is Effect.KEYED
-    assert read_values.settings.classes[2].group is Group.ALL
-    assert read_values.settings.report_fields == (Load.QUEUE, Load.RATE)
-    assert read_values.settings.must_ask and read_values.settings.may_cancel
+    assert read_values.settings.classes[2].idempotency is Idempotency.IDEMPOTENCY_KEY
+    assert read_values.settings.classes[2].deduplication_scope is DeduplicationScope.ALL
+    assert read_values.settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
+    assert read_values.settings.must_subscribe and read_values.settings.may_cancel
     assert read_values.longest == 2 * SECOND
     assert [member.name for member in read_values.known.members] == ["a"]
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,17 +11,18 @@
 import pytest
 
 from linetrack.control import discovery_schedule as calls
-from linetrack.control.discovery_schedule import Fault
-from linetrack.policy.interface import FleetNews, Health, ListForm, Settings
+from linetrack.control.discovery_schedule import PollFailure
+from linetrack.policy.events import EndpointListUpdate, EndpointStatus, ListForm
+from linetrack.policy.settings import Settings
 from linetrack.server.budget import Budget
 from linetrack.server.connection import Connection
-from linetrack.server.discovery_client import Discovery
-from linetrack.server.messages import address, member_list
-from linetrack.server.upstream_pool import Upstreams
+from linetrack.server.discovery_client import DiscoveryClient
+from linetrack.server.messages import address, parse_endpoint_list
+from linetrack.server.upstream_pool import UpstreamPool
 from tests import stand_ins
 from tests.stand_ins import answer, entry, turns_until
 
-ASKED = Settings((), must_ask=True, ask_every=10_000_000, drain_grace=1_000_000)
+ASKED = Settings((), must_subscribe=True, poll_interval=10_000_000, drain_grace=1_000_000)
 PUSHED = Settings((), drain_grace=300_000)
 LONG = 3_600_000_000  # a wait that a test never sees the end of
 
@@ -31,27 +32,27 @@
 
     def __init__(self, settings: Settings = ASKED) -> None:
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
-        self.told: list[FleetNews] = []
-        self.upstreams = Upstreams(Budget(1024, 192), 1, 1, (), lambda done, seen: None)
-        self.failed: list[Fault] = []
-        self.discovery = Discovery(
+        self.told: list[EndpointListUpdate] = []
+        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda done, seen: None)
+        self.failed: list[PollFailure] = []
+        self.discovery = DiscoveryClient(
             address(self.server.address), self.upstreams, self.put, ("north",), ("plain",), settings, 1
         )
         failed = self.discovery.calls.failed
 
-        def note(now: int, fault: Fault) -> None:
+        def note(now: int, fault: PollFailure) -> None:
             self.failed.append(fault)
             failed(now, fault)
 
         self.discovery.calls.failed = note  # type: ignore[method-assign]
         self.greenlet = gevent.spawn(self.discovery.run)
 
-    def put(self, news: FleetNews, seen: int) -> None:
+    def put(self, news: EndpointListUpdate, seen: int) -> None:
         self.told.append(news)
 
     def start(self) -> None:
         known = {"version": 1, "full": True, "servers": self.server.entries}
-        self.discovery.remember(member_list(known))
+        self.discovery.remember(parse_endpoint_list(known))
         self.discovery.watch()
 
     def forms(self, count: int) -> list[ListForm]:
@@ -78,8 +79,8 @@
     turns_until(lambda: watched.server.calls)
     gevent.sleep(0.3)
     watched.server.change(entry("a", state="DRAINING"))
-    assert watched.forms(2) == [ListForm.REMEMBERED, ListForm.CHANGES]
-    assert watched.told[1].entries[0].health is Health.DRAINING
+    assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
+    assert watched.told[1].entries[0].status is EndpointStatus.DRAINING
 
 
 def listed(version: int, full: bool, *entries: Any) -> bytes:
@@ -92,20 +93,20 @@
 @pytest.mark.parametrize(
     ("reply", "fault"),
     [
-        (answer(b"not JSON"), Fault.FAULTY),
-        (answer(b"[" * 100_000), Fault.FAULTY),
-        (answer(b"{}"), Fault.FAULTY),
-        (answer(b'{"version":2,"full":"yes","servers":[]}'), Fault.FAULTY),
-        (answer(b'{"version":2,"full":true,"servers":[{"addr":"127.0.0.1:9"}]}'), Fault.FAULTY),
-        (b"SMTP\r\n\r\n", Fault.FAULTY),
-        (listed(0, False, entry("c")), Fault.FAULTY),
-        (HALF, Fault.CUT),
-        (HALF[:9], Fault.CUT),
-        (b"", Fault.SILENT),
+        (answer(b"not JSON"), PollFailure.INVALID),
+        (answer(b"[" * 100_000), PollFailure.INVALID),
+        (answer(b"{}"), PollFailure.INVALID),
+        (answer(b'{"version":2,"full":"yes","servers":[]}'), PollFailure.INVALID),
+        (answer(b'{"version":2,"full":true,"servers":[{"addr":"127.0.0.1:9"}]}'), PollFailure.INVALID),
+        (b"SMTP\r\n\r\n", PollFailure.INVALID),
+        (listed(0, False, entry("c")), PollFailure.INVALID),
+        (HALF, PollFailure.TRUNCATED),
+        (HALF[:9], PollFailure.TRUNCATED),
+        (b"", PollFailure.TIMEOUT),
     ],
 )
 def test_what_only_one_call_met_is_followed_by_another_at_once(
-    watched: Watched, reply: bytes, fault: Fault, monkeypatch: pytest.MonkeyPatch
+    watched: Watched, reply: bytes, fault: PollFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against the back-off of a discovery that is down after a watch that fell silent, or was spoilt
     or cut short: what it missed bound before the next call."""
@@ -114,11 +115,11 @@
     watched.discovery.calls.again = LONG
     watched.server.scripted = [reply]
     watched.start()
-    assert watched.forms(1) == [ListForm.REMEMBERED]
+    assert watched.forms(1) == [ListForm.CACHED]
     turns_until(lambda: watched.server.calls)
     monkeypatch.undo()
     watched.server.change(entry("a", state="DRAINING"))
-    assert watched.forms(2)[1] in (ListForm.CHANGES, ListForm.WHOLE)
+    assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
     assert watched.failed == [fault]
     assert "hold_ms=0" in watched.server.calls[1] or "?" not in watched.server.calls[1]
 
@@ -126,13 +127,13 @@
 @pytest.mark.parametrize(
     ("reply", "fault"),
     [
-        (answer(b"", 503), Fault.TURNED_AWAY),
-        (answer(b"{}", 200, "Content-Length: 7"), Fault.FAULTY),
-        (None, Fault.DOWN),
+        (answer(b"", 503), PollFailure.REJECTED),
+        (answer(b"{}", 200, "Content-Length: 7"), PollFailure.INVALID),
+        (None, PollFailure.UNREACHABLE),
     ],
 )
 def test_a_discovery_that_is_down_is_called_again_after_a_wait(
-    watched: Watched, reply: bytes | None, fault: Fault
+    watched: Watched, reply: bytes | None, fault: PollFailure
 ) -> None:
     watched.discovery.calls.again = 30_000
     watched.server.scripted = [reply]
@@ -140,9 +141,9 @@
     turns_until(lambda: watched.failed)
     assert watched.failed == [fault] and watched.discovery.heard.is_set()
     # the old list stands meanwhile; the list that is told then counts
-    assert watched.forms(1) == [ListForm.REMEMBERED]
+    assert watched.forms(1) == [ListForm.CACHED]
     watched.server.change(entry("a", state="DELETED"))
-    assert watched.forms(2)[1] in (ListForm.CHANGES, ListForm.WHOLE)
+    assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
 
 
 def test_after_an_older_version_the_whole_list_is_asked_for_and_counts(watched: Watched) -> None:
@@ -152,9 +153,9 @@
     watched.server.scripted = [listed(3, False, entry("c"))]
     watched.server.change(entry("b"))
     turns_until(lambda: watched.failed)
-    assert watched.failed == [Fault.FAULTY]
+    assert watched.failed == [PollFailure.INVALID]
     watched.server.version = 4
-    turns_until(lambda: watched.told[-1].form is ListForm.WHOLE)
+    turns_until(lambda: watched.told[-1].form is ListForm.SNAPSHOT)
     assert any("?" not in call for call in watched.server.calls)
 
 
@@ -176,12 +177,12 @@
     ]
     watched.start()
     watched.forms(2)
-    told = {e.upstream: e for e in watched.told[1].entries}
+    told = {e.endpoint: e for e in watched.told[1].entries}
     assert sorted(told) == ["a", "c"]
-    assert told["a"].health is Health.UP and told["a"].started == 5000
+    assert told["a"].status is EndpointStatus.UP and told["a"].started_at == 5000
     # a zone and a kind without a name in the settings are numbered after those that have one, and kept
     # nowhere
-    assert told["c"].zone > 0 and told["c"].kind > 0
+    assert told["c"].zone > 0 and told["c"].host_class > 0
     assert watched.discovery.zones == {"north": 0} and watched.discovery.kinds == {"plain": 0}
 
 
@@ -211,12 +212,12 @@
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("c")])
     watched.discovery.move(address(other.address))
-    assert watched.forms(2) == [ListForm.REMEMBERED, ListForm.WHOLE]
-    assert [e.upstream for e in watched.told[1].entries] == ["c"] and list(watched.upstreams.known) == ["c"]
+    assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
+    assert [e.endpoint for e in watched.told[1].entries] == ["c"] and list(watched.upstreams.known) == ["c"]
     assert "?" not in other.calls[0]
     other.version = 3
     other.change(entry("d"))
-    assert watched.forms(3)[2] is ListForm.CHANGES
+    assert watched.forms(3)[2] is ListForm.DELTA
     other.close()
 
 
@@ -230,7 +231,7 @@
     assert len(watched.server.calls) == 1
     other = stand_ins.Discovery([entry("c")])
     watched.discovery.move(address(other.address))
-    assert watched.forms(2)[1] is ListForm.WHOLE
+    assert watched.forms(2)[1] is ListForm.SNAPSHOT
     other.close()
 
 
@@ -244,14 +245,14 @@
         watched.discovery.move(address(other.address))
         turns_until(lambda: other.connections)
         watched.server.change(entry("b", state="DRAINING"))
-        assert watched.forms(2) == [ListForm.REMEMBERED, ListForm.CHANGES]
-        assert watched.upstreams.known["b"].health is Health.DRAINING
-    assert watched.forms(3)[2] is ListForm.WHOLE
+        assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
+        assert watched.upstreams.known["b"].health is EndpointStatus.DRAINING
+    assert watched.forms(3)[2] is ListForm.SNAPSHOT
     # what the old one tells from here on is nobody's business
     watched.server.change(entry("c", state="DRAINING"))
     turns_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert watched.upstreams.known["c"].health is Health.UP and len(watched.told) == 3
+    assert watched.upstreams.known["c"].health is EndpointStatus.UP and len(watched.told) == 3
     other.close()
 
 
@@ -264,9 +265,9 @@
     turns_until(lambda: watched.server.calls)
     watched.server.change(entry("b", state="DRAINING"))
     watched.server.connections[0].shutdown(socket.SHUT_RDWR)
-    assert watched.forms(2)[1] is ListForm.CHANGES
-    assert watched.failed == [Fault.CUT] and "hold_ms=0" in watched.server.calls[1]
-    assert [e.upstream for e in watched.told[1].entries] == ["b"]
+    assert watched.forms(2)[1] is ListForm.DELTA
+    assert watched.failed == [PollFailure.TRUNCATED] and "hold_ms=0" in watched.server.calls[1]
+    assert [e.endpoint for e in watched.told[1].entries] == ["b"]
 
 
 def test_without_a_descriptor_for_its_call_the_process_goes_on(
@@ -281,7 +282,7 @@
     monkeypatch.setattr("linetrack.server.discovery_client.Connection", none_left)
     watched.start()
     turns_until(lambda: watched.failed)
-    assert watched.failed == [Fault.DOWN]
+    assert watched.failed == [PollFailure.UNREACHABLE]
     turns_until(lambda: watched.server.calls)
     assert not watched.greenlet.dead
 
@@ -295,7 +296,7 @@
         turns_until(lambda: len(watched.failed) == 3)
         assert not watched.discovery.heard.is_set()
         turns_until(watched.discovery.heard.is_set)
-        assert watched.told[-1].form is ListForm.WHOLE
+        assert watched.told[-1].form is ListForm.SNAPSHOT
     finally:
         watched.close()
 
@@ -305,7 +306,7 @@
     turns_until(lambda: watched.server.calls)
     watched.discovery.move(address(stand_ins.free_address()))
     turns_until(lambda: watched.failed)
-    assert watched.failed == [Fault.DOWN] and sorted(watched.upstreams.known) == ["a", "b"]
+    assert watched.failed == [PollFailure.UNREACHABLE] and sorted(watched.upstreams.known) == ["a", "b"]
 
 
 def test_where_changes_come_by_themselves_it_calls_unasked_and_first_for_what_is_known() -> None:
@@ -315,14 +316,14 @@
     try:
         watched.server.scripted = [answer(b"", 503), listed(1, False)]
         watched.discovery.remember(
-            member_list({"version": 1, "full": True, "servers": watched.server.entries})
+            parse_endpoint_list({"version": 1, "full": True, "servers": watched.server.entries})
         )
         assert not watched.discovery.heard.is_set()
         turns_until(lambda: len(watched.server.calls) == 3)
         assert [call.partition("hold_ms=")[2] for call in watched.server.calls[:2]] == ["0", "0"]
         assert watched.discovery.heard.is_set()
         watched.server.change(entry("a", state="DRAINING"))
-        assert watched.forms(2)[1] is ListForm.CHANGES
+        assert watched.forms(2)[1] is ListForm.DELTA
     finally:
         watched.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,30 +17,28 @@
 import gevent
 import pytest
 
-from linetrack.control.hot_restart import Do, Identity
-from linetrack.policy.interface import (
-    Action,
-    Arrival,
-    ClientLeft,
-    Ended,
+from linetrack.control.hot_restart import Command, Identity
+from linetrack.policy.actions import Action, RejectRequest, StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointStatus,
     Event,
-    Health,
     Outcome,
-    Refuse,
-    Send,
+    RequestReceived,
 )
 from linetrack.server import client_connection
-from linetrack.server.admin import Admin
+from linetrack.server.admin import AdminServer
 from linetrack.server.budget import RESERVE, Budget
-from linetrack.server.listener import Clients
+from linetrack.server.listener import Listener
 from linetrack.server.clock import clock
 from linetrack.server.config import config_of
 from linetrack.server.connection import Connection, readable
 from linetrack.server.hot_restart_channel import Predecessor, Successor
-from linetrack.server.messages import Member, address
-from linetrack.server.dispatcher import Owner
+from linetrack.server.messages import EndpointRecord, address
+from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.lifecycle import Sidecar
-from linetrack.server.upstream_pool import REST, Upstreams
+from linetrack.server.upstream_pool import REST, UpstreamPool
 from tests.stand_ins import (
     MS,
     PATIENCE,
@@ -67,10 +65,10 @@
         return self.wants(event)
 
     def ends(self) -> list[Outcome]:
-        return [event.outcome for event in self.told if isinstance(event, Ended)]
+        return [event.outcome for event in self.told if isinstance(event, AttemptEnded)]
 
     def left(self) -> int:
-        return sum(isinstance(event, ClientLeft) for event in self.told)
+        return sum(isinstance(event, ClientDisconnected) for event in self.told)
 
 
 class Node:
@@ -80,18 +78,18 @@
         self.server = Upstream("a")
         self.policy = Script()
         self.budget = Budget(sockets, 192)
-        self.upstreams = Upstreams(
+        self.upstreams = UpstreamPool(
             self.budget, 250 * MS, 30 * SECOND, (), lambda done, seen: self.owner.put(done, seen)
         )
         self.upstreams.learn((self.member(),), True)
-        self.owner = Owner(self.policy, self.upstreams.start, self.upstreams.give_up, lambda: None)
-        self.clients = Clients(self.owner, self.budget, ("look",), (20 * SECOND,), lambda: True)
+        self.owner = Dispatcher(self.policy, self.upstreams.start, self.upstreams.give_up, lambda: None)
+        self.clients = Listener(self.owner, self.budget, ("look",), (20 * SECOND,), lambda: True)
         self.clients.listen(("127.0.0.1", 0))
         self.accepting = gevent.spawn(self.clients.accept)
         self.running = [self.accepting, gevent.spawn(self.owner.run)]
 
-    def member(self, health: Health = Health.UP) -> Member:
-        return Member("a", address(self.server.address), "north", "plain", 1, health, 1.0, 0)
+    def member(self, health: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
+        return EndpointRecord("a", address(self.server.address), "north", "plain", 1, health, 1.0, 0)
 
     def connect(self) -> Any:
         assert self.clients.listener is not None
@@ -104,14 +102,14 @@
         before = len(self.arrivals())
         wire.sendall(data or call(expires="20.0"))
         turns_until(lambda: len(self.arrivals()) > before)
-        return self.arrivals()[-1].request
+        return self.arrivals()[-1].request_id
 
-    def arrivals(self) -> list[Arrival]:
-        return [event for event in self.policy.told if isinstance(event, Arrival)]
+    def arrivals(self) -> list[RequestReceived]:
+        return [event for event in self.policy.told if isinstance(event, RequestReceived)]
 
     def served(self) -> Any:
         """A client whose request was served, so that a connection rests on each side."""
-        self.policy.wants = lambda event: [Send(event.request, "a")] if isinstance(event, Arrival) else []
+        self.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
         wire = self.connect()
         wire.sendall(call(expires="20.0"))
         assert wire.recv(65536).startswith(b"HTTP/1.1 200")
@@ -122,7 +120,7 @@
 
     def send(self, number: int) -> None:
         """The policy sends this request on, now, whatever stands in the owner's queue."""
-        self.owner._act(Send(number, "a"))
+        self.owner._act(StartAttempt(number, "a"))
 
     def close(self) -> None:
         gevent.killall(self.running)
@@ -176,7 +174,7 @@
     shows(sock, select.POLLRDHUP)
     node.send(number)  # in this very moment: no greenlet has seen it
     turns_until(node.policy.left)
-    turns_until(lambda: Outcome.MOOT in node.policy.ends() or Outcome.CANCELLED in node.policy.ends())
+    turns_until(lambda: Outcome.NOT_SENT in node.policy.ends() or Outcome.CANCELLED in node.policy.ends())
     assert len(node.server.seen) == seen and not node.owner.open
     turns_until(lambda: not node.clients.open)
 
@@ -212,7 +210,7 @@
     seen = len(node.server.seen)
     node.send(number)
     turns_until(node.policy.left)
-    turns_until(lambda: node.policy.ends()[-1] is Outcome.MOOT)
+    turns_until(lambda: node.policy.ends()[-1] is Outcome.NOT_SENT)
     assert len(node.server.seen) == seen
 
 
@@ -245,8 +243,8 @@
     monkeypatch.setattr(client_connection, "SHUT_FOR", 0)
     seen = len(node.server.seen)
     node.send(number)
-    turns_until(lambda: node.policy.ends()[-1] is Outcome.MOOT)
-    node.owner._act(Refuse(number, 0))
+    turns_until(lambda: node.policy.ends()[-1] is Outcome.NOT_SENT)
+    node.owner._act(RejectRequest(number, 0))
     assert second.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(node.server.seen) == seen and not node.policy.left()
 
@@ -263,7 +261,7 @@
     else:
         wire = node.served()
     client = client_side(node)
-    node.policy.wants = lambda event: [Send(event.request, "a")] if isinstance(event, Arrival) else []
+    node.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
     gevent.sleep(0)
     wire.sendall(call(expires="20.0"))
     shows(client.sock, select.POLLIN)
@@ -285,7 +283,7 @@
     idlers = [node.connect(), node.connect()]
     turns_until(lambda: len(node.clients.open) == 2)
     waiting = node.connect()
-    node.policy.wants = lambda event: [Send(event.request, "a")] if isinstance(event, Arrival) else []
+    node.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
     waiting.sendall(call(expires="20.0"))
     node.accepting.kill()
     node.clients.close_between_requests()
@@ -303,7 +301,7 @@
     wire = node.connect()
     node.owner.ends = clock() + SECOND
     node.ask(wire)
-    assert node.arrivals()[-1].patience <= SECOND
+    assert node.arrivals()[-1].timeout <= SECOND
     node.owner.ends = clock()
     late = node.connect()
     late.sendall(call(expires="20.0"))
@@ -342,7 +340,7 @@
     later(now)
     gevent.sleep(0)
     node.clients.passes = None
-    node.owner._act(Refuse(number, 0))
+    node.owner._act(RejectRequest(number, 0))
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
 
 
@@ -364,7 +362,7 @@
     node.server.connections[0].sendall(reply)
     shows(attempt.sock, select.POLLIN)
     node.owner._expire(attempt, attempt.until)
-    node.owner._act(Refuse(number, 0))
+    node.owner._act(RejectRequest(number, 0))
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
     turns_until(lambda: node.budget.used == 1)
     assert node.policy.ends() == [Outcome.TIMEOUT] and not node.upstreams.known["a"].idle
@@ -391,7 +389,7 @@
             attempt.ended = True
             node.upstreams.give_up(attempt)
         elif ends == "drains":
-            node.upstreams.learn((node.member(Health.DRAINING),), False)
+            node.upstreams.learn((node.member(EndpointStatus.DRAINING),), False)
         else:
             wire.close()
             shows(sock, select.POLLRDHUP)
@@ -400,7 +398,7 @@
     node.send(number)
     turns_until(lambda: node.server.closed == 1)
     turns_until(lambda: node.budget.used == node.budget.clients)
-    assert not node.server.seen and Outcome.OK not in node.policy.ends()
+    assert not node.server.seen and Outcome.SUCCESS not in node.policy.ends()
 
 
 # --- No descriptor ---
@@ -455,7 +453,7 @@
 
 
 def test_without_a_descriptor_for_an_operators_call_it_waits_and_is_answered() -> None:
-    admin = Admin(("127.0.0.1", 0), lambda: True, lambda: "")
+    admin = AdminServer(("127.0.0.1", 0), lambda: True, lambda: "")
     where = admin.listener.getsockname()
     admin.listener = made = Listener(admin.listener)
     accepting = gevent.spawn(admin.accept)
@@ -494,7 +492,7 @@
         assert node.clients.listener is not None
         turns_until(lambda: node.budget.used >= 4 and readable(node.clients.listener))
         wire = node.connect()
-        node.policy.wants = lambda event: [Send(event.request, "a")] if isinstance(event, Arrival) else []
+        node.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
         wire.sendall(call(expires="20.0"))
         assert wire.recv(65536).startswith(b"HTTP/1.1 200")
         assert node.budget.used <= 8
@@ -515,6 +513,6 @@
     whole = sidecar.budget.most
     sidecar.budget.leave_to_successor()
     assert sidecar.budget.most < whole
-    sidecar._act(Do.KEEP)
+    sidecar._act(Command.KEEP)
     assert sidecar.budget.most == whole and sidecar.clients.passes is None
     sidecar._stop_accepting()
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -15,7 +15,17 @@
 import yaml
 from click.testing import CliRunner
 
-from linetrack.policy import interface as i
+from linetrack.policy.actions import FailRequest, StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
+    ListForm,
+    Outcome,
+    RequestReceived,
+)
+from linetrack.policy.settings import Idempotency
 from linetrack.cli.main import cli
 from linetrack.config import operators
 from linetrack.config.check import FileError
@@ -39,7 +49,7 @@
     config = config_of(operators.platform(file), {})
     assert config.name == "n0" and config.class_names == ("lookup", "sale")
     assert config.deadlines == (1_000_000, 2_000_000) and config.settings.max_attempts == 3
-    assert config.settings.classes[1].effect is i.Effect.KEYED and config.settings.cold_from == 0.2
+    assert config.settings.classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY and config.settings.slow_start_initial_fraction == 0.2
 
 
 def test_limits_on_further_attempts_are_off_until_the_file_says_them(tmp_path: Path) -> None:
@@ -48,7 +58,7 @@
     keys = "max_attempts = 3\nfurther_window_ms = 2000\nfurther_free = 2\nfurther_share = 0.1"
     path.write_text(SAMPLE.read_text().replace("max_attempts = 3", keys, 1))
     told = config_of(operators.platform(operators.read(path)), {}).settings
-    assert (told.further_window, told.further_free, told.further_ratio) == (2_000_000, 2.0, 0.1)
+    assert (told.retry_window, told.retry_window_allowance, told.retry_window_ratio) == (2_000_000, 2.0, 0.1)
     path.write_text(SAMPLE.read_text().replace("max_attempts = 3", "max_attempts = 3\nfurther_free = 2", 1))
     result = CliRunner().invoke(cli, ["config", "check", str(path)])
     assert result.exit_code == 2 and "extraWindowUs" in result.stderr
@@ -181,18 +191,18 @@
 def test_baselines_keep_to_the_rules_that_any_policy_must(name: str) -> None:
     plain = Plain(name, settings(), 1)
     driver = Driver()
-    plain.handle(0, i.FleetNews(i.ListForm.WHOLE, fleet()))
-    plain.handle(0, i.FleetNews(i.ListForm.CHANGES, (i.Entry("h0", health=i.Health.DRAINING),)))
+    plain.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, fleet()))
+    plain.handle(0, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
     sent = set()
     for n in range(200):
-        (action,) = plain.handle(n, i.Arrival(n, 0, 1000))
-        assert isinstance(action, i.Send) and action.upstream != "h0"
-        sent.add(action.upstream)
+        (action,) = plain.handle(n, RequestReceived(n, 0, 1000))
+        assert isinstance(action, StartAttempt) and action.endpoint != "h0"
+        sent.add(action.endpoint)
         if n % 3 == 0:
-            (again,) = plain.handle(n, i.Ended(n, 0, action.upstream, i.Outcome.FULL, 1))
-            assert isinstance(again, i.Send) and again.upstream != action.upstream
-            (failed,) = plain.handle(n, i.Ended(n, 1, again.upstream, i.Outcome.RESET, 1))
-            assert failed == i.Fail(n)
+            (again,) = plain.handle(n, AttemptEnded(n, 0, action.endpoint, Outcome.OVERLOADED, 1))
+            assert isinstance(again, StartAttempt) and again.endpoint != action.endpoint
+            (failed,) = plain.handle(n, AttemptEnded(n, 1, again.endpoint, Outcome.RESET, 1))
+            assert failed == FailRequest(n)
     assert len(sent) == 6 and driver.count == 0
 
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -18,9 +18,9 @@
 from hypothesis import strategies as st
 
 from linetrack.control import policy_snapshot as snapshot
-from linetrack.control.settings_switch import avoided
-from linetrack.control.hot_restart import READY_WITHIN, SECOND, SILENT, Do, Identity, New, Old
-from linetrack.policy.interface import Outcome
+from linetrack.control.settings_switch import count_unavailable
+from linetrack.control.hot_restart import READY_WITHIN, SECOND, SILENT, Command, Identity, SuccessorStateMachine, PredecessorStateMachine
+from linetrack.policy.events import Outcome
 from linetrack.policy.balancer import Balancer
 from tests.helpers import MS, SAFE, Driver
 from tests.stand_ins import (
@@ -46,7 +46,7 @@
 
     def __init__(self) -> None:
         self.now = 1000 * SECOND
-        self.old, self.new = Old(), New(self.now)
+        self.old, self.new = PredecessorStateMachine(), SuccessorStateMachine(self.now)
         self.to_old: deque[str] = deque()
         self.to_new: deque[str] = deque()
         self.linked = self.told_lost = False
@@ -54,31 +54,31 @@
         self.old_lives, self.old_hangs, self.new_lives = True, False, True
         self.did(self.new, self.new.start(self.now))
 
-    def did(self, side: Old | New, do: list[Do]) -> None:
+    def did(self, side: PredecessorStateMachine | SuccessorStateMachine, do: list[Command]) -> None:
         for what in do:
             match what:
-                case Do.CALL:
+                case Command.CALL:
                     if self.old_lives:
                         self.linked = True
                         self.to_old.append("hello")
                     else:
                         self.did(self.new, self.new.nobody())
-                case Do.GRANT:
+                case Command.GRANT:
                     self.to_new.append("grant")
-                case Do.BEAT:
+                case Command.BEAT:
                     self.to_new.append("beat")
-                case Do.SAY_READY:
+                case Command.SAY_READY:
                     self.to_old.append("ready")
-                case Do.HAND_ON:
+                case Command.HAND_ON:
                     self.old_accepts = False
                     self.to_new.append("leave")
-                case Do.KEEP:
+                case Command.KEEP:
                     self.old_accepts = True
-                case Do.CLOSE:
+                case Command.CLOSE:
                     self.linked = False
-                case Do.ACCEPT | Do.LISTEN:
+                case Command.ACCEPT | Command.LISTEN:
                     self.new_accepts = True
-                case Do.GIVE_UP:
+                case Command.GIVE_UP:
                     self.gave_up = True
 
     def deliver(self) -> None:
@@ -126,7 +126,7 @@
             case "tick":
                 pair.tick(SECOND // 4)
             case "prepared" if (
-                pair.new_lives and not pair.new.prepared_ and pair.new.state is not New.State.CALLING
+                pair.new_lives and not pair.new.prepared_ and pair.new.state is not SuccessorStateMachine.State.CALLING
             ):
                 pair.did(pair.new, pair.new.prepared())
             case "term" if pair.old_lives and not pair.old_hangs:
@@ -139,12 +139,12 @@
             case "new ends":
                 pair.new_lives = pair.new_accepts = False
         pair.settle()
-    if pair.new_lives and not pair.new.prepared_ and pair.new.state is not New.State.CALLING:
+    if pair.new_lives and not pair.new.prepared_ and pair.new.state is not SuccessorStateMachine.State.CALLING:
         pair.did(pair.new, pair.new.prepared())
     for _ in range(60):
         pair.tick(SECOND // 4)
         pair.settle()
-        if pair.new.state is not New.State.CALLING and not pair.new.prepared_ and pair.new_lives:
+        if pair.new.state is not SuccessorStateMachine.State.CALLING and not pair.new.prepared_ and pair.new_lives:
             pair.did(pair.new, pair.new.prepared())
     both = pair.old_accepts and pair.new_accepts and not pair.old_hangs
     assert not both, "two processes spend one sidecar's budgets"
@@ -172,75 +172,75 @@
     own = Identity(("look", "pay"), "1")
     assert own.foreign(told) is foreign
     assert not own.foreign(json.loads(json.dumps(own.told())))
-    old = Old()
-    assert old.called(0, 1, foreign) == [Do.SAY_FOREIGN if foreign else Do.GRANT]
-    assert old.called(0, 1, True) == [Do.SAY_FOREIGN]
+    old = PredecessorStateMachine()
+    assert old.called(0, 1, foreign) == [Command.SAY_FOREIGN if foreign else Command.GRANT]
+    assert old.called(0, 1, True) == [Command.SAY_FOREIGN]
 
 
 def test_a_second_caller_is_told_to_come_again_and_gives_up_in_time() -> None:
-    old, new, now = Old(), New(0), 0
-    assert old.called(0, 1) == [Do.GRANT] and old.called(0, 1) == [Do.SAY_BUSY]
+    old, new, now = PredecessorStateMachine(), SuccessorStateMachine(0), 0
+    assert old.called(0, 1) == [Command.GRANT] and old.called(0, 1) == [Command.SAY_BUSY]
     new.start(0)
     calls = 0
-    while new.busy(now) != [Do.GIVE_UP]:
+    while new.busy(now) != [Command.GIVE_UP]:
         now = new.due
-        calls += new.tick(now) == [Do.CALL]
+        calls += new.tick(now) == [Command.CALL]
     assert calls > 10 and now <= 6 * SECOND
 
 
 def test_where_the_address_is_taken_and_nobody_is_found_it_calls_again_and_gives_up_in_time() -> None:
-    new, now, said = New(0), 0, []
+    new, now, said = SuccessorStateMachine(0), 0, []
     for _ in range(100):
-        assert new.tick(now) == [Do.CALL] and new.nobody() == [Do.LISTEN]
+        assert new.tick(now) == [Command.CALL] and new.nobody() == [Command.LISTEN]
         said = new.taken(now)
         if said:
             break
         now = new.due
-    assert said == [Do.GIVE_UP] and SECOND < now <= 6 * SECOND
+    assert said == [Command.GIVE_UP] and SECOND < now <= 6 * SECOND
 
 
 def test_another_version_is_not_granted_anything_and_one_that_hangs_makes_way() -> None:
-    old = Old()
-    assert old.called(0, 2) == [Do.CLOSE] and old.state is Old.State.SERVING
+    old = PredecessorStateMachine()
+    assert old.called(0, 2) == [Command.CLOSE] and old.state is PredecessorStateMachine.State.SERVING
     old.called(0, 1)
-    assert old.tick(READY_WITHIN) == [Do.CLOSE] and old.called(READY_WITHIN, 1) == [Do.GRANT]
+    assert old.tick(READY_WITHIN) == [Command.CLOSE] and old.called(READY_WITHIN, 1) == [Command.GRANT]
 
 
 def test_an_old_one_without_a_word_is_taken_to_hang_and_is_not_while_it_speaks() -> None:
-    new = New(0)
+    new = SuccessorStateMachine(0)
     new.start(0)
     new.granted(0)
-    assert new.prepared() == [Do.SAY_READY]
+    assert new.prepared() == [Command.SAY_READY]
     new.heard(SILENT - 1)
-    assert new.tick(SILENT) == [] and new.tick(2 * SILENT) == [Do.ACCEPT] and new.left() == []
+    assert new.tick(SILENT) == [] and new.tick(2 * SILENT) == [Command.ACCEPT] and new.left() == []
 
 
 # --- What goes over ------------------------------------------------------------------------------------
 
 
 def learnt(seed: int = 3) -> Driver:
-    driver = Driver(seed, warm_up=0)
+    driver = Driver(seed, slow_start_duration=0)
     for n in range(120):
-        driver.finish(lambda name: (Outcome.ERROR if name == "h1" else Outcome.OK, 30 * MS), n % 2 * SAFE)
+        driver.finish(lambda name: (Outcome.ERROR if name == "h1" else Outcome.SUCCESS, 30 * MS), n % 2 * SAFE)
     return driver
 
 
 def heir(driver: Driver) -> Balancer:
-    return Driver(seed=9, warm_up=0).balancer
+    return Driver(seed=9, slow_start_duration=0).balancer
 
 
 def test_what_was_learnt_goes_over_whole_and_tells_the_same_of_each_upstream() -> None:
     driver = learnt()
     balancer, other = driver.balancer, heir(driver)
-    values = json.loads(json.dumps(snapshot.taken(balancer)))
+    values = json.loads(json.dumps(snapshot.take(balancer)))
     assert snapshot.restore(other, values, driver.now, True, True)
     balancer.now = other.now = driver.now
     for one, two in zip(balancer.fleet.values(), other.fleet.values(), strict=True):
         assert one.name == two.name and one.spells == two.spells and one.cold_sent == two.cold_sent
         assert balancer._sound(one, SAFE) == other._sound(two, SAFE)
         assert balancer._pace(one) == pytest.approx(other._pace(two))
-    assert avoided(other, driver.now) == avoided(balancer, driver.now)
-    assert json.loads(json.dumps(snapshot.taken(other))) == values
+    assert count_unavailable(other, driver.now) == count_unavailable(balancer, driver.now)
+    assert json.loads(json.dumps(snapshot.take(other))) == values
 
 
 PLACES = ("calm", "answers", "work", "sizes", "zones", "others", "served", "upstreams", "version")
@@ -251,18 +251,18 @@
 def test_values_that_make_no_sense_change_nothing(name: str, bad: Any) -> None:
     driver = learnt()
     other = heir(driver)
-    before = snapshot.taken(other)
-    values = {**snapshot.taken(driver.balancer), name: bad}
+    before = snapshot.take(other)
+    values = {**snapshot.take(driver.balancer), name: bad}
     if not snapshot.restore(other, values, driver.now, True, True):
-        assert snapshot.taken(other) == before
+        assert snapshot.take(other) == before
 
 
 def test_under_other_classes_or_places_what_stands_by_their_numbers_stays() -> None:
     driver = learnt()
     other = heir(driver)
-    fresh = snapshot.taken(other)
-    assert snapshot.restore(other, snapshot.taken(driver.balancer), driver.now, False, False)
-    now = snapshot.taken(other)
+    fresh = snapshot.take(other)
+    assert snapshot.restore(other, snapshot.take(driver.balancer), driver.now, False, False)
+    now = snapshot.take(other)
     assert (
         now["served"] == fresh["served"] and now["zones"] == fresh["zones"] and now["calm"] != fresh["calm"]
     )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,19 +9,16 @@
 from hypothesis import given, settings, strategies
 
 from linetrack.control import settings_switch as handover
-from linetrack.policy.interface import (
-    Arrival,
-    Ended,
-    Entry,
-    Fail,
-    FleetNews,
-    Health,
+from linetrack.policy.actions import FailRequest, RejectRequest, SetTimer, StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     ListForm,
     Outcome,
-    Refuse,
-    Send,
-    SetTimer,
-    TimerDue,
+    RequestReceived,
+    TimerFired,
 )
 from linetrack.settings import SettingsError, read_settings
 from tests import helpers
@@ -29,9 +26,9 @@
 
 WINDOW = 2 * SECOND
 LIMIT: dict[str, Any] = {
-    "further_window": WINDOW,
-    "further_free": 2.0,
-    "further_ratio": 0.1,
+    "retry_window": WINDOW,
+    "retry_window_allowance": 2.0,
+    "retry_window_ratio": 0.1,
     "max_attempts": 6,
 }
 
@@ -45,7 +42,7 @@
         while upstreams := sends(actions):
             actions = driver.end(request, upstreams[0], Outcome.CONNECT_FAILED, 1, attempt)
             attempt += 1
-        assert any(isinstance(a, Refuse | Fail) for a in actions), "given up, so answered at once"
+        assert any(isinstance(a, RejectRequest | FailRequest) for a in actions), "given up, so answered at once"
         further += attempt - 1
     return further
 
@@ -78,18 +75,18 @@
 
 
 def test_copies_and_other_tries_share_one_limit() -> None:
-    driver = Driver(**{**LIMIT, "further_free": 1.0, "further_ratio": 0.0})
+    driver = Driver(**{**LIMIT, "retry_window_allowance": 1.0, "retry_window_ratio": 0.0})
     driver.balancer.budget = 8.0
     _, actions = driver.ask()
     timer = next(a for a in actions if isinstance(a, SetTimer))
-    copied = sends(driver.feed(TimerDue(timer.token), timer.after))
+    copied = sends(driver.feed(TimerFired(timer.token), timer.delay))
     assert len(copied) == 1
     second, actions = driver.ask()
     assert not sends(driver.end(second, sends(actions)[0], Outcome.CONNECT_FAILED))
 
 
 def heir(driver: Driver, **changes: Any) -> None:
-    driver.balancer = handover.heir(driver.balancer, helpers.settings(**changes))
+    driver.balancer = handover.make_successor(driver.balancer, helpers.settings(**changes))
 
 
 def test_a_switch_in_mid_window_goes_on_counting() -> None:
@@ -112,7 +109,7 @@
     old, new = Driver(**LIMIT), Driver(**LIMIT)
     assert unreachable(old, 10) == 3
     new.now = old.now
-    first, second = handover.Handover(old.balancer), handover.Handover(new.balancer)
+    first, second = handover.SettingsSwitch(old.balancer), handover.SettingsSwitch(new.balancer)
     values = json.loads(json.dumps(first.learnt()))
     assert second.restore(values, new.now, True, True)
     assert unreachable(old, 30) == 0, "what is still open there is answered without further attempts"
@@ -125,8 +122,8 @@
 
 def test_a_process_that_is_told_nothing_waits_for_a_window() -> None:
     driver, taking = Driver(**LIMIT), Driver(max_attempts=6)
-    told = handover.Handover(taking.balancer).learnt()
-    one = handover.Handover(driver.balancer)
+    told = handover.SettingsSwitch(taking.balancer).learnt()
+    one = handover.SettingsSwitch(driver.balancer)
     assert one.restore(told, driver.now, True, True)
     assert unreachable(driver, 10) == 0, "the other had no limit and kept no count"
     driver.now += WINDOW
@@ -141,7 +138,7 @@
     """Judged apart, by the wording of the rule: every further send, over all that was sent and taken."""
     free, ratio = data.draw(strategies.sampled_from([(0.0, 0.5), (1.0, 0.0), (2.0, 0.1), (0.0, 0.0)]))
     window = data.draw(strategies.sampled_from([300 * MS, WINDOW]))
-    driver = Driver(further_window=window, further_free=free, further_ratio=ratio, max_attempts=6)
+    driver = Driver(retry_window=window, retry_window_allowance=free, retry_window_ratio=ratio, max_attempts=6)
     taken: list[int] = []
     further: list[int] = []
     out: list[tuple[int, int, str]] = []
@@ -155,27 +152,27 @@
             number = len(taken)
             taken.append(driver.now)
             count[number] = 0
-            event = Arrival(number, data.draw(strategies.integers(0, len(CLASSES) - 1)), 2 * SECOND)
+            event = RequestReceived(number, data.draw(strategies.integers(0, len(CLASSES) - 1)), 2 * SECOND)
         elif kind == 3 and timers:
-            event = TimerDue(timers.pop(0))
+            event = TimerFired(timers.pop(0))
         else:
             number, attempt, upstream = out.pop(data.draw(strategies.integers(0, len(out) - 1)))
-            failures = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR)
-            event = Ended(number, attempt, upstream, data.draw(strategies.sampled_from(failures)), 10 * MS)
+            failures = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR)
+            event = AttemptEnded(number, attempt, upstream, data.draw(strategies.sampled_from(failures)), 10 * MS)
         for action in driver.feed(event):
             if isinstance(action, SetTimer):
                 timers.append(action.token)
-            elif isinstance(action, Send):
-                out.append((action.request, count[action.request], action.upstream))
-                count[action.request] += 1
-                if count[action.request] > 1:
+            elif isinstance(action, StartAttempt):
+                out.append((action.request_id, count[action.request_id], action.endpoint))
+                count[action.request_id] += 1
+                if count[action.request_id] > 1:
                     further.append(driver.now)
                     within = sum(at >= driver.now - window for at in further)
                     assert within <= free + ratio * sum(at > driver.now - window for at in taken)
 
 
-def told(driver: Driver, health: Health, name: str = "h0", started: int = 0) -> None:
-    driver.feed(FleetNews(ListForm.CHANGES, (Entry(name, health=health, started=started),)))
+def told(driver: Driver, health: EndpointStatus, name: str = "h0", started: int = 0) -> None:
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=health, started_at=started),)))
 
 
 def share(driver: Driver, name: str, down: bool = False) -> int:
@@ -188,7 +185,7 @@
         while upstreams := sends(actions):
             went += upstreams[0] == name
             fails = down and upstreams[0] == name
-            how = Outcome.CONNECT_FAILED if fails else Outcome.OK
+            how = Outcome.CONNECT_FAILED if fails else Outcome.SUCCESS
             actions = driver.end(request, upstreams[0], how, 50 * MS, attempt)
             attempt += 1
     return went
@@ -197,17 +194,17 @@
 @pytest.mark.parametrize("left_out", [False, True])
 def test_gone_is_advice_where_the_settings_say_so(left_out: bool) -> None:
     for advice in (False, True):
-        driver = Driver(gone_is_advice=advice)
+        driver = Driver(removal_is_advisory=advice)
         if left_out:
-            driver.feed(FleetNews(ListForm.WHOLE, helpers.fleet()[1:]))
+            driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.fleet()[1:]))
         else:
-            told(driver, Health.GONE)
+            told(driver, EndpointStatus.REMOVED)
         assert (share(driver, "h0") > 10) is advice
 
 
 def test_one_that_is_gone_indeed_costs_few_trials_and_is_forgotten() -> None:
-    driver = Driver(gone_is_advice=True, entries=helpers.fleet(2, 0), max_attempts=1)
-    told(driver, Health.GONE)
+    driver = Driver(removal_is_advisory=True, entries=helpers.fleet(2, 0), max_attempts=1)
+    told(driver, EndpointStatus.REMOVED)
     went = 0
     for _ in range(100):
         went += share(driver, "h0", down=True)
@@ -217,32 +214,32 @@
 
 
 def test_one_that_drained_stays_barred_until_it_has_started_again() -> None:
-    driver = Driver(gone_is_advice=True, warm_up=0)
-    told(driver, Health.DRAINING)
-    told(driver, Health.GONE)
-    driver.feed(FleetNews(ListForm.WHOLE, helpers.fleet()[1:]))
+    driver = Driver(removal_is_advisory=True, slow_start_duration=0)
+    told(driver, EndpointStatus.DRAINING)
+    told(driver, EndpointStatus.REMOVED)
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.fleet()[1:]))
     assert not share(driver, "h0")
-    told(driver, Health.UP)
+    told(driver, EndpointStatus.UP)
     assert not share(driver, "h0"), "the same process"
-    told(driver, Health.UP, started=driver.now - 60 * SECOND)
+    told(driver, EndpointStatus.UP, started=driver.now - 60 * SECOND)
     assert share(driver, "h0") > 10
 
 
 def test_records_of_all_that_ever_was_are_bounded_and_hold_a_fleet_of_1024() -> None:
     """Guards against records for ever, and against a bound that forgets half of a large fleet at once."""
-    driver = Driver(gone_is_advice=True, entries=())
+    driver = Driver(removal_is_advisory=True, entries=())
     for generation in range(4):
-        fleet = tuple(Entry(f"{generation}-{n}") for n in range(1024))
-        driver.feed(FleetNews(ListForm.WHOLE, fleet))
-        driver.feed(FleetNews(ListForm.WHOLE, ()))
-        assert all(entry.upstream in driver.balancer.fleet for entry in fleet)
-    driver.feed(FleetNews(ListForm.WHOLE, tuple(Entry(f"4-{n}") for n in range(1024))))
+        fleet = tuple(EndpointEntry(f"{generation}-{n}") for n in range(1024))
+        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet))
+        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, ()))
+        assert all(entry.endpoint in driver.balancer.fleet for entry in fleet)
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, tuple(EndpointEntry(f"4-{n}") for n in range(1024))))
     assert 2 * 1024 <= len(driver.balancer.fleet) <= 3 * 1024
 
 
 def test_where_gone_binds_again_it_binds_from_the_switch_on() -> None:
-    driver = Driver(gone_is_advice=True)
-    told(driver, Health.GONE)
+    driver = Driver(removal_is_advisory=True)
+    told(driver, EndpointStatus.REMOVED)
     heir(driver)
     assert not share(driver, "h0")
 
@@ -264,22 +261,22 @@
 
 def test_settings_are_neutral_when_absent() -> None:
     read = read_settings({"classes": [{"deadlineUs": 1}]})
-    assert not read.further_window and not read.gone_is_advice
+    assert not read.retry_window and not read.removal_is_advisory
     told = {"freeResends": "3", "furtherRatio": "0.25", "extraWindowUs": "5000", "goneIsAdvice": "true"}
     read = read_settings({"classes": [{"deadlineUs": 1}], "rules": told})
-    assert (read.further_free, read.further_ratio, read.further_window) == (3.0, 0.25, 5000)
-    assert read.gone_is_advice
+    assert (read.retry_window_allowance, read.retry_window_ratio, read.retry_window) == (3.0, 0.25, 5000)
+    assert read.removal_is_advisory
 
 
 def test_what_is_open_at_a_switch_sees_drains_that_its_heir_was_told_of() -> None:
     """The old instance kept a list of its own: its next attempt chose one that drained, and gave up."""
-    driver = Driver(warm_up=0)
+    driver = Driver(slow_start_duration=0)
     request, actions = driver.ask()
     first, old = sends(actions)[0], driver.balancer
-    heir(driver, warm_up=0)
+    heir(driver, slow_start_duration=0)
     left = next(name for name in old.fleet if name != first)
-    listed = tuple(entry for entry in helpers.fleet() if entry.upstream in (first, left))
-    driver.feed(FleetNews(ListForm.WHOLE, listed))
-    told(driver, Health.DRAINING, first)
-    ended = Ended(request, 0, first, Outcome.CONNECT_FAILED, MS)
+    listed = tuple(entry for entry in helpers.fleet() if entry.endpoint in (first, left))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed))
+    told(driver, EndpointStatus.DRAINING, first)
+    ended = AttemptEnded(request, 0, first, Outcome.CONNECT_FAILED, MS)
     assert sends(old.handle(driver.now, ended)) == [left]
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.policy.interface import Health
+from linetrack.policy.events import EndpointStatus
 from linetrack.server import messages
-from linetrack.server.messages import MOST_BODY, AnswerReader, ClientRequest, MalformedError, RequestReader
+from linetrack.server.messages import MOST_BODY, ResponseReader, ClientRequest, MalformedError, RequestReader
 
 POST = (
     b"POST /pay/k9?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Expires-In: 0.480\r\n"
@@ -73,7 +73,7 @@
 
 @given(st.binary(max_size=400))
 def test_any_bytes_are_a_message_or_malformed(data: bytes) -> None:
-    for reader in (RequestReader(), AnswerReader(MOST_BODY, MOST_BODY)):
+    for reader in (RequestReader(), ResponseReader(MOST_BODY, MOST_BODY)):
         try:
             reader.feed(data)
         except MalformedError:
@@ -91,13 +91,13 @@
     (read,) = RequestReader().feed(messages.encode_request(sent, ("127.0.0.1", 1), remaining))
     assert (read.method, read.target, read.trace, read.idempotency) == (method, sent.target, name, name)
     assert (read.body, read.content_type) == (body, "text/plain")
-    assert messages.patience(read.expires) == max(0, remaining)
+    assert messages.parse_timeout(read.expires) == max(0, remaining)
 
 
 @given(st.sampled_from(sorted(messages.REASONS)), st.binary(max_size=2000), st.integers(0, 10_000_000))
 def test_an_answer_is_read_as_it_was_written(status: int, body: bytes, advice: int) -> None:
-    data = messages.encode_answer(status, body, advice, keep=False)
-    answer = AnswerReader(MOST_BODY, MOST_BODY).feed(data)
+    data = messages.encode_response(status, body, advice, keep=False)
+    answer = ResponseReader(MOST_BODY, MOST_BODY).feed(data)
     assert answer is not None
     assert (answer.status, answer.body, answer.keep) == (status, body, False)
     assert (b"Retry-After" in data) == bool(advice)
@@ -105,14 +105,14 @@
 
 def test_an_answer_comes_whole_or_not_at_all() -> None:
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
-    reader = AnswerReader(MOST_BODY, MOST_BODY)
+    reader = ResponseReader(MOST_BODY, MOST_BODY)
     assert all(reader.feed(data[n : n + 1]) is None for n in range(len(data) - 1))
     answer = reader.feed(data[-1:])
     assert answer and answer.body == b"ok"
 
 
 def test_a_100_is_no_answer() -> None:
-    reader = AnswerReader(MOST_BODY, MOST_BODY)
+    reader = ResponseReader(MOST_BODY, MOST_BODY)
     assert reader.feed(b"HTTP/1.1 100 Continue\r\n\r\n") is None
     answer = reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     assert answer and answer.body == b"ok" and not reader.stray
@@ -120,7 +120,7 @@
 
 @pytest.mark.parametrize("after", [b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", b"HTTP/1.1", b"x"])
 def test_what_nobody_asked_for_spoils_the_connection_not_the_answer(after: bytes) -> None:
-    reader = AnswerReader(MOST_BODY, MOST_BODY)
+    reader = ResponseReader(MOST_BODY, MOST_BODY)
     answer = reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok" + after)
     assert answer and answer.body == b"ok"
     assert reader.stray
@@ -141,7 +141,7 @@
     ],
 )
 def test_a_load_report_is_read_in_the_order_of_the_settings(text: str, values: tuple[float, ...]) -> None:
-    read = messages.report(text, ("depth", "tps"))
+    read = messages.parse_load_report(text, ("depth", "tps"))
     assert tuple(None if math.isnan(value) else value for value in read) == values
 
 
@@ -150,7 +150,7 @@
                        ("nan", None), ("inf", None), ("1e999", None)],
 )  # fmt: skip
 def test_the_deadline_is_a_number_or_none(text: str, time: int | None) -> None:
-    assert messages.patience(text) == time
+    assert messages.parse_timeout(text) == time
 
 
 @pytest.mark.parametrize(
@@ -164,8 +164,8 @@
 def test_a_member_is_read_into_its_parts() -> None:
     entry = {"id": "s-5", "addr": "10.1.0.18:8081", "zone": "a", "kind": "m2", "cell": 3, "state": "DRAINING"}
     entry |= {"weight": 1.5, "started_ms": 1700000000123}
-    told = messages.decode_list(json.dumps({"version": 41, "full": True, "servers": [entry]}).encode())
+    told = messages.decode_endpoint_list(json.dumps({"version": 41, "full": True, "servers": [entry]}).encode())
     (member,) = told.members
-    assert member == messages.Member(
-        "s-5", ("10.1.0.18", 8081), "a", "m2", 3, Health.DRAINING, 1.5, 1700000000123
+    assert member == messages.EndpointRecord(
+        "s-5", ("10.1.0.18", 8081), "a", "m2", 3, EndpointStatus.DRAINING, 1.5, 1700000000123
     )
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -10,13 +10,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linetrack.policy import interface as i
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendHealthCheck,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    ListForm,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from linetrack.policy.settings import Idempotency, RequestClass, Settings
 from linetrack.server import dispatcher as module
-from linetrack.server.messages import Answer, ClientRequest
-from linetrack.server.dispatcher import Attempt, Done, Final, Left, Owner, Taken
+from linetrack.server.messages import Response, ClientRequest
+from linetrack.server.dispatcher import Attempt, FinishedAttempt, FinalResponse, DisconnectedClient, Dispatcher, IncomingRequest
 from tests.stand_ins import MS, PATIENCE, SECOND
 
-SETTINGS = i.Settings(classes=(i.RequestClass(i.Effect.SAFE, 500 * MS, 2 * SECOND),))
+SETTINGS = Settings(classes=(RequestClass(Idempotency.IDEMPOTENT, 500 * MS, 2 * SECOND),))
 GET = ClientRequest("GET", "/look/k", "1")
 
 
@@ -24,15 +44,15 @@
     """In the module's place: records what it is told and returns what a test wants."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[int, i.Event]] = []
-        self.wants: Callable[[i.Event], list[i.Action]] = lambda event: []
+        self.told: list[tuple[int, Event]] = []
+        self.wants: Callable[[Event], list[Action]] = lambda event: []
 
-    def handle(self, now: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         self.told.append((now, event))
         return self.wants(event)
 
-    def ended(self) -> list[tuple[int, i.Outcome, bool]]:
-        return [(e.attempt, e.outcome, e.over) for _, e in self.told if isinstance(e, i.Ended)]
+    def ended(self) -> list[tuple[int, Outcome, bool]]:
+        return [(e.attempt, e.outcome, e.request_completed) for _, e in self.told if isinstance(e, AttemptEnded)]
 
 
 class Played:
@@ -44,18 +64,18 @@
         self.started: list[Attempt] = []
         self.given_up: list[Attempt] = []
         self.watches = 0
-        self.replies: list[Final] = []
+        self.replies: list[FinalResponse] = []
         self.module = Scripted()
-        self.owner = Owner(self.module, self.started.append, self.given_up.append, self.watch)
+        self.owner = Dispatcher(self.module, self.started.append, self.given_up.append, self.watch)
         self.greenlet = gevent.spawn(self.owner.run)
 
     def watch(self) -> None:
         self.watches += 1
 
     def take(self, number: int = 1, patience: int = 2 * SECOND) -> None:
-        self.put(Taken(GET, i.Arrival(number, 0, patience), self.replies.append))
+        self.put(IncomingRequest(GET, RequestReceived(number, 0, patience), self.replies.append))
 
-    def put(self, item: module.Item, seen: int | None = None) -> None:
+    def put(self, item: module.Notification, seen: int | None = None) -> None:
         self.owner.put(item, self.now if seen is None else seen)
         self.settle()
 
@@ -69,7 +89,7 @@
     def wait(self, time: int) -> None:
         """Move the clock on; the owner looks at it once anything is told."""
         self.now += time
-        self.put(i.FleetNews(i.ListForm.CHANGES))
+        self.put(EndpointListUpdate(ListForm.DELTA))
 
 
 @pytest.fixture
@@ -77,21 +97,21 @@
     return Played(monkeypatch)
 
 
-def send(event: i.Event) -> list[i.Action]:
-    return [i.Send(event.request, "a")] if isinstance(event, i.Arrival) else []
+def send(event: Event) -> list[Action]:
+    return [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
 
 
-def ok(attempt: Attempt, latency: int = 5 * MS) -> Done:
+def ok(attempt: Attempt, latency: int = 5 * MS) -> FinishedAttempt:
     attempt.ended = True
-    return Done(attempt, i.Outcome.OK, latency, Answer(200, b"body"))
+    return FinishedAttempt(attempt, Outcome.SUCCESS, latency, Response(200, b"body"))
 
 
 def test_the_first_answer_goes_to_the_client_and_ends_the_request(played: Played) -> None:
     played.module.wants = send
     played.take()
     played.put(ok(played.started[0]))
-    assert played.replies == [Final(200, b"body")]
-    assert played.module.ended() == [(0, i.Outcome.OK, True)]
+    assert played.replies == [FinalResponse(200, b"body")]
+    assert played.module.ended() == [(0, Outcome.SUCCESS, True)]
     assert not played.owner.open
 
 
@@ -99,16 +119,16 @@
     # guards against the client waiting for what the module learns from the answer
     order: list[str] = []
 
-    def wants(event: i.Event) -> list[i.Action]:
+    def wants(event: Event) -> list[Action]:
         order.append(type(event).__name__)
         return send(event)
 
-    result: AsyncResult[Final] = AsyncResult()
+    result: AsyncResult[FinalResponse] = AsyncResult()
     result.rawlink(lambda given: order.append("written"))
     played.module.wants = wants
-    played.put(Taken(GET, i.Arrival(1, 0, 2 * SECOND), result.set))
+    played.put(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), result.set))
     played.put(ok(played.started[0]))
-    assert order == ["Arrival", "written", "Ended"]
+    assert order == ["RequestReceived", "written", "AttemptEnded"]
 
 
 def test_a_second_copy_is_told_as_over_and_answers_nobody(played: Played) -> None:
@@ -118,14 +138,14 @@
     played.put(ok(second))
     played.put(ok(first))
     assert len(played.replies) == 1
-    assert played.module.ended() == [(1, i.Outcome.OK, True), (0, i.Outcome.OK, True)]
+    assert played.module.ended() == [(1, Outcome.SUCCESS, True), (0, Outcome.SUCCESS, True)]
     assert not played.owner.open
 
 
 def test_a_cancelled_attempt_is_closed_at_once_and_told_after_the_action(played: Played) -> None:
-    def wants(event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.Ended) and event.outcome is i.Outcome.OK:
-            return [i.Cancel(1, 0), i.Cancel(1, 0)]
+    def wants(event: Event) -> list[Action]:
+        if isinstance(event, AttemptEnded) and event.outcome is Outcome.SUCCESS:
+            return [CancelAttempt(1, 0), CancelAttempt(1, 0)]
         return 2 * send(event)
 
     played.module.wants = wants
@@ -134,13 +154,13 @@
     played.now += 7 * MS
     played.put(ok(second))
     assert played.given_up == [first]
-    assert played.module.ended() == [(1, i.Outcome.OK, True), (0, i.Outcome.CANCELLED, True)]
+    assert played.module.ended() == [(1, Outcome.SUCCESS, True), (0, Outcome.CANCELLED, True)]
     assert not played.owner.open
 
 
 def test_an_attempt_times_out_with_the_client_and_the_answer_is_still_owed(played: Played) -> None:
-    def wants(event: i.Event) -> list[i.Action]:
-        return [i.Fail(1)] if isinstance(event, i.Ended) else send(event)
+    def wants(event: Event) -> list[Action]:
+        return [FailRequest(1)] if isinstance(event, AttemptEnded) else send(event)
 
     played.module.wants = wants
     played.take(patience=300 * MS)
@@ -148,57 +168,57 @@
     assert not played.given_up
     played.wait(1 * MS)
     assert played.given_up == played.started
-    assert played.module.ended() == [(0, i.Outcome.TIMEOUT, False)]
-    assert played.replies == [Final(502)]
+    assert played.module.ended() == [(0, Outcome.TIMEOUT, False)]
+    assert played.replies == [FinalResponse(502)]
 
 
 def test_a_sends_own_timeout_ends_it_sooner(played: Played) -> None:
-    played.module.wants = lambda event: [i.Send(1, "a", 50 * MS)] if isinstance(event, i.Arrival) else []
+    played.module.wants = lambda event: [StartAttempt(1, "a", 50 * MS)] if isinstance(event, RequestReceived) else []
     played.take()
     played.wait(50 * MS)
-    assert played.module.ended() == [(0, i.Outcome.TIMEOUT, False)]
+    assert played.module.ended() == [(0, Outcome.TIMEOUT, False)]
 
 
 def test_a_refusal_carries_its_advice_and_a_late_answer_changes_nothing(played: Played) -> None:
-    def wants(event: i.Event) -> list[i.Action]:
-        return [*send(event), i.Refuse(1, 250 * MS)]
+    def wants(event: Event) -> list[Action]:
+        return [*send(event), RejectRequest(1, 250 * MS)]
 
     played.module.wants = wants
     played.take()
     played.put(ok(played.started[0]))
-    assert played.replies == [Final(503, retry_after=250 * MS)]
-    assert played.module.ended() == [(0, i.Outcome.OK, True)]
+    assert played.replies == [FinalResponse(503, retry_after=250 * MS)]
+    assert played.module.ended() == [(0, Outcome.SUCCESS, True)]
 
 
 def test_a_client_that_left_is_told_once_and_owed_nothing(played: Played) -> None:
-    played.module.wants = lambda event: [i.Cancel(1, 0)] if isinstance(event, i.ClientLeft) else send(event)
+    played.module.wants = lambda event: [CancelAttempt(1, 0)] if isinstance(event, ClientDisconnected) else send(event)
     played.take()
-    played.put(Left(1))
-    played.put(Left(1))
-    assert [type(e) for _, e in played.module.told].count(i.ClientLeft) == 1
+    played.put(DisconnectedClient(1))
+    played.put(DisconnectedClient(1))
+    assert [type(e) for _, e in played.module.told].count(ClientDisconnected) == 1
     assert played.given_up == played.started and not played.replies and not played.owner.open
 
 
 def test_due_timers_come_before_later_events_each_at_its_own_time(played: Played) -> None:
-    def wants(event: i.Event) -> list[i.Action]:
-        if isinstance(event, i.Arrival):
-            return [i.SetTimer(30 * MS, "late"), i.SetTimer(10 * MS, "soon"), i.SetTimer(10 * MS, "then")]
+    def wants(event: Event) -> list[Action]:
+        if isinstance(event, RequestReceived):
+            return [SetTimer(30 * MS, "late"), SetTimer(10 * MS, "soon"), SetTimer(10 * MS, "then")]
         return []
 
     played.module.wants = wants
     at = played.now
     played.take()
     played.now += 100 * MS
-    played.put(i.FleetNews(i.ListForm.REFUSED), seen=at + 20 * MS)
+    played.put(EndpointListUpdate(ListForm.REJECTED), seen=at + 20 * MS)
     told = [(now - at, getattr(e, "token", type(e).__name__)) for now, e in played.module.told[1:]]
-    assert told[:3] == [(10 * MS, "soon"), (10 * MS, "then"), (20 * MS, "FleetNews")]
+    assert told[:3] == [(10 * MS, "soon"), (10 * MS, "then"), (20 * MS, "EndpointListUpdate")]
     played.wait(0)
-    assert (played.module.told[4][0] - at, played.module.told[4][1]) == (30 * MS, i.TimerDue("late"))
+    assert (played.module.told[4][0] - at, played.module.told[4][1]) == (30 * MS, TimerFired("late"))
 
 
 def test_the_modules_clock_never_goes_back(played: Played) -> None:
-    played.put(i.FleetNews(i.ListForm.REFUSED), seen=played.now + 5)
-    played.put(i.FleetNews(i.ListForm.REFUSED), seen=played.now)
+    played.put(EndpointListUpdate(ListForm.REJECTED), seen=played.now + 5)
+    played.put(EndpointListUpdate(ListForm.REJECTED), seen=played.now)
     times = [now for now, _ in played.module.told]
     assert times == sorted(times)
 
@@ -211,19 +231,19 @@
     played.now += 500 * MS
     played.put(ok(played.started[0]), seen=seen)
     now, event = played.module.told[-1]
-    assert isinstance(event, i.Ended) and event.latency == 5 * MS and now == seen
+    assert isinstance(event, AttemptEnded) and event.latency == 5 * MS and now == seen
 
 
 def test_what_is_over_holds_no_bodies_until_its_time_would_have_ended(played: Played) -> None:
     # guards against memory: the timer of an attempt stands for seconds after the answer
     class Reply:
-        def __call__(self, final: Final) -> None:
+        def __call__(self, final: FinalResponse) -> None:
             self.final = final
 
     reply = Reply()
     kept = weakref.ref(reply)
     played.module.wants = send
-    played.put(Taken(GET, i.Arrival(1, 0, 2 * SECOND), reply))
+    played.put(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), reply))
     del reply
     assert kept() is not None
     played.put(ok(played.started[0]))
@@ -233,14 +253,14 @@
 
 
 def test_a_watch_is_asked_for(played: Played) -> None:
-    played.module.wants = lambda event: [i.Watch(True)]
-    played.put(i.FleetNews(i.ListForm.REMEMBERED))
+    played.module.wants = lambda event: [WatchEndpoints(True)]
+    played.put(EndpointListUpdate(ListForm.CACHED))
     assert played.watches == 1
 
 
 def test_an_action_never_seen_before_ends_the_greenlet(played: Played) -> None:
-    played.module.wants = lambda event: [i.Probe("a")]
-    played.put(i.FleetNews(i.ListForm.REMEMBERED))
+    played.module.wants = lambda event: [SendHealthCheck("a")]
+    played.put(EndpointListUpdate(ListForm.CACHED))
     with gevent.Timeout(PATIENCE):
         played.greenlet.join()
     assert isinstance(played.greenlet.exception, NotImplementedError)
@@ -255,22 +275,22 @@
         self.closed: set[int] = set()
         self.ended: list[tuple[int, int]] = []
 
-    def handle(self, now: int, event: i.Event) -> list[i.Action]:
+    def handle(self, now: int, event: Event) -> list[Action]:
         number = getattr(event, "request", 0)
-        if isinstance(event, i.Ended):
+        if isinstance(event, AttemptEnded):
             self.ended.append((number, event.attempt))
-            assert event.over == (number in self.closed or event.outcome is i.Outcome.OK)
-        if isinstance(event, i.ClientLeft) or (isinstance(event, i.Ended) and event.over):
+            assert event.request_completed == (number in self.closed or event.outcome is Outcome.SUCCESS)
+        if isinstance(event, ClientDisconnected) or (isinstance(event, AttemptEnded) and event.request_completed):
             self.closed.add(number)
-        if not isinstance(event, i.Arrival | i.Ended) or number in self.closed:
-            return [i.Cancel(number, n) for n in range(self.sent.get(number, 0)) if self.draw(2)]
+        if not isinstance(event, RequestReceived | AttemptEnded) or number in self.closed:
+            return [CancelAttempt(number, n) for n in range(self.sent.get(number, 0)) if self.draw(2)]
         if self.sent.get(number, 0) < 4 and self.draw(3):
             sends = 1 + self.draw(2)
             self.sent[number] = self.sent.get(number, 0) + sends
-            return [i.Send(number, "a", self.draw(2) * 100 * MS) for _ in range(sends)]
+            return [StartAttempt(number, "a", self.draw(2) * 100 * MS) for _ in range(sends)]
         self.closed.add(number)
-        final: list[i.Action] = [i.Refuse(number) if self.draw(2) else i.Fail(number)]
-        return final + [i.Cancel(number, 0)] * self.draw(2)
+        final: list[Action] = [RejectRequest(number) if self.draw(2) else FailRequest(number)]
+        return final + [CancelAttempt(number, 0)] * self.draw(2)
 
 
 @given(st.integers(0, 2**32))
@@ -285,19 +305,19 @@
         left: set[int] = set()
         for number in range(1, 9):
 
-            def reply(final: Final, number: int = number) -> None:
+            def reply(final: FinalResponse, number: int = number) -> None:
                 replies[number] = replies.get(number, 0) + 1
 
-            played.put(Taken(GET, i.Arrival(number, 0, 300 * MS), reply))
+            played.put(IncomingRequest(GET, RequestReceived(number, 0, 300 * MS), reply))
             if random.random() < 0.2:
                 left.add(number)
-                played.put(Left(number))
+                played.put(DisconnectedClient(number))
             for attempt in played.started:
                 if not attempt.ended and random.random() < 0.4:
                     attempt.ended = True
                     good = random.random() < 0.5
-                    outcome = i.Outcome.OK if good else i.Outcome.RESET
-                    played.put(Done(attempt, outcome, MS, Answer(200, b"") if good else None))
+                    outcome = Outcome.SUCCESS if good else Outcome.RESET
+                    played.put(FinishedAttempt(attempt, outcome, MS, Response(200, b"") if good else None))
             played.wait(random.randrange(150) * MS)
         for _ in range(12):
             played.wait(300 * MS)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from linetrack.control import connection_slots as p
-from linetrack.control.connection_slots import LONGEST, SECOND, SPANS, TERM, YOUNG, Need, Places, Rests, Seat, State
+from linetrack.control.connection_slots import LONGEST, SECOND, SPANS, TERM, YOUNG, UpstreamReserve, ConnectionSlots, IdleTimeModel, ConnectionSlot, State
 
 MS = 1000
 
@@ -33,18 +33,18 @@
     """
 
     def __init__(self, most: int, seed: int) -> None:
-        self.places, self.most = Places(most), most
+        self.places, self.most = ConnectionSlots(most), most
         self.chance = random.Random(seed)
         self.now, self.swept, self.order = SECOND, 0, count()
-        self.open: set[Seat] = set()
+        self.open: set[ConnectionSlot] = set()
         self.told, self.runs, self.manner = Told(), 0, (0.0, 0, 0)
-        self.work: list[tuple[int, int, int, str, Seat | None, int]] = []
+        self.work: list[tuple[int, int, int, str, ConnectionSlot | None, int]] = []
 
-    def drop(self, seat: Seat) -> None:
+    def drop(self, seat: ConnectionSlot) -> None:
         self.places.closed(seat, self.now)
         self.open.discard(seat)
 
-    def dial(self) -> Seat | None:
+    def dial(self) -> ConnectionSlot | None:
         if len(self.open) >= self.most and (seat := self.places.makes_way(self.now)):
             self.drop(seat)
             self.told.wordless += 1
@@ -55,7 +55,7 @@
         self.told.dialled += 1
         return seat
 
-    def later(self, after: float, what: str, seat: Seat | None = None, began: int = 0) -> None:
+    def later(self, after: float, what: str, seat: ConnectionSlot | None = None, began: int = 0) -> None:
         heappush(self.work, (self.now + int(after), next(self.order), self.runs, what, seat, began))
 
     def run(self, length: int, rate: float, steady: int, gap: int = 200 * MS, busy: int = 10 * MS) -> Told:
@@ -166,7 +166,7 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["open", "begin", "ask", "end", "close"]), st.integers(0, 30))))
 def test_only_who_may_makes_way_and_the_counts_hold(steps: list[tuple[str, int]]) -> None:
-    places, seats, now = Places(8), [], SECOND
+    places, seats, now = ConnectionSlots(8), [], SECOND
     for what, nth in steps:
         now += nth * 97 * MS
         if what == "open":
@@ -199,7 +199,7 @@
 
 
 def test_silent_ones_make_way_before_any_that_asked() -> None:
-    places = Places(8)
+    places = ConnectionSlots(8)
     asked, silent, half = (places.opened(SECOND) for _ in range(3))
     places.asked(asked, SECOND)
     assert places.answered(asked, SECOND)
@@ -213,7 +213,7 @@
 
 
 def test_a_look_whether_this_side_is_ready_is_no_request() -> None:
-    places = Places(8)
+    places = ConnectionSlots(8)
     seat = places.opened(SECOND)
     places.begun(seat, SECOND)
     places.looked(seat, SECOND)
@@ -227,7 +227,7 @@
 def test_a_rest_is_kept_within_its_limits_and_the_dearer_the_shorter(
     rests: list[tuple[int, bool]], price: float
 ) -> None:
-    seen = Rests((None,))
+    seen = IdleTimeModel((None,))
     for rested, used in rests:
         seen.ended(0, rested, used)
     cheap, chance = seen.kept(0, price, TERM, LONGEST)
@@ -239,7 +239,7 @@
 @pytest.mark.parametrize("mean", [50 * MS, 400 * MS, 3 * SECOND])
 def test_the_chance_of_a_use_is_learnt_although_rests_are_cut_short(mean: int) -> None:
     # guards against taking what was closed early for what was never used
-    seen, chance = Rests((None,)), random.Random(1)
+    seen, chance = IdleTimeModel((None,)), random.Random(1)
     for _ in range(20_000):
         rest = int(chance.expovariate(1 / mean))
         seen.ended(0, min(rest, TERM), rest < TERM)
@@ -251,7 +251,7 @@
 
 
 def test_the_need_of_upstreams_is_kept_free_and_given_back() -> None:
-    need = Need()
+    need = UpstreamReserve()
     assert need.room(0, 344) == 344 - 344 // p.NEED_LEAST
     need.seen(SECOND, 80)
     assert need.room(SECOND, 344) == 344 - 121
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -9,23 +9,23 @@
 import pytest
 import structlog
 
-from linetrack.policy.interface import Arrival
+from linetrack.policy.events import RequestReceived
 from linetrack.server import client_connection
 from linetrack.server import listener as clients_module
 from linetrack.server.budget import CLIENT_KB, FEWEST, PROGRAM_MB, Budget
-from linetrack.server.listener import Clients
+from linetrack.server.listener import Listener
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.connection import readable
 from linetrack.server.messages import ClientRequest
-from linetrack.server.dispatcher import Final
+from linetrack.server.dispatcher import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
-from linetrack.server.lifecycle import LINE_EVERY, Sparing, must_live
+from linetrack.server.lifecycle import LINE_EVERY, LogRateLimiter, must_live
 from tests.stand_ins import MS, PATIENCE, SECOND, call, turns_until
 
 
 def test_a_flood_of_one_event_is_one_line_a_second_and_a_count() -> None:
     now = 0
-    sparing = Sparing(lambda: now)
+    sparing = LogRateLimiter(lambda: now)
     assert sparing(None, "warning", {"event": "a"}) == {"event": "a"}
     for _ in range(5):
         with pytest.raises(structlog.DropEvent):
@@ -65,7 +65,7 @@
     assert Budget(64, 192).most_clients >= 10 and Budget(256, 16).most_clients == FEWEST
 
 
-def test_large_requests_wait_for_room_and_small_ones_do_not(clients: Clients) -> None:
+def test_large_requests_wait_for_room_and_small_ones_do_not(clients: Listener) -> None:
     # guards against large requests that together need more memory than there is
     clients.budget.most_held = 300_000
     first, second, small = (connect(clients) for _ in range(3))
@@ -77,11 +77,11 @@
     turns_until(lambda: len(clients.owner.told) == 2)  # type: ignore[attr-defined]
     told = clients.owner.told  # type: ignore[attr-defined]
     assert told[1].request.body == b"z" * 1000
-    told[0].reply(Final(200, b"done"))
+    told[0].reply(FinalResponse(200, b"done"))
     turns_until(lambda: len(told) == 3)
     assert told[2].request.body == b"y" * 60_000
     second.close()
-    told[2].reply(Final(200, b"done"))
+    told[2].reply(FinalResponse(200, b"done"))
     turns_until(lambda: clients.budget.held == 0)
 
 
@@ -100,21 +100,21 @@
 
 
 @pytest.fixture
-def clients() -> Clients:
-    made = Clients(Deaf(), Budget(1024, 192), ("look",), (2 * SECOND,), lambda: True)  # type: ignore[arg-type]
+def clients() -> Listener:
+    made = Listener(Deaf(), Budget(1024, 192), ("look",), (2 * SECOND,), lambda: True)  # type: ignore[arg-type]
     made.listen(("127.0.0.1", 0))
     gevent.spawn(made.accept)
     return made
 
 
-def connect(clients: Clients) -> Any:
+def connect(clients: Listener) -> Any:
     assert clients.listener is not None
     wire = gevent.socket.create_connection(clients.listener.getsockname())
     wire.settimeout(PATIENCE)
     return wire
 
 
-def test_without_room_the_longest_idle_makes_way_and_only_for_one_that_waits(clients: Clients) -> None:
+def test_without_room_the_longest_idle_makes_way_and_only_for_one_that_waits(clients: Listener) -> None:
     # guards against closing an idle connection that nobody's place depends on, the newest even
     clients.budget.most_clients = 3
     first, second, third = (connect(clients) for _ in range(3))
@@ -129,7 +129,7 @@
 
 
 def test_a_silent_client_is_let_go_and_never_one_whose_request_is_out(
-    clients: Clients, monkeypatch: pytest.MonkeyPatch
+    clients: Listener, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against places held for good, and against closing under a request that has come
     monkeypatch.setattr(client_connection, "WITHIN", 150 * MS)
@@ -139,7 +139,7 @@
     assert silent.recv(1) == b""
     turns_until(lambda: clients.owner.told)  # type: ignore[attr-defined]
     gevent.sleep(0.4)
-    clients.owner.told[0].reply(Final(200, b"late"))  # type: ignore[attr-defined]
+    clients.owner.told[0].reply(FinalResponse(200, b"late"))  # type: ignore[attr-defined]
     assert asking.recv(65536).endswith(b"late")
     assert asking.recv(1) == b""  # idle since
     turns_until(lambda: not clients.open)
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("first", [True, False])
 def test_a_request_that_drips_in_is_told_and_closed(
-    clients: Clients, monkeypatch: pytest.MonkeyPatch, first: bool
+    clients: Listener, monkeypatch: pytest.MonkeyPatch, first: bool
 ) -> None:
     # guards against a time limit that starts anew with each byte
     monkeypatch.setattr(client_connection, "WITHIN", 300 * MS)
@@ -167,7 +167,7 @@
     assert clock() - began >= 150 * MS
 
 
-def test_a_client_that_takes_no_answer_is_let_go(clients: Clients, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_takes_no_answer_is_let_go(clients: Listener, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "WITHIN", 50 * MS)
     gevent.spawn(clients.sweep)
     wire = connect(clients)
@@ -177,24 +177,24 @@
             wire.sendall(call())
             gevent.sleep(0.005)
             for taken in clients.owner.told:  # type: ignore[attr-defined]
-                taken.reply(Final(200, b"x" * 65536))
+                taken.reply(FinalResponse(200, b"x" * 65536))
             clients.owner.told.clear()  # type: ignore[attr-defined]
             if not clients.open:
                 break
     turns_until(lambda: not clients.open)
 
 
-def ask(clients: Clients, wire: Any) -> None:
+def ask(clients: Listener, wire: Any) -> None:
     """One request on this connection, answered."""
     told = clients.owner.told  # type: ignore[attr-defined]
     before = len(told)
     wire.sendall(call())
     turns_until(lambda: len(told) > before)
-    told[-1].reply(Final(200, b"ok"))
+    told[-1].reply(FinalResponse(200, b"ok"))
     assert wire.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_silent_ones_make_way_before_any_that_has_asked(clients: Clients) -> None:
+def test_silent_ones_make_way_before_any_that_has_asked(clients: Listener) -> None:
     # guards against connections by the hundred that say nothing in the places of those that ask
     clients.budget.most_clients = 20
     asking = connect(clients)
@@ -207,7 +207,7 @@
     ask(clients, asking)
 
 
-def test_those_that_asked_and_stay_make_way_although_new_ones_come(clients: Clients) -> None:
+def test_those_that_asked_and_stay_make_way_although_new_ones_come(clients: Listener) -> None:
     # guards against a house full of connections that asked once, kept from closing by each young new one
     clients.budget.most_clients = 10
     for _ in range(30):
@@ -216,7 +216,7 @@
     assert len(clients.open) <= 10
 
 
-def test_all_that_wait_are_taken_in_one_turn(clients: Clients) -> None:
+def test_all_that_wait_are_taken_in_one_turn(clients: Listener) -> None:
     # guards against connections that wait in the backlog for a turn of a busy event loop each
     gevent.sleep(0.01)
     assert clients.listener is not None
@@ -229,13 +229,13 @@
 
 
 def test_ids_are_forgotten_once_no_copy_can_be_on_its_way(
-    clients: Clients, monkeypatch: pytest.MonkeyPatch
+    clients: Listener, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(clients_module, "WITHIN", 100 * MS)
     gevent.spawn(clients.sweep)
     request = ClientRequest("GET", "/look", "1", expires="0.5")
     intake = clients.intake
-    assert isinstance(intake.arrival(request), Arrival)
+    assert isinstance(intake.arrival(request), RequestReceived)
     with pytest.raises(RejectedRequestError) as rejected:
         intake.arrival(request)
     assert rejected.value.status == 409
@@ -244,12 +244,12 @@
         intake.arrival(request)
     assert rejected.value.status == 409
     turns_until(lambda: not intake.ids and not any(intake.lately))
-    assert isinstance(intake.arrival(request), Arrival)
+    assert isinstance(intake.arrival(request), RequestReceived)
 
 
-def test_what_the_module_is_told_of_a_request(clients: Clients) -> None:
+def test_what_the_module_is_told_of_a_request(clients: Listener) -> None:
     props = {"party": "3", "workUs": "12000", "update": "1", "other": "x"}
     request = ClientRequest("GET", "/look/a/k7?q=1", "1", expires="0.5", again=True, props=props)
-    assert clients.intake.arrival(request) == Arrival(1, 0, SECOND // 2, 3, "k7", 12000, True, True)
+    assert clients.intake.arrival(request) == RequestReceived(1, 0, SECOND // 2, 3, "k7", 12000, True, True)
     odd = ClientRequest("GET", "/look", "2", expires="9e99", props={"party": "-1", "workUs": "x" * 99})
-    assert clients.intake.arrival(odd) == Arrival(1, 0, 2 * SECOND)
+    assert clients.intake.arrival(odd) == RequestReceived(1, 0, 2 * SECOND)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,23 +10,19 @@
 
 from linetrack.policy import balancer as rules
 from linetrack.policy.decaying_average import Evidence
-from linetrack.policy.interface import (
-    Arrival,
-    Cancel,
-    ClientLeft,
-    Ended,
-    Entry,
-    Fail,
-    FleetNews,
-    Health,
+from linetrack.policy.actions import CancelAttempt, FailRequest, RejectRequest, SetTimer, WatchEndpoints
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
     ListForm,
-    Load,
     Outcome,
-    Refuse,
-    SetTimer,
-    TimerDue,
-    Watch,
+    RequestReceived,
+    TimerFired,
 )
+from linetrack.policy.settings import LoadField
 from linetrack.policy.records import Request, Upstream
 from linetrack.policy.balancer import Balancer, Weighed
 from tests.helpers import CELL, KEYED, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
@@ -96,9 +92,9 @@
     assert sends(driver.ask()[1])
 
 
-@pytest.mark.parametrize("field", list(Load))
-def test_any_reported_field_serves(field: Load) -> None:
-    driver = Driver(report_fields=(field,))
+@pytest.mark.parametrize("field", list(LoadField))
+def test_any_reported_field_serves(field: LoadField) -> None:
+    driver = Driver(load_report_fields=(field,))
     for _ in range(30):
         driver.serve(report=(0.5,))
     assert sends(driver.ask()[1])
@@ -108,7 +104,7 @@
     driver = Driver()
     met = 0
     for _ in range(200):
-        went = driver.finish(lambda u: (Outcome.ERROR, 2 * MS) if u == "h0" else (Outcome.OK, 40 * MS))
+        went = driver.finish(lambda u: (Outcome.ERROR, 2 * MS) if u == "h0" else (Outcome.SUCCESS, 40 * MS))
         met += went.count("h0")
     assert met < 25
 
@@ -142,7 +138,7 @@
     timers = [a for a in actions if isinstance(a, SetTimer)]
     assert timers and timers[0].token == f"copy:{request}"
     second = driver.balancer.requests[request].second
-    copies = sends(driver.feed(TimerDue(timers[0].token), timers[0].after))
+    copies = sends(driver.feed(TimerFired(timers[0].token), timers[0].delay))
     assert second is not None and copies == [second.name]
 
 
@@ -152,14 +148,14 @@
         driver.serve()
     request, actions = driver.ask(UNSAFE)
     assert not [a for a in actions if isinstance(a, SetTimer)]
-    assert driver.feed(TimerDue(f"copy:{request}"), SECOND) == []
-    assert driver.end(request, sends(actions)[0], Outcome.TIMEOUT) == [Fail(request)]
+    assert driver.feed(TimerFired(f"copy:{request}"), SECOND) == []
+    assert driver.end(request, sends(actions)[0], Outcome.TIMEOUT) == [FailRequest(request)]
 
 
 def test_unsafe_moves_on_after_proof_that_it_never_ran() -> None:
     driver = Driver()
     request, actions = driver.ask(UNSAFE)
-    assert sends(driver.end(request, sends(actions)[0], Outcome.FULL, MS))
+    assert sends(driver.end(request, sends(actions)[0], Outcome.OVERLOADED, MS))
 
 
 @pytest.mark.parametrize(("klass", "outside"), [(KEYED, "zone"), (CELL, "cell"), (KEYED_ALL, "")])
@@ -178,11 +174,11 @@
 
 
 def test_never_two_at_once_where_not_allowed() -> None:
-    driver = Driver(parallel=False)
+    driver = Driver(may_run_parallel_attempts=False)
     for _ in range(30):
         driver.serve()
     request, _ = driver.ask()
-    assert sends(driver.feed(TimerDue(f"copy:{request}"), SECOND)) == []
+    assert sends(driver.feed(TimerFired(f"copy:{request}"), SECOND)) == []
 
 
 def test_attempts_never_pass_the_allowed_number() -> None:
@@ -190,18 +186,18 @@
     request, actions = driver.ask()
     tries = 0
     while upstreams := sends(actions):
-        actions = driver.end(request, upstreams[0], Outcome.FULL, MS, tries)
+        actions = driver.end(request, upstreams[0], Outcome.OVERLOADED, MS, tries)
         tries += 1
     assert tries == 2
-    assert isinstance(actions[0], Refuse)
+    assert isinstance(actions[0], RejectRequest)
 
 
 def test_drained_and_missing_upstreams_get_nothing() -> None:
     driver = Driver()
-    driver.feed(FleetNews(ListForm.CHANGES, (Entry("h0", health=Health.DRAINING),)))
-    driver.feed(FleetNews(ListForm.CHANGES, (Entry("h1", health=Health.GONE),)))
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),)))
     assert not set(shares(driver, 100)) & {"h0", "h1"}
-    driver.feed(FleetNews(ListForm.WHOLE, fleet(3, 0)[2:]))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(3, 0)[2:]))
     assert set(shares(driver, 50)) == {"h2"}
 
 
@@ -210,17 +206,17 @@
     request, actions = driver.ask()
     waited = 0
     while timers := [a for a in actions if isinstance(a, SetTimer)]:
-        waited += timers[0].after
-        actions = driver.feed(TimerDue(timers[0].token), timers[0].after)
-    assert actions == [Refuse(request, 500 * MS)]
+        waited += timers[0].delay
+        actions = driver.feed(TimerFired(timers[0].token), timers[0].delay)
+    assert actions == [RejectRequest(request, 500 * MS)]
     assert waited <= 250 * MS
 
 
 def test_held_request_is_sent_once_an_upstream_appears() -> None:
     driver = Driver(entries=())
     request, actions = driver.ask()
-    driver.feed(FleetNews(ListForm.CHANGES, fleet(1, 0)))
-    assert sends(driver.feed(TimerDue(f"hold:{request}"), 20 * MS)) == ["h0"]
+    driver.feed(EndpointListUpdate(ListForm.DELTA, fleet(1, 0)))
+    assert sends(driver.feed(TimerFired(f"hold:{request}"), 20 * MS)) == ["h0"]
     assert actions and isinstance(actions[0], SetTimer)
 
 
@@ -229,11 +225,11 @@
     start, service = 1000 * SECOND, 50 * MS
     drivers = []
     for n in range(instances):
-        driver = Driver(seed=n, instance=n, instances=instances, entries=fleet(2, 0))
+        driver = Driver(seed=n, instance=n, instance_count=instances, entries=fleet(2, 0))
         for _ in range(20):
             driver.serve(latency=service)
         driver.now = start + 10 * SECOND
-        driver.feed(FleetNews(ListForm.WHOLE, (Entry("cold", started=driver.now),)))
+        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),)))
         drivers.append(driver)
     sent: list[int] = []
     for step in range(1000):
@@ -242,7 +238,7 @@
             request, actions = driver.ask()
             if sends(actions):
                 sent.append(driver.now)
-                driver.feed(Ended(request, 0, "cold", Outcome.OK, service, True))
+                driver.feed(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service, True))
     assert sent
     for at in sent:
         share = 0.2 + 0.8 * (at - start - 10 * SECOND) / (10 * SECOND)
@@ -254,20 +250,20 @@
     driver = Driver(entries=fleet(2, 0))
     for _ in range(20):
         driver.serve()
-    driver.feed(FleetNews(ListForm.CHANGES, (Entry("h0", started=driver.now),)))
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
     record = driver.balancer.fleet["h0"]
     assert record.pace.weight == 0
     assert driver.balancer._warmth(record) == pytest.approx(0.2)
 
 
 def test_discovery_is_asked_again_with_back_off_and_spread() -> None:
-    driver = Driver(must_ask=True, ask_every=8 * SECOND, entries=())
+    driver = Driver(must_subscribe=True, poll_interval=8 * SECOND, entries=())
     waits = []
     for _ in range(6):
-        timers = driver.feed(FleetNews(ListForm.REFUSED))
+        timers = driver.feed(EndpointListUpdate(ListForm.REJECTED))
         assert isinstance(timers[0], SetTimer)
-        waits.append(timers[0].after)
-        assert driver.feed(TimerDue("ask"), timers[0].after) == [Watch(True)]
+        waits.append(timers[0].delay)
+        assert driver.feed(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
     assert waits[0] <= 1.5 * SECOND < 2 * SECOND <= waits[-1] <= 6 * SECOND
 
 
@@ -276,10 +272,10 @@
     """Hundreds that start together must not stampede the list, and few must not wait for it."""
     waits = []
     for seed in range(60):
-        driver = Driver(seed=seed, must_ask=True, ask_every=10 * SECOND, instances=instances, entries=())
-        timers = Balancer(driver.balancer.s, seed).handle(0, FleetNews(ListForm.REMEMBERED, fleet()))
+        driver = Driver(seed=seed, must_subscribe=True, poll_interval=10 * SECOND, instance_count=instances, entries=())
+        timers = Balancer(driver.balancer.s, seed).handle(0, EndpointListUpdate(ListForm.CACHED, fleet()))
         assert isinstance(timers[0], SetTimer) and timers[0].token == "ask"
-        waits.append(timers[0].after)
+        waits.append(timers[0].delay)
     assert max(waits) <= min(5 * SECOND, instances * 10 * MS)
     assert max(waits) > 0.4 * min(5 * SECOND, instances * 10 * MS)
 
@@ -290,9 +286,9 @@
         for _ in range(60):
             driver.serve()
         request, actions = driver.ask()
-        driver.feed(TimerDue(f"copy:{request}"), 200 * MS)
+        driver.feed(TimerFired(f"copy:{request}"), 200 * MS)
         actions = driver.end(request, sends(actions)[0])
-        assert actions == ([Cancel(request, 1)] if allowed else [])
+        assert actions == ([CancelAttempt(request, 1)] if allowed else [])
 
 
 def test_late_and_unknown_events_are_ignored() -> None:
@@ -302,8 +298,8 @@
     driver.end(request, upstream)
     assert driver.end(request, upstream) == []
     assert driver.end(999, "nowhere", Outcome.ERROR) == []
-    assert driver.feed(ClientLeft(request)) == driver.feed(ClientLeft(777)) == []
-    assert driver.feed(TimerDue("copy:1")) == driver.feed(TimerDue("nonsense")) == []
+    assert driver.feed(ClientDisconnected(request)) == driver.feed(ClientDisconnected(777)) == []
+    assert driver.feed(TimerFired("copy:1")) == driver.feed(TimerFired("nonsense")) == []
 
 
 def test_zone_without_upstreams_is_served_from_the_other() -> None:
@@ -317,7 +313,7 @@
     refused = 0
     for _ in range(90):
         request, actions = driver.ask()
-        refused += any(isinstance(a, Refuse) for a in actions)
+        refused += any(isinstance(a, RejectRequest) for a in actions)
         for upstream in sends(actions):
             driver.end(request, upstream, latency=900 * MS)
     assert refused > 10
@@ -331,7 +327,7 @@
 
 def test_spillover_only_where_worth_exceeds_the_price() -> None:
     for price in (0.1, 50.0):
-        driver = Driver(price_cross=price)
+        driver = Driver(cross_zone_cost=price)
         for _ in range(40):
             driver.serve(latency=60 * MS)
         went = {name[0] for _ in range(60) for name in sends(driver.ask(SAFE)[1])}
@@ -342,7 +338,7 @@
     """Errors count into the chance that prices spillover."""
     driver = Driver(entries=fleet(1, 3))
     for _ in range(40):
-        driver.finish(lambda u: (Outcome.ERROR if u == "h0" else Outcome.OK, 30 * MS))
+        driver.finish(lambda u: (Outcome.ERROR if u == "h0" else Outcome.SUCCESS, 30 * MS))
     assert sends(driver.ask()[1])[0].startswith("a")
 
 
@@ -406,17 +402,17 @@
     """What is listed as one kind is pooled; which number the kind has changes nothing."""
     runs = []
     for numbers in ((0, 1), (7, 3)):
-        entries = tuple(Entry(f"h{n}", kind=numbers[n % 2]) for n in range(8))
+        entries = tuple(EndpointEntry(f"h{n}", host_class=numbers[n % 2]) for n in range(8))
         driver = Driver(entries=entries)
         runs.append(
-            [driver.finish(lambda u: (Outcome.OK, 40 * MS + 60 * MS * (int(u[1]) % 2))) for _ in range(60)]
+            [driver.finish(lambda u: (Outcome.SUCCESS, 40 * MS + 60 * MS * (int(u[1]) % 2))) for _ in range(60)]
         )
     assert runs[0] == runs[1]
 
 
 def test_thin_evidence_leans_on_its_kind() -> None:
     """With few requests an upstream is hardly ever heard itself; its kind's answers speak for it."""
-    entries = (*(Entry(f"f{n}", kind=0) for n in range(20)), *(Entry(f"s{n}", kind=1) for n in range(20)))
+    entries = (*(EndpointEntry(f"f{n}", host_class=0) for n in range(20)), *(EndpointEntry(f"s{n}", host_class=1) for n in range(20)))
     driver = Driver(entries=entries)
     for _ in range(15):
         request, actions = driver.ask(after=SECOND)
@@ -440,7 +436,7 @@
 
 @pytest.mark.parametrize("size", [2.0, 0.0, -1.0, float("nan"), float("inf")])
 def test_listed_size_weighs_the_odds_and_nonsense_does_not(size: float) -> None:
-    driver = Driver(entries=(Entry("h0", size=size), Entry("h1")))
+    driver = Driver(entries=(EndpointEntry("h0", capacity=size), EndpointEntry("h1")))
     odds = home_odds(driver)
     assert odds[0] == pytest.approx(odds[1] * (size if size == 2.0 else 1.0))
 
@@ -449,8 +445,8 @@
     """A warm upstream with a stated start beside a cold one: the warm one's budget has no end."""
     driver = Driver(entries=fleet(2, 0))
     driver.now += 30 * SECOND
-    old, new = Entry("old", started=driver.now - 20 * SECOND), Entry("new", started=driver.now)
-    driver.feed(FleetNews(ListForm.WHOLE, (old, new)))
+    old, new = EndpointEntry("old", started_at=driver.now - 20 * SECOND), EndpointEntry("new", started_at=driver.now)
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (old, new)))
     assert {driver.serve(latency=10 * MS) for _ in range(20)} >= {"old"}
 
 
@@ -459,11 +455,11 @@
     count, service, start = 300, 50 * MS, 1010 * SECOND
     drivers = []
     for n in range(count):
-        driver = Driver(seed=n, instance=n, instances=count, entries=fleet(4, 0))
+        driver = Driver(seed=n, instance=n, instance_count=count, entries=fleet(4, 0))
         for _ in range(5):
             driver.serve(latency=service)
         driver.now = start
-        driver.feed(FleetNews(ListForm.CHANGES, (Entry("cold", started=start),)))
+        driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
         drivers.append(driver)
     sent: list[int] = []
     for step in range(20):
@@ -472,7 +468,7 @@
             request, actions = driver.ask()
             sent += [driver.now for name in sends(actions) if name == "cold"]
             for name in sends(actions):
-                driver.feed(Ended(request, 0, name, Outcome.OK, service, True))
+                driver.feed(AttemptEnded(request, 0, name, Outcome.SUCCESS, service, True))
     assert len(sent) > 10
     for at in sent:
         share = 0.2 + 0.8 * (at - start) / (10 * SECOND)
@@ -493,10 +489,10 @@
 def test_a_key_pulls_alike_at_every_instance_and_stays_graded() -> None:
     went = []
     for seed in (1, 2):
-        driver = Driver(seed=seed, warm_keys=True, entries=fleet(20, 0))
+        driver = Driver(seed=seed, has_affinity_keys=True, entries=fleet(20, 0))
         got: Counter[str] = Counter()
         for number in range(300):
-            actions = driver.feed(Arrival(number, SAFE, 2 * SECOND, key="k:1"))
+            actions = driver.feed(RequestReceived(number, SAFE, 2 * SECOND, affinity_key="k:1"))
             got[sends(actions)[0]] += 1
             driver.end(number, sends(actions)[0])
         went.append(got)
@@ -507,7 +503,7 @@
 
 @pytest.mark.parametrize("warm", [True, False])
 def test_no_key_or_no_warm_keys_no_pull(warm: bool) -> None:
-    driver = Driver(warm_keys=warm, entries=fleet(4, 0))
+    driver = Driver(has_affinity_keys=warm, entries=fleet(4, 0))
     request, _ = driver.ask()
     held, home = driver.balancer.requests[request], list(driver.balancer.fleet.values())
     assert driver.balancer._pulled(held, home, [1.0] * 4) == [1.0] * 4
@@ -539,14 +535,14 @@
     request, actions = driver.ask()
     old = sends(actions)[0]
     for n in range(300):
-        entry = Entry(f"n{n}", zone=n % 7, kind=n % 11, started=driver.now)
-        gone = [Entry(f"n{n - 1}", health=Health.GONE)] if n else []
-        driver.feed(FleetNews(ListForm.CHANGES, (entry, *gone, Entry(old, health=Health.GONE))), 20 * MS)
+        entry = EndpointEntry(f"n{n}", zone=n % 7, host_class=n % 11, started_at=driver.now)
+        gone = [EndpointEntry(f"n{n - 1}", status=EndpointStatus.REMOVED)] if n else []
+        driver.feed(EndpointListUpdate(ListForm.DELTA, (entry, *gone, EndpointEntry(old, status=EndpointStatus.REMOVED))), 20 * MS)
     balancer = driver.balancer
     assert old not in balancer.fleet and len(balancer.fleet) == 7
     # the rotation goes on although what was tried last is in the list no more
     assert sends(driver.end(request, old, Outcome.RESET)) != [old]
-    driver.feed(FleetNews(ListForm.WHOLE, fleet(2, 0)))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(2, 0)))
     assert set(balancer.fleet) == {"h0", "h1"}
     for _ in range(20):
         driver.serve(report=(1.0,))
@@ -559,7 +555,7 @@
     spells = 0
 
     def answer(upstream: str) -> tuple[Outcome, int]:
-        return (Outcome.ERROR if random.random() < 0.06 else Outcome.OK), 5 * MS
+        return (Outcome.ERROR if random.random() < 0.06 else Outcome.SUCCESS), 5 * MS
 
     for _ in range(1500):
         driver.finish(answer)
@@ -583,12 +579,12 @@
     upstream = driver.balancer.fleet["h0"]
     before = driver.balancer._expected(upstream)
     (lost, _), (other, _) = driver.ask(), driver.ask(after=1 * MS)
-    driver.feed(TimerDue("none"), 400 * MS)
+    driver.feed(TimerFired("none"), 400 * MS)
     assert driver.balancer._expected(upstream) > 4 * before  # silent, as far as is known
     driver.end(other, "h0", latency=50 * MS)
     assert driver.balancer._expected(upstream) < 1.5 * before  # it answers: what it was sent earlier is lost
     pace = upstream.pace.value
-    driver.feed(Ended(lost, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
+    driver.feed(AttemptEnded(lost, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
     assert upstream.pace.value == pace
 
 
@@ -597,7 +593,7 @@
     driver = Driver()
     driver.balancer.budget = 0.0
     for _ in range(30):
-        went = driver.finish(lambda u: (Outcome.FULL, 1 * MS) if u == "h0" else (Outcome.OK, 5 * MS))
+        went = driver.finish(lambda u: (Outcome.OVERLOADED, 1 * MS) if u == "h0" else (Outcome.SUCCESS, 5 * MS))
         assert went[-1] != "h0"
         driver.balancer.budget = 0.0
         driver.balancer.fleet["h0"].spells.clear()
@@ -623,12 +619,12 @@
     for _ in range(50):
         driver.serve(latency=20 * MS)
     _, actions = driver.ask()
-    (wait,) = [a.after for a in actions if isinstance(a, SetTimer)]
+    (wait,) = [a.delay for a in actions if isinstance(a, SetTimer)]
     assert 250 * MS < wait < 450 * MS  # of an aim of 500 ms, where three expected latencies are some 60 ms
     for _ in range(50):
         driver.serve(latency=150 * MS)
     _, actions = driver.ask()
-    (wait,) = [a.after for a in actions if isinstance(a, SetTimer)]
+    (wait,) = [a.delay for a in actions if isinstance(a, SetTimer)]
     assert wait > 300 * MS  # three expected latencies
 
 
@@ -639,7 +635,7 @@
     for n in range(600):
         klass = SAFE if n % 2 else KEYED_ALL
         for upstream in driver.finish(
-            lambda u, k=klass: (Outcome.ERROR if u == "h0" and k == SAFE else Outcome.OK, 5 * MS),  # type: ignore[misc]
+            lambda u, k=klass: (Outcome.ERROR if u == "h0" and k == SAFE else Outcome.SUCCESS, 5 * MS),  # type: ignore[misc]
             klass,
         ):
             went[klass, upstream] += 1
@@ -658,9 +654,9 @@
         weighed += sum(upstream.zone != self.s.zone for upstream in upstreams)
         return whole(self, upstreams, klass)
 
-    entries = [Entry(f"h{n}", zone=0) for n in range(4)]
-    entries += [Entry(f"a{n}", zone=1, started=1000 * SECOND) for n in range(40)]
-    driver = Driver(entries=tuple(entries), instances=300, price_cross=10.0)
+    entries = [EndpointEntry(f"h{n}", zone=0) for n in range(4)]
+    entries += [EndpointEntry(f"a{n}", zone=1, started_at=1000 * SECOND) for n in range(40)]
+    driver = Driver(entries=tuple(entries), instance_count=300, cross_zone_cost=10.0)
     monkeypatch.setattr(Balancer, "_survey", survey)
     for _ in range(50):
         driver.serve(latency=10 * MS)
@@ -673,9 +669,9 @@
     parts: list[tuple[float, float | None]],
 ) -> None:
     entries = tuple(
-        Entry(f"h{n}", started=0 if credit is None else 1000 * SECOND) for n, (_, credit) in enumerate(parts)
+        EndpointEntry(f"h{n}", started_at=0 if credit is None else 1000 * SECOND) for n, (_, credit) in enumerate(parts)
     )
-    driver = Driver(entries=entries, instances=10_000)
+    driver = Driver(entries=entries, instance_count=10_000)
     balancer, odds = driver.balancer, [share for share, _ in parts]
     upstreams = list(balancer.fleet.values())
     for upstream, (_, credit) in zip(upstreams, parts, strict=True):
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -10,32 +10,30 @@
 
 import pytest
 
-from linetrack.policy.interface import (
-    Arrival,
-    CloseIdle,
-    Entry,
-    FleetNews,
+from linetrack.policy.actions import CloseIdleConnections, RejectRequest, SetTimer
+from linetrack.policy.events import (
+    EndpointEntry,
+    EndpointListUpdate,
     ListForm,
-    Load,
     Outcome,
-    Refuse,
-    SetTimer,
-    TimerDue,
+    RequestReceived,
+    TimerFired,
 )
+from linetrack.policy.settings import LoadField
 from tests.helpers import MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
 
 
-def listed(sizes: dict[str, float], kinds: dict[str, int] | None = None) -> FleetNews:
+def listed(sizes: dict[str, float], kinds: dict[str, int] | None = None) -> EndpointListUpdate:
     kinds = kinds or {}
-    entries = (Entry(name, kind=kinds.get(name, 0), size=size) for name, size in sizes.items())
-    return FleetNews(ListForm.CHANGES, tuple(entries))
+    entries = (EndpointEntry(name, host_class=kinds.get(name, 0), capacity=size) for name, size in sizes.items())
+    return EndpointListUpdate(ListForm.DELTA, tuple(entries))
 
 
 # --- Sizes that move with load ------------------------------------------------------------------------
 
 
 def live(sizes: dict[str, float], kinds: dict[str, int] | None = None) -> Driver:
-    driver = Driver(entries=(), live_sizes=True, report_fields=(Load.UTIL, Load.INFLIGHT), warm_up=0)
+    driver = Driver(entries=(), capacity_varies_with_load=True, load_report_fields=(LoadField.UTILIZATION, LoadField.IN_FLIGHT), slow_start_duration=0)
     driver.feed(listed(sizes, kinds))
     return driver
 
@@ -80,13 +78,13 @@
 def reached(instance: int, refusing: frozenset[str] = frozenset()) -> Counter[str]:
     """Where an instance's requests go, and how often it tried where no place was."""
     driver = Driver(
-        seed=instance, entries=fleet(24, 0), streams=100, keep_alive=60 * SECOND, instance=instance, warm_up=0
+        seed=instance, entries=fleet(24, 0), max_streams_per_connection=100, keep_alive_timeout=60 * SECOND, instance=instance, slow_start_duration=0
     )
     got: Counter[str] = Counter()
 
     def answer(name: str) -> tuple[Outcome, int]:
         got[name] += 1
-        return (Outcome.CONNECT_FAILED, MS) if name in refusing else (Outcome.OK, 20 * MS)
+        return (Outcome.CONNECT_FAILED, MS) if name in refusing else (Outcome.SUCCESS, 20 * MS)
 
     for _ in range(150):
         driver.finish(answer)
@@ -101,7 +99,7 @@
 
 
 def test_where_a_connection_carries_one_request_all_are_used() -> None:
-    driver = Driver(entries=fleet(24, 0), warm_up=0)
+    driver = Driver(entries=fleet(24, 0), slow_start_duration=0)
     assert len({driver.serve() for _ in range(400)}) == 24
 
 
@@ -116,11 +114,11 @@
 
 
 def test_a_tenant_beyond_its_share_is_worth_less_and_one_within_keeps_its_worth() -> None:
-    driver = Driver(tenant_rates=(30.0, 30.0), over_share_worth=0.1, instances=3, warm_up=0)
+    driver = Driver(tenant_quotas=(30.0, 30.0), over_quota_weight=0.1, instance_count=3, slow_start_duration=0)
     within = {}
     for number in range(600):
         tenant = int(number % 12 == 0)
-        driver.feed(Arrival(number, SAFE, SECOND, tenant), 10 * MS)
+        driver.feed(RequestReceived(number, SAFE, SECOND, tenant), 10 * MS)
         if number in driver.balancer.requests:
             within[tenant] = driver.balancer.requests[number].within
     assert within[1] == 1.0
@@ -128,21 +126,21 @@
 
 
 def test_repeats_do_not_count_as_a_tenants_traffic() -> None:
-    driver = Driver(tenant_rates=(30.0,), over_share_worth=0.1, instances=3, warm_up=0)
+    driver = Driver(tenant_quotas=(30.0,), over_quota_weight=0.1, instance_count=3, slow_start_duration=0)
     for number in range(300):
-        driver.feed(Arrival(number, SAFE, SECOND, 0, repeat=number % 10 != 0), 10 * MS)
-    assert driver.balancer._within(Arrival(999, SAFE, SECOND, 0)) == 1.0
+        driver.feed(RequestReceived(number, SAFE, SECOND, 0, is_retry=number % 10 != 0), 10 * MS)
+    assert driver.balancer._within(RequestReceived(999, SAFE, SECOND, 0)) == 1.0
 
 
 # --- Repeats and copies -------------------------------------------------------------------------------
 
 
 def test_a_repeat_with_less_time_than_first_tries_is_judged_by_what_its_first_try_used() -> None:
-    driver = Driver(warm_up=0)
+    driver = Driver(slow_start_duration=0)
     driver.ask(patience=SECOND)
-    driver.feed(Arrival(7, SAFE, 800 * MS, repeat=True), 10 * MS)
-    driver.feed(Arrival(8, SAFE, SECOND, repeat=True), 10 * MS)
-    driver.feed(Arrival(9, SAFE, 800 * MS), 10 * MS)
+    driver.feed(RequestReceived(7, SAFE, 800 * MS, is_retry=True), 10 * MS)
+    driver.feed(RequestReceived(8, SAFE, SECOND, is_retry=True), 10 * MS)
+    driver.feed(RequestReceived(9, SAFE, 800 * MS), 10 * MS)
     at = {n: driver.now - driver.balancer.requests[n].at for n in (7, 8, 9)}
     assert at == {7: 1200 * MS + 20 * MS, 8: 10 * MS, 9: 0}
 
@@ -157,17 +155,17 @@
     for _ in range(count):
         _, actions = driver.ask()
         for timer in timers(list(actions)):
-            out += len(sends(driver.feed(TimerDue(timer.token))))
+            out += len(sends(driver.feed(TimerFired(timer.token))))
     return out
 
 
 def test_an_instance_starts_without_a_burst_of_copies() -> None:
     # guards against hundreds of instances that start together and each have some copies in hand
-    assert copies(Driver(warm_up=0), 6) == 0
+    assert copies(Driver(slow_start_duration=0), 6) == 0
 
 
 def test_copies_that_buy_nothing_are_few_and_those_that_serve_pay_for_the_next() -> None:
-    idle, serving = Driver(warm_up=0), Driver(warm_up=0)
+    idle, serving = Driver(slow_start_duration=0), Driver(slow_start_duration=0)
     served = 0
     for driver in (idle, serving):
         for _ in range(40):
@@ -175,7 +173,7 @@
     for _ in range(30):
         request, actions = serving.ask()
         first = sends(actions)[0]
-        out = sends(serving.feed(TimerDue(timers(list(actions))[0].token), 20 * MS))
+        out = sends(serving.feed(TimerFired(timers(list(actions))[0].token), 20 * MS))
         if out:
             served += 1
             serving.end(request, out[0], attempt=1)
@@ -190,25 +188,25 @@
 
 
 def test_a_reset_at_once_after_a_rest_is_the_connections_end_not_the_upstreams_error() -> None:
-    driver = Driver(entries=fleet(1, 0), warm_up=0)
+    driver = Driver(entries=fleet(1, 0), slow_start_duration=0)
     for _ in range(10):
         driver.serve()
     request, actions = driver.ask(after=3 * SECOND)
-    assert not any(isinstance(action, CloseIdle) for action in actions)
+    assert not any(isinstance(action, CloseIdleConnections) for action in actions)
     actions = driver.end(request, "h0", Outcome.RESET, MS)
-    assert CloseIdle("h0") in actions
+    assert CloseIdleConnections("h0") in actions
     assert driver.balancer.fleet["h0"].errors == 0.0 and not driver.balancer.fleet["h0"].spells
     # a later rest as long is ended before the next use; a short one is not
     _, actions = driver.ask(after=3 * SECOND)
-    assert actions.index(CloseIdle("h0")) < [sends([a]) != [] for a in actions].index(True)
+    assert actions.index(CloseIdleConnections("h0")) < [sends([a]) != [] for a in actions].index(True)
     driver.serve()
     _, actions = driver.ask(after=100 * MS)
-    assert CloseIdle("h0") not in actions
+    assert CloseIdleConnections("h0") not in actions
 
 
 def test_a_reset_on_a_new_connection_or_after_work_still_counts() -> None:
     for busy, latency in ((True, MS), (False, 300 * MS)):
-        driver = Driver(entries=fleet(1, 0), warm_up=0)
+        driver = Driver(entries=fleet(1, 0), slow_start_duration=0)
         for _ in range(10):
             driver.serve()
         if busy:
@@ -219,7 +217,7 @@
 
 
 def test_an_unsafe_request_reset_after_a_rest_is_not_sent_again() -> None:
-    driver = Driver(warm_up=0)
+    driver = Driver(slow_start_duration=0)
     driver.serve(UNSAFE)
     request, actions = driver.ask(UNSAFE, after=3 * SECOND)
     assert sends(driver.end(request, sends(actions)[0], Outcome.RESET, MS)) == []
@@ -231,17 +229,17 @@
 @pytest.mark.parametrize("streams", [1, 100])
 def test_what_is_given_up_is_answered_at_once(streams: int) -> None:
     """Nothing is held back for the client's sake: the answer stands among the actions of the same event."""
-    driver = Driver(entries=fleet(2, 0), streams=streams, keep_alive=SECOND, max_attempts=1, warm_up=0)
+    driver = Driver(entries=fleet(2, 0), max_streams_per_connection=streams, keep_alive_timeout=SECOND, max_attempts=1, slow_start_duration=0)
     request, actions = driver.ask()
     actions = driver.end(request, sends(actions)[0], Outcome.CONNECT_FAILED, MS)
-    assert [a.request for a in actions if isinstance(a, Refuse)] == [request]
+    assert [a.request_id for a in actions if isinstance(a, RejectRequest)] == [request]
 
 
 def test_entries_of_a_changed_list_keep_their_own_attempts() -> None:
     driver = live({"a": 1.0})
     request, _ = driver.ask()
     (entry,) = listed({"a": 0.5}).entries
-    driver.feed(FleetNews(ListForm.CHANGES, (replace(entry),)), SECOND)
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (replace(entry),)), SECOND)
     assert len(driver.balancer.fleet["a"].out) == 1
     driver.end(request, "a")
     assert not driver.balancer.fleet["a"].out
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -3,7 +3,7 @@
 import json
 
 from linetrack.control import policy_snapshot as snapshot
-from linetrack.policy.interface import Entry, FleetNews, Health, ListForm
+from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
 from linetrack.server import messages
 from linetrack.server.hot_restart_channel import MOST_FRAME
 from linetrack.policy.balancer import Balancer
@@ -13,8 +13,8 @@
 SERVERS = 1024
 
 
-def servers(generation: str = "a", health: Health = Health.UP) -> tuple[Entry, ...]:
-    return tuple(Entry(f"{generation}-{n}", zone=n % 2, cell=n % 8, health=health) for n in range(SERVERS))
+def servers(generation: str = "a", health: EndpointStatus = EndpointStatus.UP) -> tuple[EndpointEntry, ...]:
+    return tuple(EndpointEntry(f"{generation}-{n}", zone=n % 2, cell=n % 8, status=health) for n in range(SERVERS))
 
 
 def asked(driver: Driver) -> set[str]:
@@ -23,24 +23,24 @@
 
 
 def test_all_of_a_large_fleet_is_used_and_none_that_drains_or_is_gone() -> None:
-    driver = Driver(entries=servers(), instances=SERVERS)
+    driver = Driver(entries=servers(), instance_count=SERVERS)
     assert len(asked(driver)) > 100
-    leaving = servers(health=Health.DRAINING)[: SERVERS - 2]
-    driver.feed(FleetNews(ListForm.CHANGES, leaving))
-    assert not asked(driver) & {e.upstream for e in leaving}
-    driver.feed(FleetNews(ListForm.WHOLE, servers("b")))
-    assert asked(driver) <= {e.upstream for e in servers("b")}
+    leaving = servers(health=EndpointStatus.DRAINING)[: SERVERS - 2]
+    driver.feed(EndpointListUpdate(ListForm.DELTA, leaving))
+    assert not asked(driver) & {e.endpoint for e in leaving}
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, servers("b")))
+    assert asked(driver) <= {e.endpoint for e in servers("b")}
     assert len(driver.balancer.fleet) == SERVERS
 
 
 def test_what_was_learnt_of_a_large_fleet_goes_over_to_another_process_in_one_frame() -> None:
     old = Driver(entries=servers())
     asked(old)
-    told = json.dumps(snapshot.taken(old.balancer))
-    listed = json.dumps([entry(e.upstream) for e in servers()])
+    told = json.dumps(snapshot.take(old.balancer))
+    listed = json.dumps([entry(e.endpoint) for e in servers()])
     assert len(told) + len(listed) < MOST_FRAME / 8
     new = Balancer(old.balancer.s, 2)
-    new.handle(old.now, FleetNews(ListForm.REMEMBERED, servers()))
+    new.handle(old.now, EndpointListUpdate(ListForm.CACHED, servers()))
     assert snapshot.restore(new, json.loads(told), old.now, True, True)
     assert {n: u.answered for n, u in new.fleet.items()} == {
         n: u.answered for n, u in old.balancer.fleet.items()
@@ -51,7 +51,7 @@
     value = {"version": 7, "full": True, "servers": [entry(f"u{n}") for n in range(SERVERS)]}
     for indent in (None, 4):
         body = json.dumps(value, indent=indent).encode()
-        reader = messages.AnswerReader(messages.MOST_LIST, messages.MOST_LIST)
+        reader = messages.ResponseReader(messages.MOST_LIST, messages.MOST_LIST)
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         got = [reader.feed(whole[at : at + 1000]) for at in range(0, len(whole), 1000)][-1]
-        assert got is not None and len(messages.decode_list(got.body).members) == SERVERS
+        assert got is not None and len(messages.decode_endpoint_list(got.body).members) == SERVERS
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -225,7 +225,7 @@
     after = new.after(old)
     assert after.zone_names == ("north", "south", "west") and after.settings.zone == 0
     assert (after.name, after.sockets) == (old.name, old.sockets)
-    assert (after.told_streams, after.settings.streams) == (100, 1)
+    assert (after.told_streams, after.settings.max_streams_per_connection) == (100, 1)
     back = old.after(after)
     assert back.zone_names == after.zone_names and back.settings == old.settings
     assert back.same_settings(config_of(values, {}).after(after))
@@ -235,8 +235,8 @@
 def test_the_keys_of_the_new_shape_reach_the_policy_and_stay_neutral_where_absent() -> None:
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     plain, new = config_of(values, {}).settings, config_of(moved(values), {}).settings
-    assert (plain.live_sizes, new.live_sizes) == (False, True)
-    assert plain.keep_alive == new.keep_alive == 30 * SECOND
+    assert (plain.capacity_varies_with_load, new.capacity_varies_with_load) == (False, True)
+    assert plain.keep_alive_timeout == new.keep_alive_timeout == 30 * SECOND
 
 
 def test_a_class_dropped_and_back_with_another_effect_and_a_broken_file_between(tmp_path: Path) -> None:
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from linetrack.policy.interface import Ended, FleetNews, Health, ListForm, Outcome
+from linetrack.policy.events import AttemptEnded, EndpointListUpdate, EndpointStatus, ListForm, Outcome
 from tests.helpers import KEYED, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
 
 
@@ -52,7 +52,7 @@
     driver = Driver(entries=fleet(3, 0))
     request, actions = driver.ask()
     full = sends(actions)[0]
-    driver.end(request, full, Outcome.FULL, MS)
+    driver.end(request, full, Outcome.OVERLOADED, MS)
     driver.now += 3 * SECOND
     for klass in (SAFE, UNSAFE):
         assert full in {driver.serve(klass) for _ in range(60)}
@@ -60,9 +60,9 @@
 
 def test_a_full_zone_counts_against_sends_there() -> None:
     """Requests went through all upstreams of a full zone one by one, and then crossed into another."""
-    driver = Driver(price_cross=0.01, max_attempts=1)
+    driver = Driver(cross_zone_cost=0.01, max_attempts=1)
     for _ in range(60):
-        driver.finish(lambda u: (Outcome.FULL, MS) if u[0] == "h" else (Outcome.OK, 50 * MS))
+        driver.finish(lambda u: (Outcome.OVERLOADED, MS) if u[0] == "h" else (Outcome.SUCCESS, 50 * MS))
     homes = sum(driver.serve()[0] == "h" for _ in range(40))
     assert homes < 10
 
@@ -71,7 +71,7 @@
     # guards against spells that double for ever: full queues of the zone passed for the upstream's errors
     driver = Driver(entries=fleet(4, 0), max_attempts=1)
     for _ in range(6):
-        driver.finish(lambda u: (Outcome.FULL, MS))
+        driver.finish(lambda u: (Outcome.OVERLOADED, MS))
     driver.now += 2 * SECOND
     assert driver.balancer.full[0].value > 0.5
     there = driver.serve()
@@ -84,7 +84,7 @@
     dials = []
     for _ in range(400):
         driver.now += 50 * MS
-        went = driver.finish(lambda u: (Outcome.CONNECT_FAILED, MS) if u < "h5" else (Outcome.OK, 20 * MS))
+        went = driver.finish(lambda u: (Outcome.CONNECT_FAILED, MS) if u < "h5" else (Outcome.SUCCESS, 20 * MS))
         dials.append(sum(u < "h5" for u in went))
     assert driver.balancer.usual_errors == 0.0
     assert sum(dials[100:]) < 60, "trials alone"
@@ -92,9 +92,9 @@
 
 def test_a_lost_zone_is_left_to_trials_while_another_can_be_reached_and_comes_back() -> None:
     # guards against a dial into it for every request: a zone with all in a spell was used as if none was
-    driver = Driver(entries=fleet(4, 4), price_cross=0.9, max_attempts=3, keep_alive=30 * SECOND)
-    for outcome in [Outcome.FULL] * 3 + [Outcome.OK] * 40:
-        driver.finish(lambda u, o=outcome: (o if u[0] == "h" else Outcome.OK, MS))  # type: ignore[misc]
+    driver = Driver(entries=fleet(4, 4), cross_zone_cost=0.9, max_attempts=3, keep_alive_timeout=30 * SECOND)
+    for outcome in [Outcome.OVERLOADED] * 3 + [Outcome.SUCCESS] * 40:
+        driver.finish(lambda u, o=outcome: (o if u[0] == "h" else Outcome.SUCCESS, MS))  # type: ignore[misc]
         driver.now += 50 * MS
 
     def play(lost: str, count: int = 150) -> float:
@@ -102,7 +102,7 @@
         for _ in range(count):
             driver.now += 20 * MS
             went += driver.finish(
-                lambda u: (Outcome.CONNECT_FAILED, MS) if u[0] in lost else (Outcome.OK, MS)
+                lambda u: (Outcome.CONNECT_FAILED, MS) if u[0] in lost else (Outcome.SUCCESS, MS)
             )
         return sum(u[0] == "h" for u in went) / count
 
@@ -116,7 +116,7 @@
 
 def test_one_that_is_held_to_a_lost_zone_may_still_try_it() -> None:
     # its key's group is that zone: that another zone can be reached is no help to it
-    driver = Driver(entries=fleet(4, 4), keep_alive=30 * SECOND, parallel=False)
+    driver = Driver(entries=fleet(4, 4), keep_alive_timeout=30 * SECOND, may_run_parallel_attempts=False)
     request, actions = driver.ask(KEYED)
     (first,) = sends(actions)
     for upstream in driver.balancer.fleet.values():
@@ -130,17 +130,17 @@
 
 def test_no_attempt_crosses_into_a_zone_as_full_as_the_own_one() -> None:
     # guards against attempts after attempts that take each other's places, and cross for it
-    driver = Driver(entries=fleet(3, 6), price_cross=0.1, max_attempts=6, parallel=False)
+    driver = Driver(entries=fleet(3, 6), cross_zone_cost=0.1, max_attempts=6, may_run_parallel_attempts=False)
     crossed = []
     for _ in range(100):
-        went = driver.finish(lambda u: (Outcome.FULL, MS), KEYED_ALL)
+        went = driver.finish(lambda u: (Outcome.OVERLOADED, MS), KEYED_ALL)
         crossed.append(sum(u[0] == "a" for u in went))
         driver.now += 100 * MS
     assert sum(crossed[40:]) < 60
 
 
 def test_limited_further_attempts_go_where_something_was_served_lately() -> None:
-    driver = Driver(entries=fleet(12, 0), further_window=SECOND, further_free=9.0, max_attempts=2)
+    driver = Driver(entries=fleet(12, 0), retry_window=SECOND, retry_window_allowance=9.0, max_attempts=2)
     served = {driver.serve() for _ in range(4)}
     further = set()
     for _ in range(60):
@@ -154,14 +154,14 @@
     assert further and further <= served
 
 
-@pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
 def test_what_ends_after_its_whole_zone_has_left_the_list_is_taken_in(outcome: Outcome) -> None:
     driver = Driver(entries=fleet(0, 3))
     request, actions = driver.ask()
     upstream = sends(actions)[0]
-    gone = tuple(replace(entry, health=Health.GONE) for entry in fleet(0, 3))
-    driver.feed(FleetNews(ListForm.CHANGES, gone))
-    driver.feed(Ended(request, 0, upstream, outcome, 900 * MS, outcome is Outcome.OK))
+    gone = tuple(replace(entry, status=EndpointStatus.REMOVED) for entry in fleet(0, 3))
+    driver.feed(EndpointListUpdate(ListForm.DELTA, gone))
+    driver.feed(AttemptEnded(request, 0, upstream, outcome, 900 * MS, outcome is Outcome.SUCCESS))
     driver.ask()
 
 
@@ -173,5 +173,5 @@
     (other,) = sends(driver.end(request, broken, Outcome.CONNECT_FAILED, MS))
     driver.end(request, other, attempt=1)
     assert broken not in {driver.serve() for _ in range(15)}
-    driver.feed(FleetNews(ListForm.WHOLE, fleet(0, 1)))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(0, 1)))
     assert {driver.serve() for _ in range(15)} == {"a0"}
--- a/tests/test_traffic_share.py
+++ b/tests/test_traffic_share.py
@@ -6,13 +6,22 @@
 
 from linetrack.policy.traffic_share import EVEN_WEIGHT, RENEW_AFTER, WINDOW, TrafficShare
 from linetrack.policy.decaying_average import SECOND, Evidence
-from linetrack.policy.interface import Arrival, Ended, Entry, FleetNews, ListForm, Load, Outcome, Send
+from linetrack.policy.actions import StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    ListForm,
+    Outcome,
+    RequestReceived,
+)
+from linetrack.policy.settings import LoadField
 from linetrack.policy.records import Upstream
 from linetrack.policy.balancer import Balancer
 from tests.helpers import MS, SAFE, settings
 
 BEGIN = 1000 * SECOND
-UPSTREAMS = [Upstream(Entry(f"u{n}", kind=n % 2)) for n in range(10)]
+UPSTREAMS = [Upstream(EndpointEntry(f"u{n}", host_class=n % 2)) for n in range(10)]
 
 
 def reported(rate: float) -> dict[int, Evidence]:
@@ -81,28 +90,28 @@
     fleet_rate, arrivals = 270.0, 1500
     balancer = Balancer(
         settings(
-            instances=40,
-            report_fields=(Load.RATE,),
-            cold_from=0.3,
-            warm_up=60 * SECOND,
-            fall_multiple=3.0,
-            overload_for=SECOND,
+            instance_count=40,
+            load_report_fields=(LoadField.REQUEST_RATE,),
+            slow_start_initial_fraction=0.3,
+            slow_start_duration=60 * SECOND,
+            overload_multiple=3.0,
+            overload_window=SECOND,
         ),
         7,
     )
-    warm = tuple(Entry(f"warm{n}") for n in range(9))
-    balancer.handle(BEGIN, FleetNews(ListForm.REMEMBERED, warm))
+    warm = tuple(EndpointEntry(f"warm{n}") for n in range(9))
+    balancer.handle(BEGIN, EndpointListUpdate(ListForm.CACHED, warm))
     now, sent, cold_at = BEGIN, 0, BEGIN + 5 * SECOND
     for number in range(1, arrivals + 1):
         now += int(SECOND / (fleet_rate * share_of_traffic))
         if balancer.fleet.get("cold") is None and now > cold_at:
-            balancer.handle(now, FleetNews(ListForm.CHANGES, (Entry("cold", started=now),)))
-        for action in balancer.handle(now, Arrival(number, SAFE, 2 * SECOND)):
-            if isinstance(action, Send):
-                sent += action.upstream == "cold"
-                took = 40 * MS if action.upstream == "cold" else 20 * MS
+            balancer.handle(now, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=now),)))
+        for action in balancer.handle(now, RequestReceived(number, SAFE, 2 * SECOND)):
+            if isinstance(action, StartAttempt):
+                sent += action.endpoint == "cold"
+                took = 40 * MS if action.endpoint == "cold" else 20 * MS
                 report = (fleet_rate / 9,)
-                ended = Ended(number, 0, action.upstream, Outcome.OK, took, True, report)
+                ended = AttemptEnded(number, 0, action.endpoint, Outcome.SUCCESS, took, True, report)
                 balancer.handle(now + took, ended)
         if now > cold_at + 10 * SECOND:
             break
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -8,21 +8,21 @@
 import gevent
 import pytest
 
-from linetrack.policy.interface import Arrival, Health, Outcome
+from linetrack.policy.events import EndpointStatus, Outcome, RequestReceived
 from linetrack.server import upstream_pool as upstreams_module
 from linetrack.server.budget import COPIES, RESERVE, Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import Stream, readable
-from linetrack.server.messages import ClientRequest, MalformedError, Member, address
-from linetrack.server.dispatcher import Attempt, Done, Open, Sent, Started
-from linetrack.server.upstream_pool import REST, Upstreams
+from linetrack.server.connection import ResponseStream, readable
+from linetrack.server.messages import ClientRequest, MalformedError, EndpointRecord, address
+from linetrack.server.dispatcher import Attempt, FinishedAttempt, ActiveRequest, SentBody, StartedResponse
+from linetrack.server.upstream_pool import REST, UpstreamPool
 from tests.stand_ins import MS, PATIENCE, SECOND, Message, Upstream, Wire, answer, silent, turns_until, until
 
 GET = ClientRequest("GET", "/look/k", "1")
 
 
-def member(name: str, where: str, health: Health = Health.UP) -> Member:
-    return Member(name, address(where), "north", "plain", 1, health, 1.0, 0)
+def member(name: str, where: str, health: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
+    return EndpointRecord(name, address(where), "north", "plain", 1, health, 1.0, 0)
 
 
 class Pool:
@@ -30,33 +30,33 @@
 
     def __init__(self, *servers: Upstream, sockets: int = 1024, keep_alive: int = 30 * SECOND) -> None:
         self.servers = servers
-        self.done: list[Done] = []
-        self.told: list[Sent | Started] = []
+        self.done: list[FinishedAttempt] = []
+        self.told: list[SentBody | StartedResponse] = []
         self.budget = Budget(sockets, 192)
-        self.upstreams = Upstreams(self.budget, 250 * MS, keep_alive, ("depth",), self.tell)
+        self.upstreams = UpstreamPool(self.budget, 250 * MS, keep_alive, ("depth",), self.tell)
         self.upstreams.learn(tuple(member(s.name, s.address) for s in servers), True)
 
-    def tell(self, what: Done | Sent | Started, seen: int) -> None:
-        if isinstance(what, Done):
+    def tell(self, what: FinishedAttempt | SentBody | StartedResponse, seen: int) -> None:
+        if isinstance(what, FinishedAttempt):
             self.done.append(what)
             return
         self.told.append(what)
-        if isinstance(what, Started):
+        if isinstance(what, StartedResponse):
             what.attempt.begun = True
             gevent.spawn(self.take, what.stream)
 
-    def take(self, stream: Stream) -> None:
+    def take(self, stream: ResponseStream) -> None:
         """In the client's place: a long answer, to its end."""
         try:
             while stream.next():
                 pass
         except (OSError, MalformedError):
             stream.end(Outcome.RESET)
-        stream.end(Outcome.OK)
+        stream.end(Outcome.SUCCESS)
 
     def attempt(self, name: str = "a", patience: int = 20 * SECOND) -> Attempt:
         now = clock()
-        open_ = Open(Arrival(1, 0, patience), GET, now, lambda final: None)
+        open_ = ActiveRequest(RequestReceived(1, 0, patience), GET, now, lambda final: None)
         attempt = Attempt(open_, name, now, open_.until)
         open_.attempts.append(attempt)
         self.upstreams.start(attempt)
@@ -90,16 +90,16 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"ffff\r\n" + b"x" * 0xFFFF + b"\r\nffff\r\n"
 )
 ENDS: list[tuple[str, bytes | None, Outcome]] = [
-    ("served", answer(b"ok"), Outcome.OK),
+    ("served", answer(b"ok"), Outcome.SUCCESS),
     ("an error", answer(b"", 500), Outcome.ERROR),
-    ("turned away", answer(b"", 503, "X-Never-Ran: 1"), Outcome.FULL),
-    ("turned away as over", answer(b"", 504, "X-Never-Ran: 1"), Outcome.FULL),
+    ("turned away", answer(b"", 503, "X-Never-Ran: 1"), Outcome.OVERLOADED),
+    ("turned away as over", answer(b"", 504, "X-Never-Ran: 1"), Outcome.OVERLOADED),
     ("a 503 that does not say so", answer(b"", 503), Outcome.ERROR),
     ("an error that says so", answer(b"", 500, "X-Never-Ran: 1"), Outcome.ERROR),
     ("another status", answer(b"", 404), Outcome.ERROR),
     ("closed", None, Outcome.RESET),
     ("no HTTP", b"SMTP\r\n\r\n", Outcome.ERROR),
-    ("large", answer(b"x" * 400_000), Outcome.OK),
+    ("large", answer(b"x" * 400_000), Outcome.SUCCESS),
     (
         "said to be too large",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 9000,
@@ -108,7 +108,7 @@
     ("endless", ENDLESS + 520 * (b"x" * 0xFFFF + b"\r\nffff\r\n"), Outcome.RESET),
     ("endless head", b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 50_000, Outcome.ERROR),
     ("two lengths", answer(b"ok", 200, "Content-Length: 9"), Outcome.ERROR),
-    ("a nonsensical report", answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=lots"), Outcome.OK),
+    ("a nonsensical report", answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=lots"), Outcome.SUCCESS),
 ]
 
 
@@ -119,7 +119,7 @@
     pool.attempt()
     assert pool.ends() == [outcome]
     # a long one went on as it came, and is not handed over a second time
-    assert (pool.done[0].answer is not None) == (outcome is Outcome.OK and not pool.told)
+    assert (pool.done[0].answer is not None) == (outcome is Outcome.SUCCESS and not pool.told)
     assert pool.done[0].report == ()
     assert pool.used() == pool.idle()  # closed or kept, never lost
 
@@ -198,7 +198,7 @@
         pool.attempt()
         pool.ends(count)
         turns_until(partial(lambda closed: server.closed >= closed, count))
-    assert pool.ends(5) == [Outcome.OK] * 5 and len(server.connections) == 5
+    assert pool.ends(5) == [Outcome.SUCCESS] * 5 and len(server.connections) == 5
 
 
 def test_a_second_answer_that_nobody_asked_for_spoils_the_connection(server: Upstream) -> None:
@@ -207,7 +207,7 @@
     pool.attempt()
     pool.ends()
     pool.attempt()
-    assert pool.ends(2) == [Outcome.OK] * 2
+    assert pool.ends(2) == [Outcome.SUCCESS] * 2
     assert [done.answer.body for done in pool.done if done.answer] == [b"ok", b"ok"]
     assert len(server.connections) == 2
 
@@ -259,7 +259,7 @@
         while len(pool.done) < 5 or pool.budget.held:
             most = max(most, pool.budget.held)
             gevent.sleep(0)
-    assert pool.ends(5) == [Outcome.OK] * 5
+    assert pool.ends(5) == [Outcome.SUCCESS] * 5
     assert most <= COPIES * 300_000
 
 
@@ -293,16 +293,16 @@
     for _ in range(10):
         pool.attempt("a")
     pool.attempt("b")
-    assert pool.ends() == [Outcome.OK]
+    assert pool.ends() == [Outcome.SUCCESS]
     other.close()
 
 
-@pytest.mark.parametrize("health", [Health.DRAINING, Health.GONE])
-def test_nothing_is_written_to_what_began_to_drain(server: Upstream, health: Health) -> None:
+@pytest.mark.parametrize("health", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_nothing_is_written_to_what_began_to_drain(server: Upstream, health: EndpointStatus) -> None:
     pool = Pool(server)
     pool.attempt()
     pool.upstreams.learn((member("a", server.address, health),), False)
-    assert pool.ends() == [Outcome.MOOT] and not server.seen
+    assert pool.ends() == [Outcome.NOT_SENT] and not server.seen
 
 
 def test_nothing_is_written_once_drain_is_told_while_dialling(server: Upstream) -> None:
@@ -312,18 +312,18 @@
 
     def slow(*args: object) -> object:
         connection = dial(*args)  # type: ignore[arg-type]
-        pool.upstreams.learn((member("a", server.address, Health.DRAINING),), False)
+        pool.upstreams.learn((member("a", server.address, EndpointStatus.DRAINING),), False)
         return connection
 
     pool.upstreams._dial = slow  # type: ignore[assignment,method-assign]
-    assert pool.ends() == [Outcome.MOOT] and not server.seen and pool.used() == 0
+    assert pool.ends() == [Outcome.NOT_SENT] and not server.seen and pool.used() == 0
 
 
 def test_nothing_is_written_once_the_time_or_the_request_is_over(server: Upstream) -> None:
     pool = Pool(server)
     pool.attempt(patience=0)
     pool.attempt().open.over = True
-    assert pool.ends(2) == [Outcome.MOOT] * 2 and not server.seen
+    assert pool.ends(2) == [Outcome.NOT_SENT] * 2 and not server.seen
 
 
 def test_idle_connections_are_closed_for_want_of_descriptors() -> None:
@@ -332,7 +332,7 @@
     for count, name in enumerate("abc", 1):
         pool.attempt(name)
         pool.ends(count)
-    assert pool.ends(3) == [Outcome.OK] * 3
+    assert pool.ends(3) == [Outcome.SUCCESS] * 3
     assert [pool.idle(name) for name in "abc"] == [0, 1, 1] and pool.used() == 2
     for server in servers:
         server.close()
@@ -363,7 +363,7 @@
     turns_until(lambda: server.seen)
     pool.upstreams.learn((member("a", "127.0.0.1:9"),), False)
     server.connections[0].sendall(answer(b"ok"))
-    assert pool.ends() == [Outcome.OK] and pool.idle() == pool.used() == 0
+    assert pool.ends() == [Outcome.SUCCESS] and pool.idle() == pool.used() == 0
 
 
 def test_one_that_is_gone_is_forgotten_and_its_connection_never_used_for_another(server: Upstream) -> None:
@@ -373,12 +373,12 @@
     pool = Pool(server)
     pool.attempt()
     turns_until(lambda: server.seen)
-    pool.upstreams.learn((member("a", "127.0.0.1:9", Health.GONE),), False)
+    pool.upstreams.learn((member("a", "127.0.0.1:9", EndpointStatus.REMOVED),), False)
     assert not pool.upstreams.known
     pool.upstreams.learn((member("a", server.address), member("b", server.address)), False)
     server.script = lambda request, wire: answer(b"new")
     server.connections[0].sendall(answer(b"old"))
-    assert pool.ends() == [Outcome.OK]
+    assert pool.ends() == [Outcome.SUCCESS]
     assert pool.idle("a") == pool.idle("b") == pool.used() == 0
     pool.attempt("b")
     pool.ends(2)
@@ -391,4 +391,4 @@
     pool = Pool(server)
     pool.attempt()
     pool.upstreams.learn((), True)
-    assert pool.ends() == [Outcome.MOOT] and not server.connections
+    assert pool.ends() == [Outcome.NOT_SENT] and not server.connections
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,32 @@
 
 import pytest
 
-from linetrack.policy import interface as i
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    Log,
+    RejectRequest,
+    SendHealthCheck,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from linetrack.policy.settings import Idempotency, LoadField
 from linetrack.simhost import wire
 from linetrack.simhost.host import Host
 from linetrack.simhost.settings import from_pairs
@@ -135,56 +160,56 @@
     assert "Traceback" in capsys.readouterr().err
 
 
-ACTIONS: list[tuple[i.Action, str]] = [
-    (i.Send(1, "u:1", 9), "SUBMIT_TO i=s ref=1 upstream=u:1 withinUs=9"),
-    (i.Cancel(1, 2), "UNDO_SEND i=s ref=1 trial=2"),
-    (i.Refuse(1, 5), "OVERLOAD_REPLY i=s ref=1 backoffUs=5"),
-    (i.Refuse(1), "OVERLOAD_REPLY i=s ref=1"),
-    (i.Fail(1), "GIVE_UP i=s ref=1"),
-    (i.SetTimer(4, "t"), "REMIND i=s offsetUs=4 nonce=t"),
-    (i.Watch(False), "FOLLOW i=s want=0"),
-    (i.FetchList(), "FETCH i=s"),
-    (i.Probe("u:1"), "PROBE i=s upstream=u:1"),
-    (i.CloseIdle("u:1"), "DROP_CONNS i=s upstream=u:1"),
-    (i.Tell(-1, b"hi g7"), "WRITE_PEER i=s dst=-1 body=aGkgZzc="),
-    (i.Tell(2), "WRITE_PEER i=s dst=2 body=-"),
-    (i.Note("two\nlines"), "NOTE_DOWN i=s what=two lines"),
+ACTIONS: list[tuple[Action, str]] = [
+    (StartAttempt(1, "u:1", 9), "SUBMIT_TO i=s ref=1 upstream=u:1 withinUs=9"),
+    (CancelAttempt(1, 2), "UNDO_SEND i=s ref=1 trial=2"),
+    (RejectRequest(1, 5), "OVERLOAD_REPLY i=s ref=1 backoffUs=5"),
+    (RejectRequest(1), "OVERLOAD_REPLY i=s ref=1"),
+    (FailRequest(1), "GIVE_UP i=s ref=1"),
+    (SetTimer(4, "t"), "REMIND i=s offsetUs=4 nonce=t"),
+    (WatchEndpoints(False), "FOLLOW i=s want=0"),
+    (FetchEndpoints(), "FETCH i=s"),
+    (SendHealthCheck("u:1"), "PROBE i=s upstream=u:1"),
+    (CloseIdleConnections("u:1"), "DROP_CONNS i=s upstream=u:1"),
+    (SendToPeer(-1, b"hi g7"), "WRITE_PEER i=s dst=-1 body=aGkgZzc="),
+    (SendToPeer(2), "WRITE_PEER i=s dst=2 body=-"),
+    (Log("two\nlines"), "NOTE_DOWN i=s what=two lines"),
 ]
 
 
 @pytest.mark.parametrize(("action", "line"), ACTIONS)
-def test_every_action_has_its_line(action: i.Action, line: str) -> None:
+def test_every_action_has_its_line(action: Action, line: str) -> None:
     assert wire.format_action("s", action) == line
 
 
-EVENTS: list[tuple[str, i.Event]] = [
+EVENTS: list[tuple[str, Event]] = [
     (
         "REQ ref=1 kind=0 party=2 targetKey=k:x patienceLeftUs=5 workUs=7 repeat=1 update=1",
-        i.Arrival(1, 0, 5, 2, "k:x", 7, True, True),
+        RequestReceived(1, 0, 5, 2, "k:x", 7, True, True),
     ),
-    ("ESTABLISHED ref=1 trial=0 upstream=u:1 rttUs=9", i.Begun(1, 0, "u:1", 9)),
+    ("ESTABLISHED ref=1 trial=0 upstream=u:1 rttUs=9", ResponseStarted(1, 0, "u:1", 9)),
     (
         "FINISHED ref=1 trial=1 upstream=u:1 how=busy rttUs=3 pressure=1.5,2",
-        i.Ended(1, 1, "u:1", i.Outcome.FULL, 3, False, (1.5, 2.0)),
+        AttemptEnded(1, 1, "u:1", Outcome.OVERLOADED, 3, False, (1.5, 2.0)),
     ),
-    ("CLIENT_LEFT ref=1", i.ClientLeft(1)),
-    ("ALARM nonce=a:1", i.TimerDue("a:1")),
-    ("CHECKED upstream=u:1 rttUs=4 how=done", i.ProbeEnded("u:1", i.Outcome.OK, 4)),
-    ("MEMO originPeer=2 body=aGkgZzc=", i.PeerMessage(2, b"hi g7")),
+    ("CLIENT_LEFT ref=1", ClientDisconnected(1)),
+    ("ALARM nonce=a:1", TimerFired("a:1")),
+    ("CHECKED upstream=u:1 rttUs=4 how=done", HealthCheckEnded("u:1", Outcome.SUCCESS, 4)),
+    ("MEMO originPeer=2 body=aGkgZzc=", PeerMessageReceived(2, b"hi g7")),
 ]
 
 
 @pytest.mark.parametrize(("line", "event"), EVENTS)
-def test_every_event_is_read(line: str, event: i.Event) -> None:
+def test_every_event_is_read(line: str, event: Event) -> None:
     name, fields = wire.split(line)
     assert wire.EVENTS[name](fields) == event
 
 
 @pytest.mark.parametrize(("word", "outcome"), wire.OUTCOMES.items())
-def test_every_outcome_is_read(word: str, outcome: i.Outcome) -> None:
+def test_every_outcome_is_read(word: str, outcome: Outcome) -> None:
     _, fields = wire.split(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
     ended = wire.EVENTS["FINISHED"](fields)
-    assert isinstance(ended, i.Ended) and ended.outcome is outcome
+    assert isinstance(ended, AttemptEnded) and ended.outcome is outcome
 
 
 @pytest.mark.parametrize("line", ["MEMO originPeer=1 body=%%%", "FINISHED ref=1 trial=0 upstream=u how=odd"])
@@ -197,9 +222,9 @@
 def test_settings_are_read_and_unknown_ones_passed_over() -> None:
     _, pairs = wire.split("X " + BOOT)
     settings = from_pairs(pairs)
-    assert settings.must_ask and settings.parallel and settings.zones == 2
-    assert settings.report_fields == (i.Load.QUEUE, i.Load.RATE)
-    assert [c.effect for c in settings.classes] == [i.Effect.SAFE, i.Effect.UNSAFE]
+    assert settings.must_subscribe and settings.may_run_parallel_attempts and settings.zone_count == 2
+    assert settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
+    assert [c.idempotency for c in settings.classes] == [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT]
 
 
 def run_process(text: str, seed: str) -> subprocess.CompletedProcess[str]:
