--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -48,7 +48,7 @@
         seed: int,
     ) -> None:
         self.address, self.upstreams, self.tell = address, upstreams, tell
-        self.calls = DiscoverySchedule(settings, seed)
+        self.schedule = DiscoverySchedule(settings, seed)
         self.set(zones, kinds, settings)
         self.version: int | None = None
         self.asked, self.moved = Event(), Event()
@@ -61,7 +61,7 @@
         """The numbers that places and kinds have from here on, and the settings."""
         self.zones = {name: n for n, name in enumerate(zones)}
         self.kinds = {name: n for n, name in enumerate(kinds)}
-        self.calls.set(settings)
+        self.schedule.configure(settings)
 
     def remember(self, known: EndpointRecords) -> None:
         """The list as this sidecar last had it, before anything else is told."""
@@ -80,28 +80,28 @@
             return
         self.address, self.version = address, None
         self.turn += 1
-        self.calls.moved(clock())
+        self.schedule.switch_server(clock())
         for event in (self.asked, self.moved):
             event.set()
 
     def run(self) -> None:
         """Calls one after the other, from the module's asking on where changes do not come by themselves; for
         ever."""
-        if not self.calls.pushed:
+        if not self.schedule.updates_are_pushed:
             self.asked.wait()
         while True:
             self.moved.clear()
-            call = self.calls.next(clock())
-            if self.moved.wait(max(0, call.at - clock()) / SECOND):
+            poll = self.schedule.next_poll(clock())
+            if self.moved.wait(max(0, poll.due_at - clock()) / SECOND):
                 continue
-            following = gevent.spawn(self._until_it_fails, call, self.turn)
+            following = gevent.spawn(self._until_it_fails, poll, self.turn)
             gevent.wait([following, self.moved], count=1)
             if self.moved.is_set():
                 # guards against the old discovery's failure holding back the first call to another
                 self._hear_out(following)
             elif isinstance(failed := following.get(), PollError):
-                self.calls.failed(clock(), failed.fault)
-                if failed.fault is PollFailure.UNREACHABLE or not self.calls.pushed:
+                self.schedule.record_failure(clock(), failed.fault)
+                if failed.fault is PollFailure.UNREACHABLE or not self.schedule.updates_are_pushed:
                     self.heard.set()
                 log.warning("discovery_failed", how=failed.fault.value, fault=str(failed))
 
@@ -114,23 +114,23 @@
             self.former.kill(block=False)
         self.former = following
 
-    def _until_it_fails(self, call: Poll, turn: int) -> PollError | None:
+    def _until_it_fails(self, poll: Poll, turn: int) -> PollError | None:
         try:
-            self._follow(call, turn)
+            self._follow(poll, turn)
         except PollError as failed:
             return failed
         return None
 
-    def _follow(self, call: Poll, turn: int) -> None:
+    def _follow(self, poll: Poll, turn: int) -> None:
         """This call and all that follow it, on one connection while it is kept; ends by raising, or once
         another discovery is asked."""
         line: Connection | None = None
         try:
             while True:
-                gevent.sleep(max(0, call.at - clock()) / SECOND)
+                gevent.sleep(max(0, poll.due_at - clock()) / SECOND)
                 if line is None:
-                    line = self._dial(call)
-                answer = self._call(line, call)
+                    line = self._dial(poll)
+                answer = self._call(line, poll)
                 if answer.status != 200:
                     raise PollError(PollFailure.REJECTED, f"discovery answered {answer.status}")
                 before = self.version
@@ -143,39 +143,40 @@
                 except MalformedError as fault:
                     raise PollError(PollFailure.INVALID, fault) from None
                 self._hear_out(None)
-                self.calls.answered(clock(), call, self.version != before)
+                self.schedule.record_success(clock(), poll, self.version != before)
                 self.heard.set()
                 if not answer.keep or line.reader.stray:
                     line.close()
                     line = None
-                call = self.calls.next(clock())
+                poll = self.schedule.next_poll(clock())
         finally:
             if line is not None:
                 line.close()
 
-    def _dial(self, call: Poll) -> Connection:
+    def _dial(self, poll: Poll) -> Connection:
         try:
             # guards against ending with the process where no descriptor is left
             line = Connection(self.address, messages.MOST_LIST, messages.MOST_LIST)
-            line.dial(call.dial / SECOND)
+            line.dial(poll.connect_timeout / SECOND)
         except OSError as fault:
             raise PollError(PollFailure.UNREACHABLE, fault) from None
         return line
 
-    def _call(self, line: Connection, call: Poll) -> Response:
+    def _call(self, line: Connection, poll: Poll) -> Response:
         """One call's answer, whole; a CallError where none comes in time."""
         fault = PollFailure.TIMEOUT
         # a wait begins when discovery has been told of it, however long the dial took
-        since = clock() if call.long_poll else call.at
+        since = clock() if poll.long_poll_wait else poll.due_at
+        deadline = since + poll.response_timeout
         try:
-            with gevent.Timeout(max(0, since + call.limit - clock()) / SECOND, TimeoutError("no answer")):
+            with gevent.Timeout(max(0, deadline - clock()) / SECOND, TimeoutError("no answer")):
                 line.sock.sendall(
-                    messages.encode_poll(self.address, self.version, call.long_poll // 1000)
+                    messages.encode_poll(self.address, self.version, poll.long_poll_wait // 1000)
                 )
                 socket.wait_read(line.sock.fileno())
             fault = PollFailure.TRUNCATED
-            with gevent.Timeout(call.whole / SECOND, TimeoutError("the answer takes too long")):
-                answer = line.read(call.still / SECOND, lambda size: None)
+            with gevent.Timeout(poll.transfer_timeout / SECOND, TimeoutError("the answer takes too long")):
+                answer = line.read(poll.stall_timeout / SECOND, lambda size: None)
         except TimeoutError as late:
             raise PollError(fault, late) from None
         except OSError as broken:
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -138,7 +138,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(GC_THRESHOLD)
-        if self.discovery.calls.pushed:
+        if self.discovery.schedule.updates_are_pushed:
             self._hear_list()
         self._enter(Phase.SERVING)
         if successor is not None:
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -30,36 +30,36 @@
         self.turns_away, self.turned = turns_away, 0
         self.made: list[int] = []  # when each call was made
 
-    def play(self, calls: DiscoverySchedule, until: int, least: int) -> tuple[int, int]:
+    def play(self, schedule: DiscoverySchedule, until: int, least: int) -> tuple[int, int]:
         """When the change counts as told and when it was heard, for an instance that starts at 0.  One that
         met no waiting call counts `least` after it was made."""
         now, told, heard, on_watch = 0, self.change + least, until, False
         while now < until:
-            call = calls.next(now)
-            start = taken = call.at
+            poll = schedule.next_poll(now)
+            start = taken = poll.due_at
             self.made.append(start)
             if not on_watch:
                 if self.turns_away and self.turned < 2 and self.random.random() < 0.5:
                     self.turned += 1
-                    calls.failed(start, PollFailure.REJECTED)
+                    schedule.record_failure(start, PollFailure.REJECTED)
                     now = start
                     continue
                 taken, self.turned = start + self.random.randrange(1, self.slow), 0
-            news = self.change <= max(taken, start + call.long_poll) and heard == until
-            answered = max(taken, self.change if news else start + call.long_poll)
-            on_watch = not (call.long_poll and start <= self.silence < answered)
+            news = self.change <= max(taken, start + poll.long_poll_wait) and heard == until
+            answered = max(taken, self.change if news else start + poll.long_poll_wait)
+            on_watch = not (poll.long_poll_wait and start <= self.silence < answered)
             if not on_watch:
-                if heard == until and self.change <= start + call.limit:
-                    told = max(self.silence + 6 * SECOND, start + call.long_poll + 2 * SECOND)
-                now = start + call.limit
-                calls.failed(now, PollFailure.TIMEOUT)
+                if heard == until and self.change <= start + poll.response_timeout:
+                    told = max(self.silence + 6 * SECOND, start + poll.long_poll_wait + 2 * SECOND)
+                now = start + poll.response_timeout
+                schedule.record_failure(now, PollFailure.TIMEOUT)
                 continue
             now = answered
             if news:
                 heard = now
-                if call.long_poll and start <= self.change:
+                if poll.long_poll_wait and start <= self.change:
                     told = now  # it counts when it is written
-            calls.answered(now, call, news)
+            schedule.record_success(now, poll, news)
         return told, heard
 
 
@@ -76,9 +76,9 @@
     had been announced as leaving were still sent to (days calm+brink, every seed)."""
     slow = 5 * MS if pushed else 600 * MS
     discovery = Discovery(seed, max(0, silence + after), silence, slow, turns_away=not pushed)
-    calls = DiscoverySchedule(PUSHED if pushed else ASKED, seed)
+    schedule = DiscoverySchedule(PUSHED if pushed else ASKED, seed)
     until = silence + 60 * SECOND
-    told, heard = discovery.play(calls, until, 0 if pushed else 10 * SECOND)
+    told, heard = discovery.play(schedule, until, 0 if pushed else 10 * SECOND)
     assert heard <= told + GRACE
 
 
@@ -94,30 +94,30 @@
     assert max(seconds) <= count / 3
 
 
-def failing(calls: DiscoverySchedule, fault: PollFailure, until: int, now: int = 0) -> list[int]:
+def failing(schedule: DiscoverySchedule, fault: PollFailure, until: int, now: int = 0) -> list[int]:
     """When it calls a discovery that fails at once, until then."""
     at = []
-    while (call := calls.next(now)).at < until:
-        now = call.at
+    while (poll := schedule.next_poll(now)).at < until:
+        now = poll.due_at
         at.append(now)
-        calls.failed(now, fault)
+        schedule.record_failure(now, fault)
     return at
 
 
-def silent(calls: DiscoverySchedule) -> tuple[int, int]:
+def silent(schedule: DiscoverySchedule) -> tuple[int, int]:
     """A first watch that says nothing: when it was given up, and when what it missed binds."""
-    call = calls.next(0)
-    assert calls.due is not None and call.long_poll
-    due, now = calls.due, call.limit
-    calls.failed(now, PollFailure.TIMEOUT)
+    poll = schedule.next_poll(0)
+    assert schedule.binding_deadline is not None and poll.long_poll_wait
+    due, now = schedule.binding_deadline, poll.response_timeout
+    schedule.record_failure(now, PollFailure.TIMEOUT)
     return now, due
 
 
 @given(st.integers(0, 10**6))
 def test_a_discovery_that_turns_calls_away_is_tried_often_only_near_the_moment(seed: int) -> None:
-    calls = DiscoverySchedule(ASKED, seed)
-    now, due = silent(calls)
-    tries = failing(calls, PollFailure.REJECTED, due + 60 * SECOND, now)
+    schedule = DiscoverySchedule(ASKED, seed)
+    now, due = silent(schedule)
+    tries = failing(schedule, PollFailure.REJECTED, due + 60 * SECOND, now)
     assert sum(at <= due for at in tries) >= 4
     assert sum(at <= due + 2 * SECOND for at in tries) <= 25
     late = [at for at in tries if at > due + 30 * SECOND]
@@ -128,11 +128,11 @@
 def test_a_discovery_that_is_down_is_called_often_enough_to_be_met_and_no_oftener(seed: int) -> None:
     """Whatever failed before, a change counts 6 s after discovery could be reached: waits that grew to half
     of `ask_every` were too long.  A refused call costs discovery nothing."""
-    calls = DiscoverySchedule(ASKED, seed)
-    call = calls.next(0)
-    calls.due = None
-    calls.failed(call.at, PollFailure.UNREACHABLE)
-    tries = [0, *failing(calls, PollFailure.UNREACHABLE, 120 * SECOND)]
+    schedule = DiscoverySchedule(ASKED, seed)
+    poll = schedule.next_poll(0)
+    schedule.binding_deadline = None
+    schedule.record_failure(poll.due_at, PollFailure.UNREACHABLE)
+    tries = [0, *failing(schedule, PollFailure.UNREACHABLE, 120 * SECOND)]
     waits = [after - before for before, after in pairwise(tries)]
     assert max(waits) <= 2 * SECOND and len(tries) < 100
     assert waits[0] <= 1500 * MS and min(waits[10:]) >= SECOND
@@ -154,46 +154,46 @@
         self.reached = end
         self.states.append((end, end + 60 * SECOND, "answers"))
 
-    def play(self, calls: DiscoverySchedule) -> tuple[int, int]:
+    def play(self, schedule: DiscoverySchedule) -> tuple[int, int]:
         """When the first answer after it could be reached for good was read, and when it binds at the
         latest."""
         now, binds, watched = 0, self.reached + 6 * SECOND, -1  # the last: the end of a watch's state
         while True:
-            call = calls.next(now)
-            if call.at < watched:
-                quiet = call.at + call.long_poll
+            poll = schedule.next_poll(now)
+            if poll.due_at < watched:
+                quiet = poll.due_at + poll.long_poll_wait
                 if quiet < watched:
                     now = quiet
-                    calls.answered(now, call, False)
+                    schedule.record_success(now, poll, False)
                     continue
                 state = next(s[2] for s in self.states if s[0] == watched)
                 if state in ("refuses", "turns away"):
                     now = watched
-                    calls.failed(now, PollFailure.UNREACHABLE)
+                    schedule.record_failure(now, PollFailure.UNREACHABLE)
                 else:
-                    now = call.at + call.limit
-                    calls.failed(now, PollFailure.TIMEOUT)
+                    now = poll.due_at + poll.response_timeout
+                    schedule.record_failure(now, PollFailure.TIMEOUT)
                     binds = max(binds, quiet + 2 * SECOND)
                 watched = -1
                 continue
             watched = -1
-            _, end, state = next(s for s in self.states if s[0] <= call.at < s[1])
-            taken = call.at + self.random.randrange(1, 900 * MS)
+            _, end, state = next(s for s in self.states if s[0] <= poll.due_at < s[1])
+            taken = poll.due_at + self.random.randrange(1, 900 * MS)
             if state == "answers" and taken < end:
-                if call.at >= self.reached:
+                if poll.due_at >= self.reached:
                     return taken, binds
                 now, watched = taken, end
-                calls.answered(now, call, call.long_poll > 0)
+                schedule.record_success(now, poll, poll.long_poll_wait > 0)
                 continue
             now, fault = {
-                "refuses": (call.at, PollFailure.UNREACHABLE),
-                "cannot be dialled": (call.at + call.dial, PollFailure.UNREACHABLE),
-                "turns away": (call.at + MS, PollFailure.REJECTED),
+                "refuses": (poll.due_at, PollFailure.UNREACHABLE),
+                "cannot be dialled": (poll.due_at + poll.connect_timeout, PollFailure.UNREACHABLE),
+                "turns away": (poll.due_at + MS, PollFailure.REJECTED),
                 "spoils": (taken, PollFailure.INVALID),
-                "cuts short": (taken + call.still, PollFailure.TRUNCATED),
-                "drips": (taken + call.whole, PollFailure.TRUNCATED),
-            }.get(state, (call.at + call.limit, PollFailure.TIMEOUT))
-            calls.failed(now, fault)
+                "cuts short": (taken + poll.stall_timeout, PollFailure.TRUNCATED),
+                "drips": (taken + poll.transfer_timeout, PollFailure.TRUNCATED),
+            }.get(state, (poll.due_at + poll.response_timeout, PollFailure.TIMEOUT))
+            schedule.record_failure(now, fault)
 
 
 STATES = st.tuples(st.sampled_from((*WAYS, "answers")), st.integers(MS, 40 * SECOND))
@@ -221,8 +221,8 @@
 @given(st.integers(0, 10**6))
 def test_where_lists_are_pushed_a_discovery_that_was_down_is_met_within_the_grace(seed: int) -> None:
     """What it gets at its return counts at once, whether or not a watch is open."""
-    calls = DiscoverySchedule(PUSHED, seed)
-    tries = failing(calls, PollFailure.UNREACHABLE, 20 * SECOND)
+    schedule = DiscoverySchedule(PUSHED, seed)
+    tries = failing(schedule, PollFailure.UNREACHABLE, 20 * SECOND)
     assert max(after - before for before, after in pairwise(tries)) <= GRACE
 
 
@@ -230,10 +230,10 @@
 def test_another_discovery_is_called_at_once_and_again_before_its_news_counts(seed: int, at: int) -> None:
     """Guards against the back-off of the old discovery, and against three refusals of the new one that
     outlast the four seconds after SIGHUP."""
-    calls = DiscoverySchedule(ASKED, seed)
-    failing(calls, PollFailure.UNREACHABLE, at)
-    calls.moved(at)
-    tries = failing(calls, PollFailure.REJECTED, at + 4 * SECOND, at)
+    schedule = DiscoverySchedule(ASKED, seed)
+    failing(schedule, PollFailure.UNREACHABLE, at)
+    schedule.switch_server(at)
+    tries = failing(schedule, PollFailure.REJECTED, at + 4 * SECOND, at)
     assert tries[0] == at and len(tries) >= 5
 
 
@@ -248,23 +248,23 @@
     a fleet of 230 that gives up its places in that queue, or comes so seldom that the queue runs empty."""
     fleet, began, random = [DiscoverySchedule(ASKED, n) for n in range(230)], 20 * SECOND, Random(work)
     ends: list[tuple[int, int, PollFailure]] = []  # when each call fails; watches of every age at first
-    for n, calls in enumerate(fleet):
-        calls.next(random.randrange(began - 10 * SECOND, began))
+    for n, schedule in enumerate(fleet):
+        schedule.next_poll(random.randrange(began - 10 * SECOND, began))
         heapq.heappush(ends, (began, n, PollFailure.UNREACHABLE))
     down += began
     made, free, read = [0] * 100, down, []
     while ends:
         now, n, fault = heapq.heappop(ends)
-        fleet[n].failed(now, fault)
-        call = fleet[n].next(now)
-        made[call.at // SECOND] += 1
-        if call.at < down:
-            heapq.heappush(ends, (call.at, n, PollFailure.UNREACHABLE))
-        elif max(free, call.at) + work - call.at > most_wait:
-            heapq.heappush(ends, (call.at, n, PollFailure.REJECTED))
+        fleet[n].record_failure(now, fault)
+        poll = fleet[n].next_poll(now)
+        made[poll.due_at // SECOND] += 1
+        if poll.due_at < down:
+            heapq.heappush(ends, (poll.due_at, n, PollFailure.UNREACHABLE))
+        elif max(free, poll.due_at) + work - poll.due_at > most_wait:
+            heapq.heappush(ends, (poll.due_at, n, PollFailure.REJECTED))
         else:
-            free = max(free, call.at) + work
-            assert free <= call.at + call.limit, "a place in the queue was given up"
+            free = max(free, poll.due_at) + work
+            assert free <= poll.due_at + poll.response_timeout, "a place in the queue was given up"
             read.append(free)
     assert max(read) - down <= len(fleet) * work + 2 * SECOND
     # refused while it is down, and turned away at its return
@@ -272,10 +272,10 @@
 
 
 def test_a_call_after_a_failure_is_answered_at_once_and_a_watch_comes_behind_it() -> None:
-    calls = DiscoverySchedule(ASKED, 1)
-    now, _ = silent(calls)
-    prompt = calls.next(now)
-    assert prompt.long_poll == 0 and prompt.at == now
-    calls.answered(now + MS, prompt, False)
-    watch = calls.next(now + MS)
-    assert isinstance(watch, Poll) and watch.long_poll and watch.at - now <= 200 * MS
+    schedule = DiscoverySchedule(ASKED, 1)
+    now, _ = silent(schedule)
+    prompt = schedule.next_poll(now)
+    assert prompt.long_poll_wait == 0 and prompt.due_at == now
+    schedule.record_success(now + MS, prompt, False)
+    watch = schedule.next_poll(now + MS)
+    assert isinstance(watch, Poll) and watch.long_poll_wait and watch.due_at - now <= 200 * MS
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 import gevent
 import pytest
 
-from linetrack.control import discovery_schedule as calls
+from linetrack.control import discovery_schedule
 from linetrack.control.discovery_schedule import PollFailure
 from linetrack.policy.events import EndpointListUpdate, EndpointStatus, ListForm
 from linetrack.policy.settings import Settings
@@ -38,13 +38,13 @@
         self.discovery = DiscoveryClient(
             address(self.server.address), self.upstreams, self.put, ("north",), ("plain",), settings, 1
         )
-        failed = self.discovery.calls.failed
+        failed = self.discovery.schedule.record_failure
 
         def note(now: int, fault: PollFailure) -> None:
             self.failed.append(fault)
             failed(now, fault)
 
-        self.discovery.calls.failed = note  # type: ignore[method-assign]
+        self.discovery.schedule.record_failure = note  # type: ignore[method-assign]
         self.greenlet = gevent.spawn(self.discovery.run)
 
     def put(self, news: EndpointListUpdate, seen: int) -> None:
@@ -74,7 +74,7 @@
 
 def test_a_quiet_watch_outlasts_the_time_to_dial(watched: Watched, monkeypatch: pytest.MonkeyPatch) -> None:
     # guards against the dial's time-out staying on the socket: every watch ended after it, as refused
-    monkeypatch.setattr(calls, "DIAL", 100_000)
+    monkeypatch.setattr(discovery_schedule, "CONNECT_TIMEOUT_US", 100_000)
     watched.start()
     turns_until(lambda: watched.server.calls)
     gevent.sleep(0.3)
@@ -110,9 +110,14 @@
 ) -> None:
     """Guards against the back-off of a discovery that is down after a watch that fell silent, or was spoilt
     or cut short: what it missed bound before the next call."""
-    for name, short in {"LONG_POLL": 50_000, "OVERDUE": 30_000, "STILL": 30_000, "AGAIN": LONG}.items():
-        monkeypatch.setattr(calls, name, short)
-    watched.discovery.calls.again = LONG
+    for name, short in {
+        "MAX_LONG_POLL_WAIT_US": 50_000,
+        "LONG_POLL_RESPONSE_MARGIN_US": 30_000,
+        "INITIAL_STALL_TIMEOUT_US": 30_000,
+        "INITIAL_BACKOFF_US": LONG,
+    }.items():
+        monkeypatch.setattr(discovery_schedule, name, short)
+    watched.discovery.schedule.backoff = LONG
     watched.server.scripted = [reply]
     watched.start()
     assert watched.forms(1) == [ListForm.CACHED]
@@ -135,7 +140,7 @@
 def test_a_discovery_that_is_down_is_called_again_after_a_wait(
     watched: Watched, reply: bytes | None, fault: PollFailure
 ) -> None:
-    watched.discovery.calls.again = 30_000
+    watched.discovery.schedule.backoff = 30_000
     watched.server.scripted = [reply]
     watched.start()
     turns_until(lambda: watched.failed)
@@ -222,7 +227,7 @@
 
 
 def test_a_move_ends_a_back_off_and_the_same_address_changes_nothing(watched: Watched) -> None:
-    watched.discovery.calls.again = LONG
+    watched.discovery.schedule.backoff = LONG
     watched.server.scripted = [answer(b"", 503)]
     watched.start()
     turns_until(lambda: watched.failed)
@@ -259,7 +264,7 @@
 def test_a_watch_that_dies_with_its_news_half_read_is_followed_at_once(watched: Watched) -> None:
     """Guards against half of a list taken for all of it, and against a wait with the other half missing."""
     news = listed(2, False, entry("a", state="DRAINING"), entry("b", state="DRAINING"))
-    watched.discovery.calls.again = LONG
+    watched.discovery.schedule.backoff = LONG
     watched.server.scripted = [news[:-30]]
     watched.start()
     turns_until(lambda: watched.server.calls)
@@ -332,7 +337,7 @@
     watched: Watched, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against calls without pause where answers without news come at once
-    monkeypatch.setattr(calls, "NO_NEWS", 40_000)
+    monkeypatch.setattr(discovery_schedule, "UNCHANGED_LIST_PAUSE_US", 40_000)
     watched.server.scripted = [listed(1, False), listed(1, False, entry("a")), listed(1, False)]
     before = time.monotonic()
     watched.start()
