--- a/linetrack/control/discovery_schedule.py
+++ b/linetrack/control/discovery_schedule.py
@@ -1,8 +1,8 @@
 """When discovery is polled, how long a poll may take, and how long to wait after a failed one.
 
-A change of the endpoint list is binding for an instance from a moment that the protocol names, whether or not
-the instance has received it.  Every decision here follows from that moment, `binding_deadline`; `docs/list.md`
-has the table of all cases.  The schedule keeps that moment, the count of consecutive failures and the jitter
+A change of the endpoint list is binding for an instance from a moment that the protocol names, whether or
+not the instance has received it.  Every decision here follows from that moment, `binding_deadline`;
+`docs/list.md` has the table of all cases.  The schedule keeps that moment, the count of consecutive failures and the jitter
 that spreads polls over the fleet.  It makes no poll itself and reads no clock: `server/discovery_client.py`
 makes the polls.  All times are in microseconds.
 """
@@ -52,7 +52,7 @@
 MAX_BACKOFF_US = 2 * SECOND
 # Between two polls, however near the binding deadline is.
 MIN_BACKOFF_US = 100 * MS
-# From the start of a lost poll to the next one; the rest of MAX_LIST_STALENESS_US is for the response to that.
+# From the start of a lost poll to the next one; the rest of MAX_LIST_STALENESS_US is for the next response.
 MAX_LOST_POLL_INTERVAL_US = 5 * SECOND
 # The pause before the next attempt is this part of the time left to the binding deadline.
 BACKOFF_DEADLINE_DIVISOR = 4
@@ -166,8 +166,8 @@
     def _drop_distant_deadline(self, now: int) -> None:
         """Forget a binding deadline that is so far off that MAX_LIST_STALENESS_US is the limit that matters.
 
-        With it, a fleet would poll a discovery server that is down or overloaded as often as one whose watches
-        fell silent.
+        With it, a fleet would poll a discovery server that is down or overloaded as often as one whose
+        watches fell silent.
         """
         if (self.binding_deadline or 0) > now + MAX_LIST_STALENESS_US:
             self.binding_deadline = None
@@ -205,7 +205,7 @@
         )
 
     def _immediate_poll(self, due_at: int) -> Poll:
-        # The timeout grows with each failure: a poll that times out gives up its position in discovery's queue.
+        # It grows with each failure: a poll that times out gives up its position in discovery's queue.
         half_of_rest = self._time_to_deadline(due_at) // 2
         base_timeout = max(MIN_RESPONSE_TIMEOUT_US, half_of_rest)
         response_timeout = min(MAX_RESPONSE_TIMEOUT_US, base_timeout << self._doublings())
--- a/linetrack/server/admin.py
+++ b/linetrack/server/admin.py
@@ -15,7 +15,9 @@
 
 from linetrack.server.clock import clock
 from linetrack.server.connection import READ_SIZE, is_transient_accept_error
-from linetrack.server.messages import ClientRequest, MalformedError, RequestReader, encode_response
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.requests import ClientRequest, RequestReader
+from linetrack.server.http1.responses import encode_response
 
 log = structlog.get_logger()
 
@@ -64,8 +66,8 @@
             with gevent.Timeout(WITHIN, TimeoutError("the call did not come")):
                 try:
                     answer = self._answer(_call(caller))
-                except MalformedError as fault:
-                    answer = encode_response(fault.status, keep=False)
+                except MalformedMessageError as fault:
+                    answer = encode_response(fault.status, keep_alive=False)
             with gevent.Timeout(WITHIN, TimeoutError("the answer was not taken")):
                 caller.sendall(answer)
                 caller.shutdown(socket.SHUT_WR)
@@ -83,15 +85,15 @@
 
     def _answer(self, call: ClientRequest) -> bytes:
         if call.path not in (HEALTH, STATS):
-            return encode_response(404, keep=False)
+            return encode_response(404, keep_alive=False)
         if call.method != "GET":
-            return encode_response(405, keep=False)
+            return encode_response(405, keep_alive=False)
         if call.path == HEALTH:
-            return encode_response(200 if self.serving() else 503, keep=False)
+            return encode_response(200 if self.serving() else 503, keep_alive=False)
         now = clock()
         if now - self.made >= FRESH:
             self.text, self.made = self.figures().encode(), now
-        return encode_response(200, self.text, keep=False, content_type=TEXT)
+        return encode_response(200, self.text, keep_alive=False, content_type=TEXT)
 
 
 def _call(caller: socket.socket) -> ClientRequest:
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -19,11 +19,20 @@
 
 from linetrack.control.connection_slots import State
 from linetrack.policy.events import Outcome
-from linetrack.server import messages
 from linetrack.server.budget import SMALL
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.connection import READ_SIZE, PeerState, ResponseStream, peer_state, readable, write
-from linetrack.server.messages import ClientRequest, Framing, MalformedError, RequestReader
+from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from linetrack.server.http1.requests import READINESS_PATH, ClientRequest, RequestReader
+from linetrack.server.http1.responses import (
+    CONTINUE_RESPONSE,
+    BodyFraming,
+    encode_response,
+    encode_response_head,
+    select_framing,
+)
 from linetrack.server.dispatcher import FinalResponse, DisconnectedClient, IncomingRequest
 
 if TYPE_CHECKING:
@@ -86,12 +95,12 @@
 
     def idle(self) -> bool:
         """Between requests, as far as can be seen."""
-        return not self.busy and not self.reader.open and not readable(self.sock)
+        return not self.busy and not self.reader.has_partial_request and not readable(self.sock)
 
     @property
     def clean(self) -> bool:
         """Between requests, and nothing of the next one has been read."""
-        return not (self.busy or self.whole or self.reader.open)
+        return not (self.busy or self.whole or self.reader.has_partial_request)
 
     def serve(self) -> None:
         try:
@@ -102,7 +111,7 @@
                         break
                 except HandedOverError:
                     pass  # woken where it waited for a request
-        except MalformedError as fault:
+        except MalformedMessageError as fault:
             self.clients.refused_input(str(fault), fault.status)
             self._reject(fault.status)
         except OSError:
@@ -133,14 +142,14 @@
         """Called by the sweep: what waits for the client ends."""
         if self.stalls:
             # guards against a request that drips in for ever
-            self.wake(MalformedError("the request stalled", 408), lambda client: client.stalls)
+            self.wake(MalformedMessageError("the request stalled", 408), lambda client: client.stalls)
         else:
             self.sock.close()
 
     @property
     def stalls(self) -> bool:
         """It waits for the rest of a request."""
-        return self.reader.open and not self.busy
+        return self.reader.has_partial_request and not self.busy
 
     def wake(self, why: Exception, still: Callable[[ClientConnection], bool]) -> None:
         """Raise this in its greenlet, if that still holds once the event loop comes to it.
@@ -156,9 +165,9 @@
     def _read(self) -> bool:
         """Read until at least one request is whole; False where the connection ends first."""
         while not self.whole:
-            if self.reader.fault is not None:
-                raise self.reader.fault
-            if self.reader.request.waits:
+            if self.reader.deferred_error is not None:
+                raise self.reader.deferred_error
+            if self.reader.request.expects_continue:
                 self.invite()
             data = self.sock.recv(READ_SIZE)
             if not data:
@@ -166,38 +175,38 @@
             self.take(data)
             if not self.whole:
                 self.clients.places.begun(self.seat, self.seen)
-            if self.reader.open and self.reader.headed and not self._holds_body():
-                self.reader.request.rest = Upload(self)
+            if self.reader.has_partial_request and self.reader.is_head_complete and not self._holds_body():
+                self.reader.request.body_stream = Upload(self)
                 self.whole.append(self.reader.request)
-            elif self.reader.size > SMALL and not self.held:
-                self.held = self.clients.budget.hold(messages.HELD)
+            elif self.reader.body_size > SMALL and not self.held:
+                self.held = self.clients.budget.hold(MAX_BUFFERED_BODY_BYTES)
         return True
 
     def invite(self) -> None:
         """Ask for the body of whoever waits to be asked."""
         request = self.reader.request
-        if request.waits and self.reader.open and self.reader.headed:
-            request.waits = False
-            if not self.reader.size:
-                self.sock.sendall(messages.CONTINUE)
+        if request.expects_continue and self.reader.has_partial_request and self.reader.is_head_complete:
+            request.expects_continue = False
+            if not self.reader.body_size:
+                self.sock.sendall(CONTINUE_RESPONSE)
 
     def take(self, data: bytes) -> None:
         """Bytes have come: the requests that they complete, and the time that is left for the one at hand."""
         reader = self.reader
-        begun, headed, self.seen = reader.open, reader.headed, clock()
+        begun, headed, self.seen = reader.has_partial_request, reader.is_head_complete, clock()
         self.whole.extend(reader.feed(data))
-        if not reader.open:
+        if not reader.has_partial_request:
             return
         if self.whole or (not begun and self.answers):
             # guards against a limit that starts anew with each byte, or that a first byte puts off
             self.since = self.seen
         if self.busy:
             return
-        if not reader.headed:
+        if not reader.is_head_complete:
             self.due = self.since + WITHIN
             return
         # guards against a body that drips in for ever, and against cutting off one that is only slow
-        earned = self.since + WITHIN + reader.size * 1_000_000 // SLOWEST
+        earned = self.since + WITHIN + reader.body_size * 1_000_000 // SLOWEST
         self.due = min(earned, self.seen + WITHIN)
         if not headed:
             self.due = max(self.due, self.seen + BODY_BEGINS)
@@ -205,15 +214,15 @@
     def _holds_body(self) -> bool:
         """Whether the body at hand is held until it is whole; where not, it goes on as it comes."""
         reader, budget = self.reader, self.clients.budget
-        length = reader.announced()
-        size = reader.size if length is None else length
+        length = reader.declared_content_length()
+        size = reader.body_size if length is None else length
         if size <= SMALL:
             return True
         if not self.held:
             # guards against reading a long body of what is no request
             self.clients.intake.check(reader.request)
-            if size <= messages.HELD:
-                self.held = budget.hold(messages.HELD)
+            if size <= MAX_BUFFERED_BODY_BYTES:
+                self.held = budget.hold(MAX_BUFFERED_BODY_BYTES)
                 return True
         if size <= self.held:
             return True
@@ -226,15 +235,15 @@
     def _serve_request(self, request: ClientRequest) -> bool:
         """Serve one request; whether the connection is kept."""
         self.busy, self.due = True, NEVER
-        if request.path == messages.READY_PATH:
+        if request.path == READINESS_PATH:
             self.clients.places.looked(self.seat, clock())
             return self._answer(request, FinalResponse(200 if self.clients.serving() else 503))
         arrival = self.clients.intake.arrival(request)
         self.clients.places.asked(self.seat, self.seen)
         result: AsyncResult[FinalResponse | None] = AsyncResult()
-        gone = partial(self._gone, arrival.request_id, result, request.keep, self.seen)
+        gone = partial(self._gone, arrival.request_id, result, request.keep_alive, self.seen)
         self.clients.owner.put(IncomingRequest(request, arrival, result.set, gone), self.seen)
-        if isinstance(upload := request.rest, Upload):
+        if isinstance(upload := request.body_stream, Upload):
             upload.left = partial(self._left, arrival.request_id, result)
             upload.came = partial(self.watch.start, self._look_whether_gone, gone)
         else:
@@ -244,7 +253,7 @@
         finally:
             self.watch.stop()
             self.clients.unread.pop(self, None)
-            self.clients.intake.over(request.trace)
+            self.clients.intake.over(request.trace_id)
         if isinstance(upload, Upload) and upload.fault is not None:
             raise upload.fault
         return final is not None and self._answer(request, final)
@@ -280,8 +289,8 @@
         if self.clients.whole_seconds:
             after = -(-after // 1_000_000) * 1_000_000
         length = final.length if request.method == "HEAD" else None
-        data = messages.encode_response(
-            final.status, final.body, after, keep, final.content_type, request.old, length
+        data = encode_response(
+            final.status, final.body, after, keep, final.content_type, request.is_http10, length
         )
         self.due = clock() + WITHIN
         write(self.sock, data)
@@ -289,22 +298,22 @@
 
     def _stream_answer(self, request: ClientRequest, stream: ResponseStream, keep: bool) -> bool:
         """Write a long answer as it comes; whether it went out whole."""
-        how, outcome = messages.framing(stream.length, request.old), Outcome.CANCELLED
-        keep = keep and how is not Framing.CLOSE
+        how, outcome = select_framing(stream.length, request.is_http10), Outcome.CANCELLED
+        keep = keep and how is not BodyFraming.CONNECTION_CLOSE
         try:
             self.due = clock() + TAKES
             write(
                 self.sock,
-                messages.encode_response_head(how, stream.length, keep, stream.content_type, request.old),
+                encode_response_head(how, stream.length, keep, stream.content_type, request.is_http10),
             )
             while True:
                 self.due = NEVER  # the upstream has a limit of its own
                 try:
                     parts = stream.next()
-                except (OSError, MalformedError) as fault:
+                except (OSError, MalformedMessageError) as fault:
                     outcome = Outcome.RESET
                     log.warning("answer_broke_off", fault=str(fault))
-                    if how is Framing.CLOSE:
+                    if how is BodyFraming.CONNECTION_CLOSE:
                         # guards against an end that cannot be told from a whole one
                         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                     return False
@@ -312,11 +321,11 @@
                     break
                 for part in parts:
                     self.due = clock() + TAKES
-                    write(self.sock, messages.chunk(part) if how is Framing.CHUNKS else part)
-            if how is Framing.CHUNKS:
-                write(self.sock, messages.LAST_CHUNK)
+                    write(self.sock, encode_chunk(part) if how is BodyFraming.CHUNKED else part)
+            if how is BodyFraming.CHUNKED:
+                write(self.sock, LAST_CHUNK)
             outcome = Outcome.SUCCESS
-            return how is not Framing.CLOSE
+            return how is not BodyFraming.CONNECTION_CLOSE
         finally:
             stream.end(outcome)
 
@@ -328,19 +337,19 @@
         if keep:
             now = clock()
             self.since, self.due = now, now + WITHIN
-            if self.seat.state is State.BUSY and not self.reader.open:
+            if self.seat.state is State.BUSY and not self.reader.has_partial_request:
                 self.due = NEVER  # the places say when its time is over
                 self.clients.places.rests_now(self.seat, now)
-        elif self.reader.open or readable(self.sock):
+        elif self.reader.has_partial_request or readable(self.sock):
             # guards against a reset that overtakes the answer, for what comes behind the request
             self._linger()
         return keep
 
     def _keeps_connection(self, request: ClientRequest) -> bool:
         """Whether the connection is kept after this answer."""
-        if not request.keep or not request.whole or (self.clients.closing and not self.whole):
+        if not request.keep_alive or not request.is_complete or (self.clients.closing and not self.whole):
             return False
-        if self.seat.state is not State.BUSY or self.whole or self.reader.open:
+        if self.seat.state is not State.BUSY or self.whole or self.reader.has_partial_request:
             return True
         # guards against closing under a request that came behind this one: it has been taken
         return self.clients.places.answered(self.seat, clock()) or readable(self.sock)
@@ -349,7 +358,7 @@
         """An answer to what is no request."""
         self.busy = True
         try:
-            self.sock.sendall(messages.encode_response(status, keep=False))
+            self.sock.sendall(encode_response(status, keep_alive=False))
             self._linger()
         except OSError:
             pass
@@ -359,7 +368,8 @@
         overtakes it, and nothing that comes behind is taken for a request."""
         self.busy, began = True, clock()
         # one who still sends a body that is not wanted may go on at the pace of any other
-        left = messages.MOST_BODY if self.reader.open and self.reader.request.rest is not None else LAST_BYTES
+        is_streamed = self.reader.has_partial_request and self.reader.request.body_stream is not None
+        left = MAX_BODY_BYTES if is_streamed else LAST_BYTES
         self.due, read = began + LAST_WORD, 0
         try:
             self.sock.shutdown(socket.SHUT_WR)
@@ -375,20 +385,21 @@
     """A body that goes on as it comes: read from the client by whoever sends its request on."""
 
     def __init__(self, client: ClientConnection) -> None:
-        self.client, self.request, self.length = client, client.reader.request, client.reader.announced()
-        self.fault: OSError | MalformedError | None = None
+        self.client, self.request = client, client.reader.request
+        self.content_length = client.reader.declared_content_length()
+        self.fault: OSError | MalformedMessageError | None = None
         self.waited = 0  # microseconds for the client
         self.left: Callable[[], None] = lambda: None  # called once it breaks off
         self.came: Callable[[], None] = lambda: None  # called once it is whole
 
-    def next(self) -> list[bytes | bytearray]:
-        """Wait for what comes next; nothing once it is whole.  An OSError or a MalformedError where it breaks
-        off."""
+    def read_chunks(self) -> list[bytes | bytearray]:
+        """Wait for what comes next; nothing once it is whole.  An OSError or a MalformedMessageError where it
+        breaks off."""
         client, request = self.client, self.request
         try:
-            while not (parts := self._come()) and not request.whole:
+            while not (parts := self._come()) and not request.is_complete:
                 client.invite()
-                earned = WITHIN + client.reader.size * 1_000_000 // SLOWEST - self.waited
+                earned = WITHIN + client.reader.body_size * 1_000_000 // SLOWEST - self.waited
                 began = clock()
                 client.due = began + min(WITHIN, earned)
                 data = client.sock.recv(client.clients.budget.piece())
@@ -397,23 +408,23 @@
                     raise ConnectionResetError("the client left within its request")
                 try:
                     client.take(data)
-                except MalformedError as fault:
-                    if not request.whole:
+                except MalformedMessageError as fault:
+                    if not request.is_complete:
                         raise
-                    client.reader.fault = fault  # what is wrong stands behind the request
-        except (OSError, MalformedError) as fault:
+                    client.reader.deferred_error = fault  # what is wrong stands behind the request
+        except (OSError, MalformedMessageError) as fault:
             self.fault = fault
             self.left()
             raise
-        if request.whole:
+        if request.is_complete:
             came, self.came = self.came, lambda: None
             came()
         return parts
 
     def _come(self) -> list[bytes | bytearray]:
-        if self.request.whole:
-            parts, self.request.parts = list(self.request.parts), []
+        if self.request.is_complete:
+            parts, self.request.body_chunks = list(self.request.body_chunks), []
         else:
-            parts = self.client.reader.take()
+            parts = self.client.reader.take_body_chunks()
         self.client.let_go()
         return parts
--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -14,8 +14,9 @@
 
 from linetrack.control.settings_digest import settings_digest
 from linetrack.policy.settings import Settings
-from linetrack.server import messages
-from linetrack.server.messages import EndpointRecords
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import EndpointRecords, parse_endpoint_list
+from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.settings import Node, SettingsError, read_settings
 
 EMPTY_LIST = EndpointRecords(0, True, ())
@@ -150,7 +151,7 @@
 
 def _address(value: str, key: str) -> tuple[str, int]:
     try:
-        return messages.address(value)
+        return parse_address(value)
     except ValueError as fault:
         raise ConfigError(f"{key}: {fault}") from None
 
@@ -167,8 +168,8 @@
     if value is None:
         return EMPTY_LIST
     try:
-        return messages.parse_endpoint_list(value)
-    except messages.MalformedError as fault:
+        return parse_endpoint_list(value)
+    except MalformedMessageError as fault:
         raise ConfigError(f"known: {fault}") from None
 
 
--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -14,21 +14,22 @@
 from gevent.event import AsyncResult
 
 from linetrack.policy.events import Outcome
-from linetrack.server.messages import Response, ResponseReader, MalformedError
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.responses import Response, ResponseReader
 
 READ_SIZE = 64 * 1024
 
 
-class StalledError(MalformedError):
+class StalledError(MalformedMessageError):
     """An answer has begun and then stood still."""
 
 
 class Connection:
     __slots__ = ("address", "depth", "idle_since", "reader", "sock", "until")
 
-    def __init__(self, address: tuple[str, int], most_body: int, held: int) -> None:
+    def __init__(self, address: tuple[str, int], max_body_bytes: int, max_buffered_body_bytes: int) -> None:
         self.address = address
-        self.reader = ResponseReader(most_body, held)
+        self.reader = ResponseReader(max_body_bytes, max_buffered_body_bytes)
         # while it rests: since when, until when, and how many rested beside it
         self.idle_since = self.until = self.depth = 0
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -61,21 +62,22 @@
         """
         reader = self.reader
         data = self.sock.recv(READ_SIZE)
-        answer = reader.feed(data) if data else reader.finish()
-        if answer is None and data and not reader.long:
+        answer = reader.feed(data) if data else reader.feed_eof()
+        if answer is None and data and not reader.exceeds_body_buffer:
             told = False
             self.sock.settimeout(within)
-            while answer is None and data and not reader.long:
-                if reader.answer is not None and not told:
+            while answer is None and data and not reader.exceeds_body_buffer:
+                if reader.response is not None and not told:
                     told = True
-                    room(reader.held if reader.answer.length is None else reader.answer.length)
+                    length = reader.response.content_length
+                    room(reader.max_buffered_body_bytes if length is None else length)
                 try:
                     data = self.sock.recv(READ_SIZE)
                 except TimeoutError:
                     raise StalledError("the answer stands still") from None
-                answer = reader.feed(data) if data else reader.finish()
+                answer = reader.feed(data) if data else reader.feed_eof()
             self.sock.settimeout(None)
-        return answer or (reader.answer if reader.long else None)
+        return answer or (reader.response if reader.exceeds_body_buffer else None)
 
 
 class ResponseStream:
@@ -87,19 +89,19 @@
         """`within` is how many seconds the upstream may give nothing; `piece` tells how many bytes to read at
         once."""
         self.connection, self.piece = connection, piece
-        self.length, self.content_type = answer.length, answer.content_type
+        self.length, self.content_type = answer.content_length, answer.content_type
         self.over: AsyncResult[Outcome] = AsyncResult()
         connection.sock.settimeout(within)
 
     def next(self) -> list[bytes | bytearray]:
-        """Wait for what comes next; nothing once the answer is whole.  An OSError or a MalformedError where
-        it breaks off."""
+        """Wait for what comes next; nothing once the answer is whole.  An OSError or a MalformedMessageError
+        where it breaks off."""
         reader = self.connection.reader
-        while not (parts := reader.take()) and reader.whole is None:
+        while not (parts := reader.take_body_chunks()) and reader.completed_response is None:
             data = self.connection.sock.recv(self.piece())
             if data:
                 reader.feed(data)
-            elif reader.finish() is None:
+            elif reader.feed_eof() is None:
                 raise ConnectionResetError("the answer ended short")
         return parts
 
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -17,10 +17,17 @@
 from linetrack.control.discovery_schedule import Poll, DiscoverySchedule, PollFailure
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, ListForm
 from linetrack.policy.settings import Settings
-from linetrack.server import messages
 from linetrack.server.clock import clock
 from linetrack.server.connection import Connection, StalledError
-from linetrack.server.messages import Response, MalformedError, EndpointRecord, EndpointRecords
+from linetrack.server.endpoint_list import (
+    MAX_ENDPOINT_LIST_BYTES,
+    EndpointRecord,
+    EndpointRecords,
+    decode_endpoint_list,
+    encode_poll,
+)
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.responses import Response
 from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
@@ -65,7 +72,7 @@
 
     def remember(self, known: EndpointRecords) -> None:
         """The list as this sidecar last had it, before anything else is told."""
-        self.version = known.version if known.members else None
+        self.version = known.version if known.endpoints else None
         self._tell(known, ListForm.CACHED)
 
     def watch(self) -> None:
@@ -135,17 +142,17 @@
                     raise PollError(PollFailure.REJECTED, f"discovery answered {answer.status}")
                 before = self.version
                 try:
-                    told = messages.decode_endpoint_list(answer.body)
+                    told = decode_endpoint_list(answer.body)
                     if turn != self.turn:
                         self._take_last(told)
                         return
                     self._take(told)
-                except MalformedError as fault:
+                except MalformedMessageError as fault:
                     raise PollError(PollFailure.INVALID, fault) from None
                 self._hear_out(None)
                 self.schedule.record_success(clock(), poll, self.version != before)
                 self.heard.set()
-                if not answer.keep or line.reader.stray:
+                if not answer.keep_alive or line.reader.has_unexpected_data:
                     line.close()
                     line = None
                 poll = self.schedule.next_poll(clock())
@@ -156,7 +163,7 @@
     def _dial(self, poll: Poll) -> Connection:
         try:
             # guards against ending with the process where no descriptor is left
-            line = Connection(self.address, messages.MOST_LIST, messages.MOST_LIST)
+            line = Connection(self.address, MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
             line.dial(poll.connect_timeout / SECOND)
         except OSError as fault:
             raise PollError(PollFailure.UNREACHABLE, fault) from None
@@ -171,7 +178,7 @@
         try:
             with gevent.Timeout(max(0, deadline - clock()) / SECOND, TimeoutError("no answer")):
                 line.sock.sendall(
-                    messages.encode_poll(self.address, self.version, poll.long_poll_wait // 1000)
+                    encode_poll(self.address, self.version, poll.long_poll_wait // 1000)
                 )
                 socket.wait_read(line.sock.fileno())
             fault = PollFailure.TRUNCATED
@@ -183,12 +190,12 @@
             raise PollError(PollFailure.UNREACHABLE, broken) from None
         except StalledError as late:
             raise PollError(PollFailure.TRUNCATED, late) from None
-        except MalformedError as malformed:
+        except MalformedMessageError as malformed:
             raise PollError(PollFailure.INVALID, malformed) from None
         if answer is None:
-            fault = PollFailure.UNREACHABLE if line.reader.answer is None else PollFailure.TRUNCATED
+            fault = PollFailure.UNREACHABLE if line.reader.response is None else PollFailure.TRUNCATED
             raise PollError(fault, "discovery closed the connection")
-        line.reader.next()
+        line.reader.start_next_response()
         return answer
 
     def _take_last(self, told: EndpointRecords) -> None:
@@ -197,28 +204,28 @@
             self._pass_on(told)
 
     def _take(self, told: EndpointRecords) -> None:
-        if told.passed_over:
-            log.warning("members_passed_over", entries=told.passed_over)
+        if told.skipped_count:
+            log.warning("members_passed_over", entries=told.skipped_count)
         if self.version is not None and told.version < self.version:
             # guards against old news, and against staying deaf to a discovery that started over: the next
             # call asks for the whole list, which then holds whatever its version
             version, self.version = self.version, None
-            raise MalformedError(f"version {told.version} is older than {version}")
+            raise MalformedMessageError(f"version {told.version} is older than {version}")
         self.version = told.version
         self._pass_on(told)
 
     def _pass_on(self, told: EndpointRecords) -> None:
-        if told.members or told.full:
-            self._tell(told, ListForm.SNAPSHOT if told.full else ListForm.DELTA)
+        if told.endpoints or told.is_snapshot:
+            self._tell(told, ListForm.SNAPSHOT if told.is_snapshot else ListForm.DELTA)
 
     def _tell(self, told: EndpointRecords, form: ListForm) -> None:
         seen = clock()
-        self.upstreams.learn(told.members, form is not ListForm.DELTA)
-        self.tell(EndpointListUpdate(form, tuple(self._entry(member) for member in told.members)), seen)
+        self.upstreams.learn(told.endpoints, form is not ListForm.DELTA)
+        self.tell(EndpointListUpdate(form, tuple(self._entry(member) for member in told.endpoints)), seen)
 
     def _entry(self, member: EndpointRecord) -> EndpointEntry:
-        zone, kind, health = _place(self.zones, member.zone), _place(self.kinds, member.kind), member.health
-        return EndpointEntry(member.name, zone, kind, member.cell, health, member.weight, member.started_ms * 1000)
+        zone, kind, health = _place(self.zones, member.zone), _place(self.kinds, member.host_class), member.status
+        return EndpointEntry(member.name, zone, kind, member.cell, health, member.weight, member.started_at_ms * 1000)
 
 
 def _place(named: dict[str, int], name: str) -> int:
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -44,7 +44,8 @@
 from linetrack.control.metrics import RequestOutcome, Metrics
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.connection import ResponseStream
-from linetrack.server.messages import Response, ClientRequest
+from linetrack.server.http1.requests import ClientRequest
+from linetrack.server.http1.responses import Response
 
 log = structlog.get_logger()
 
@@ -104,7 +105,7 @@
     ) -> None:
         self.gone = gone  # whether its client is seen to have left: asked before the first byte of an attempt
         self.number, self.patience, self.held = arrival.request_id, arrival.timeout, arrival.is_replayable
-        self.request, self.reply, self.klass = request, reply, request.klass
+        self.request, self.reply, self.klass = request, reply, request.class_name
         # a body that goes on as it comes has limits of its own; the request's time begins with its last byte
         self.until = seen + arrival.timeout if arrival.is_replayable else NEVER
         self.attempts: list[Attempt] = []
@@ -337,7 +338,7 @@
             self._streamed(open_, done.outcome)
         elif done.answer is not None and not open_.over and open_.stream is None:
             answer = done.answer
-            final = FinalResponse(200, answer.body, answer.content_type, length=answer.length)
+            final = FinalResponse(200, answer.body, answer.content_type, length=answer.content_length)
             self._answer(open_, final, RequestOutcome.SERVED)
             # guards against the client waiting for what the module learns: its greenlet writes first.  What
             # others put meanwhile stands in the queue, behind this end
--- /dev/null
+++ b/linetrack/server/http1/encoding.py
@@ -0,0 +1,20 @@
+"""What requests and responses share when they are written: heads and chunks."""
+
+from __future__ import annotations
+
+from linetrack.server.http1.headers import HeaderName
+
+LAST_CHUNK = b"0\r\n\r\n"
+CHUNKED = "chunked"
+
+
+def encode_head(start_line: str, headers: list[tuple[HeaderName, str]], body: bytes = b"") -> bytes:
+    """Return a message's start line and headers with `body` behind them; a header without a value is left
+    out."""
+    lines = "".join([f"{name.canonical}: {value}\r\n" for name, value in headers if value])
+    return f"{start_line}\r\n{lines}\r\n".encode("latin-1") + body
+
+
+def encode_chunk(data: bytes | bytearray) -> bytes:
+    """Return one chunk of a body in chunked transfer coding."""
+    return b"%x\r\n%b\r\n" % (len(data), bytes(data))
--- /dev/null
+++ b/linetrack/server/http1/requests.py
@@ -0,0 +1,180 @@
+"""Requests: read from a client's bytes, and written as they are forwarded to an upstream."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Protocol
+
+import httptools
+
+from linetrack.server.http1.encoding import CHUNKED, encode_head
+from linetrack.server.http1.errors import HEADERS_TOO_LARGE, MalformedMessageError
+from linetrack.server.http1.headers import (
+    CLIENT_RETRY,
+    CONTENT_LENGTH,
+    CONTENT_TYPE,
+    EXPECT,
+    EXPECT_CONTINUE,
+    EXPIRES_IN,
+    FLAG_SET,
+    HOST,
+    IDEMPOTENCY_KEY,
+    MICROSECONDS_PER_SECOND,
+    PROPERTIES,
+    TRACE_ID,
+    TRANSFER_ENCODING,
+    parse_properties,
+)
+from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
+from linetrack.server.http1.message_reader import MessageReader
+
+# A client asks here whether the sidecar serves; it is answered by the sidecar itself.
+READINESS_PATH = "/_health"
+METHODS_WITHOUT_BODY = ("GET", "HEAD", "DELETE", "OPTIONS")
+HTTP_1_0 = "1.0"
+
+
+class BodyStream(Protocol):
+    """A body that is forwarded as it comes."""
+
+    content_length: int | None  # in bytes, where the head says it
+
+    def read_chunks(self) -> list[bytes | bytearray]:
+        """Wait for the next chunks; empty once the body is complete.
+
+        Raises:
+            OSError: The client's connection failed.
+            MalformedMessageError: The body is not as its head says.
+        """
+        ...
+
+
+@dataclass(slots=True)
+class ClientRequest:
+    """One request from the application, as its bytes say."""
+
+    method: str
+    target: str
+    trace_id: str = ""
+    idempotency_key: str = ""
+    content_type: str = ""
+    expires_in: str = ""  # as the header says; `parse_timeout` reads it
+    is_client_retry: bool = False
+    properties: Mapping[str, str] = field(default_factory=dict)
+    body: bytes = b""
+    keep_alive: bool = True
+    is_http10: bool = False  # HTTP/1.0 has no chunks
+    expects_continue: bool = False  # the client waits for a 100 before it sends the body
+    body_chunks: Sequence[bytes | bytearray] = ()  # a long body, which is not in `body`
+    body_stream: BodyStream | None = None  # a body that is forwarded as it comes; `body_chunks` has its end
+    is_complete: bool = False  # it was read to its end
+    class_name: str = ""  # of its request class, once that was looked up
+
+    @property
+    def path(self) -> str:
+        """The target without its query."""
+        return self.target.partition("?")[0]
+
+    def path_segments(self) -> list[str]:
+        """Return the segments of the path that are not empty."""
+        return [segment for segment in self.path.split("/") if segment]
+
+
+class RequestReader(MessageReader):
+    """Reads requests from the bytes of one client connection."""
+
+    def __init__(self) -> None:
+        super().__init__(MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
+        self.parser = httptools.HttpRequestParser(self)
+        self.target = b""
+        self.request = ClientRequest("", "")  # the current one, once its head is complete
+        self.completed_requests: list[ClientRequest] = []
+        self.has_partial_request = False  # one has begun and is not complete
+        # What is wrong with the bytes behind the requests that `feed` returned.
+        self.deferred_error: MalformedMessageError | None = None
+
+    def on_message_begin(self) -> None:
+        """Start on a new request."""
+        super().on_message_begin()
+        self.target = b""
+        self.has_partial_request = True
+
+    def on_url(self, url: bytes) -> None:
+        """Take the next bytes of the target."""
+        self.target += url
+        if len(self.target) > MAX_HEAD_BYTES:
+            raise MalformedMessageError("the target is too long", HEADERS_TOO_LARGE)
+
+    def on_headers_complete(self) -> None:
+        """Make the request from its head."""
+        super().on_headers_complete()
+        self.request = ClientRequest(
+            method=self.parser.get_method().decode("latin-1"),
+            target=self.target.decode("latin-1"),
+            trace_id=self.header_text(TRACE_ID),
+            idempotency_key=self.header_text(IDEMPOTENCY_KEY),
+            content_type=self.header_text(CONTENT_TYPE),
+            expires_in=self.header_text(EXPIRES_IN),
+            is_client_retry=self.header_text(CLIENT_RETRY) == FLAG_SET,
+            properties=parse_properties(self.header_text(PROPERTIES)),
+            keep_alive=self.parser.should_keep_alive(),
+            is_http10=self.parser.get_http_version() == HTTP_1_0,
+            expects_continue=self.header_text(EXPECT).lower() == EXPECT_CONTINUE,
+        )
+
+    def on_message_complete(self) -> None:
+        """Add the body; a request whose body is not streamed is complete with it."""
+        if self.parser.should_upgrade():
+            raise MalformedMessageError("an upgrade was asked for")
+        request = self.request
+        self.has_partial_request = False
+        request.is_complete = True
+        if request.body_stream is None and self.body_size <= MAX_BUFFERED_BODY_BYTES:
+            request.body = b"".join(self.take_body_chunks())
+        else:
+            request.body_chunks = self.take_body_chunks()
+        if request.body_stream is None:
+            self.completed_requests.append(request)
+
+    def feed(self, data: bytes) -> list[ClientRequest]:
+        """Return the requests that these bytes complete, in order.
+
+        What is wrong behind them is kept as `deferred_error`.
+
+        Raises:
+            MalformedMessageError: The bytes complete no request, and something is wrong with them.
+        """
+        try:
+            self._feed_parser(data)
+        except MalformedMessageError as error:
+            if not self.completed_requests:
+                raise
+            self.deferred_error = error
+        requests = self.completed_requests
+        self.completed_requests = []
+        return requests
+
+
+def encode_request(request: ClientRequest, address: tuple[str, int], timeout: int) -> bytes:
+    """Return the request as it is forwarded to an upstream, without the chunks of a long body.
+
+    `timeout` is how long the upstream's response will be waited for, in microseconds.
+    """
+    headers = [
+        (HOST, f"{address[0]}:{address[1]}"),
+        (TRACE_ID, request.trace_id),
+        (IDEMPOTENCY_KEY, request.idempotency_key),
+        (EXPIRES_IN, f"{max(0, timeout) / MICROSECONDS_PER_SECOND:.6f}"),
+        (CONTENT_TYPE, request.content_type),
+    ]
+    body_size = len(request.body) + sum(map(len, request.body_chunks))
+    if request.body_stream is not None:
+        content_length = request.body_stream.content_length
+        if content_length is None:
+            headers.append((TRANSFER_ENCODING, CHUNKED))
+        else:
+            headers.append((CONTENT_LENGTH, str(content_length)))
+    elif body_size or request.method not in METHODS_WITHOUT_BODY:
+        headers.append((CONTENT_LENGTH, str(body_size)))
+    return encode_head(f"{request.method} {request.target} HTTP/1.1", headers, request.body)
--- /dev/null
+++ b/linetrack/server/http1/responses.py
@@ -0,0 +1,198 @@
+"""Responses: read from the bytes of an upstream or of discovery, and written to a client."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum, auto
+
+import httptools
+
+from linetrack.server.http1.encoding import CHUNKED, encode_head
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.headers import (
+    CONNECTION,
+    CONTENT_LENGTH,
+    CONTENT_TYPE,
+    FLAG_SET,
+    LOAD_REPORT,
+    RETRY_AFTER,
+    TRANSFER_ENCODING,
+    UNPROCESSED,
+    format_seconds,
+)
+from linetrack.server.http1.message_reader import MessageReader
+
+FIRST_FINAL_STATUS = 200  # those below are informational: the response proper follows
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    504: "Gateway Timeout",
+}
+
+
+@dataclass(slots=True)
+class Response:
+    """One response from an upstream or from discovery."""
+
+    status: int
+    body: bytes = b""
+    content_type: str = ""
+    is_unprocessed: bool = False  # the upstream says that it did not process the request
+    load_report: str = ""
+    keep_alive: bool = True
+    content_length: int | None = None  # as the head says, also where there is no body (HEAD)
+
+
+class ResponseReader(MessageReader):
+    """Reads one response at a time from the bytes of a connection to an upstream or to discovery."""
+
+    def __init__(self, max_body_bytes: int, max_buffered_body_bytes: int) -> None:
+        """A body longer than `max_buffered_body_bytes` is not put into the response but read by
+        `take_body_chunks`."""
+        super().__init__(max_body_bytes, max_buffered_body_bytes)
+        self.parser = httptools.HttpResponseParser(self)
+        self.response: Response | None = None  # the current one, once its head is complete
+        self.completed_response: Response | None = None
+        self.has_unexpected_data = False  # bytes came that no request asked for
+        # Set by the caller for the response to a HEAD: it has no body, whatever its head says.
+        self.is_head_only = False
+
+    def on_message_begin(self) -> None:
+        """Start on a new response."""
+        self.has_unexpected_data = self.completed_response is not None
+        if not self.has_unexpected_data:
+            # What comes behind a response must not overwrite its last parts.
+            super().on_message_begin()
+
+    def on_headers_complete(self) -> None:
+        """Make the response from its head, unless it is informational."""
+        super().on_headers_complete()
+        status = self.parser.get_status_code()
+        if status < FIRST_FINAL_STATUS or self.completed_response is not None:
+            return
+        self.response = Response(
+            status=status,
+            content_type=self.header_text(CONTENT_TYPE),
+            is_unprocessed=self.header_text(UNPROCESSED) == FLAG_SET,
+            load_report=self.header_text(LOAD_REPORT),
+            keep_alive=False,
+            content_length=self.declared_content_length(),
+        )
+        if self.is_head_only:
+            # The parser waits for a body, so that the connection cannot be used again.
+            self.completed_response = self.response
+            self.ignores_body = True
+
+    def on_message_complete(self) -> None:
+        """Add the body, with which the response is complete."""
+        if self.response is not None and self.completed_response is None:
+            self._complete(self.response, self.parser.should_keep_alive())
+
+    def _complete(self, response: Response, keep_alive: bool) -> None:
+        self.completed_response = response
+        response.keep_alive = keep_alive
+        self.ignores_body = True
+        if not self.exceeds_body_buffer:
+            response.body = b"".join(self.take_body_chunks())
+
+    def feed(self, data: bytes) -> Response | None:
+        """Return the response once it is complete.
+
+        Bytes behind it make the connection unusable, not the response; raises a `MalformedMessageError` where
+        the response itself is not as it should be.
+        """
+        try:
+            self._feed_parser(data)
+        except MalformedMessageError:
+            if self.completed_response is None:
+                raise
+            self.has_unexpected_data = True
+        return self.completed_response
+
+    def feed_eof(self) -> Response | None:
+        """Return the response where the connection's end is also the end of its body.
+
+        One without any body is not returned: it cannot be told from one that was cut off.
+        """
+        if self.response is None or self.completed_response is not None:
+            return self.completed_response
+        if self.body_size and self._ends_with_connection():
+            self._complete(self.response, keep_alive=False)
+        return self.completed_response
+
+    def _ends_with_connection(self) -> bool:
+        return not self.content_lengths and TRANSFER_ENCODING.key not in self.headers
+
+    def start_next_response(self) -> None:
+        """Forget the response that was read; the connection is used for another request."""
+        self.response = None
+        self.completed_response = None
+        self.ignores_body = False
+
+
+def encode_response(
+    status: int,
+    body: bytes = b"",
+    retry_after: int = 0,
+    keep_alive: bool = True,
+    content_type: str = "",
+    is_http10: bool = False,
+    content_length: int | None = None,
+) -> bytes:
+    """Return a response to a client.
+
+    `retry_after` is in microseconds and is never rounded to zero.  `content_length` is the length of a body
+    that is not sent (HEAD).
+    """
+    length = len(body) if content_length is None else content_length
+    headers = [
+        (CONTENT_TYPE, content_type),
+        (CONTENT_LENGTH, str(length)),
+        (RETRY_AFTER, format_seconds(retry_after) if retry_after else ""),
+        (CONNECTION, _connection_header(keep_alive, is_http10)),
+    ]
+    return encode_head(f"HTTP/1.1 {status} {REASON_PHRASES[status]}", headers, body)
+
+
+class BodyFraming(Enum):
+    """How the end of a streamed body is marked."""
+
+    CONTENT_LENGTH = auto()
+    CHUNKED = auto()
+    CONNECTION_CLOSE = auto()
+
+
+def select_framing(content_length: int | None, is_http10: bool) -> BodyFraming:
+    """Return the framing for a body of that length, None where it is not known, to a client."""
+    if content_length is not None:
+        return BodyFraming.CONTENT_LENGTH
+    return BodyFraming.CONNECTION_CLOSE if is_http10 else BodyFraming.CHUNKED
+
+
+def encode_response_head(
+    framing: BodyFraming, content_length: int | None, keep_alive: bool, content_type: str, is_http10: bool
+) -> bytes:
+    """Return the head of a successful response whose body is streamed behind it."""
+    headers = [
+        (CONTENT_TYPE, content_type),
+        (CONTENT_LENGTH, str(content_length) if framing is BodyFraming.CONTENT_LENGTH else ""),
+        (TRANSFER_ENCODING, CHUNKED if framing is BodyFraming.CHUNKED else ""),
+        (CONNECTION, _connection_header(keep_alive, is_http10)),
+    ]
+    return encode_head("HTTP/1.1 200 OK", headers)
+
+
+def _connection_header(keep_alive: bool, is_http10: bool) -> str:
+    if not keep_alive:
+        return "close"
+    return "keep-alive" if is_http10 else ""
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -24,7 +24,6 @@
 from linetrack.control.metrics import Metrics
 from linetrack.control.settings_switch import SettingsSwitch
 from linetrack.control.hot_restart import Command, Identity
-from linetrack.server import messages
 from linetrack.server.admin import AdminServer
 from linetrack.server.budget import Budget
 from linetrack.server.listener import Listener
@@ -32,7 +31,8 @@
 from linetrack.server.config import STREAMS, Config, ConfigError, read_config
 from linetrack.server.discovery_client import DiscoveryClient
 from linetrack.server.hot_restart_channel import Predecessor, Successor, socket_path
-from linetrack.server.messages import MalformedError, EndpointRecords
+from linetrack.server.endpoint_list import EndpointRecords, encode_snapshot, parse_endpoint_list
+from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.dispatcher import MakePolicy, Dispatcher, SerializedCallback
 from linetrack.server.upstream_pool import UpstreamPool
 from linetrack.policy.balancer import Balancer
@@ -229,8 +229,7 @@
 
     def _grant(self) -> tuple[int, dict[str, Any]]:
         assert self.clients.listener is not None
-        members = messages.encode_endpoints(self.upstreams.members())
-        told = {"version": self.discovery.version or 0, "full": True, "servers": members}
+        told = encode_snapshot(self.discovery.version or 0, self.upstreams.members())
         return self.clients.listener.fileno(), {"list": told, "discovery": list(self.discovery.address)}
 
     def _identity(self) -> Identity:
@@ -244,8 +243,8 @@
             log.warning("hot_restart_list_left", discovery=values["discovery"])
             return self.config.known
         try:
-            return messages.parse_endpoint_list(values.get("list"))
-        except MalformedError as fault:
+            return parse_endpoint_list(values.get("list"))
+        except MalformedMessageError as fault:
             log.warning("hot_restart_list_faulty", fault=str(fault))
             return self.config.known
 
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -11,9 +11,10 @@
 
 from linetrack.control.metrics import RequestOutcome
 from linetrack.policy.events import RequestReceived
-from linetrack.server import messages
 from linetrack.server.clock import clock
-from linetrack.server.messages import ClientRequest, MalformedError
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.headers import parse_timeout
+from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.dispatcher import Dispatcher
 
 LONGEST_ID = 128  # characters of an id that are kept as they are
@@ -21,7 +22,7 @@
 BAD_REQUEST, CONFLICT, UNAVAILABLE, GATEWAY_TIMEOUT = 400, 409, 503, 504
 
 
-class RejectedRequestError(MalformedError):
+class RejectedRequestError(MalformedMessageError):
     """A message that the decision module is not told of, as its class, id or deadline makes no sense."""
 
     def __init__(self, request: ClientRequest, status: int) -> None:
@@ -56,10 +57,10 @@
 
     def check(self, request: ClientRequest) -> CheckedRequest:
         """Return what a request says; raises a `RejectedRequestError` where it is none."""
-        steps, mark = request.steps(), _mark(request.trace)
+        steps, mark = request.path_segments(), _mark(request.trace_id)
         klass = self.classes.get(steps[0]) if steps else None
-        patience = messages.parse_timeout(request.expires)
-        if klass is None or not request.trace or patience is None or patience < 0:
+        patience = parse_timeout(request.expires_in)
+        if klass is None or not request.trace_id or patience is None or patience < 0:
             raise RejectedRequestError(request, BAD_REQUEST)
         if mark in self.ids or mark in self.lately[0] or mark in self.lately[1]:
             # guards against running a request of this id twice, and against an answer for the wrong one
@@ -77,26 +78,26 @@
         except RejectedRequestError as rejected:
             if rejected.status == GATEWAY_TIMEOUT:
                 # it was a request, whose time was over when it came
-                self._count_as_over(request.steps()[0], RequestOutcome.FAILED)
+                self._count_as_over(request.path_segments()[0], RequestOutcome.FAILED)
             raise
-        request.klass = checked.class_name
+        request.class_name = checked.class_name
         # guards against a request that comes late in this process's end and outlasts it
         patience = min(checked.patience, self.deadlines[checked.klass], self.owner.ends - clock())
         if patience <= 0:
-            self._count_as_over(request.klass, RequestOutcome.REJECTED)
+            self._count_as_over(request.class_name, RequestOutcome.REJECTED)
             raise RejectedRequestError(request, UNAVAILABLE)
         self.ids.add(checked.id_mark)
         return RequestReceived(
             self.owner.number(),
             checked.klass,
             patience,
-            _whole(request.props.get("party", "")),
+            _whole(request.properties.get("party", "")),
             checked.key,
-            _whole(request.props.get("workUs", "")),
-            request.again,
-            request.props.get("update") in ("1", "true"),
-            hash(request.idempotency) if request.idempotency else 0,
-            request.rest is None,
+            _whole(request.properties.get("workUs", "")),
+            request.is_client_retry,
+            request.properties.get("update") in ("1", "true"),
+            hash(request.idempotency_key) if request.idempotency_key else 0,
+            request.body_stream is None,
         )
 
     def over(self, request_id: str) -> None:
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -22,18 +22,13 @@
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
 from linetrack.server.connection import Connection, ResponseStream, readable
-from linetrack.server.messages import (
-    HELD,
-    LAST_CHUNK,
-    MOST_BODY,
-    Response,
-    ClientRequest,
-    MalformedError,
-    EndpointRecord,
-    chunk,
-    encode_request,
-    parse_load_report,
-)
+from linetrack.server.endpoint_list import EndpointRecord
+from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.headers import parse_load_report
+from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from linetrack.server.http1.requests import ClientRequest, encode_request
+from linetrack.server.http1.responses import Response
 from linetrack.server.dispatcher import Attempt, FinishedAttempt, SentBody, StartedResponse
 
 log = structlog.get_logger()
@@ -84,14 +79,14 @@
     def learn(self, members: tuple[EndpointRecord, ...], full: bool) -> None:
         for member in members:
             known = self.known.get(member.name)
-            if member.health is EndpointStatus.REMOVED:
+            if member.status is EndpointStatus.REMOVED:
                 self._drop(member.name)
             elif known is None:
-                self.known[member.name] = PooledUpstream(member.address, member.health, [], member)
+                self.known[member.name] = PooledUpstream(member.address, member.status, [], member)
             else:
-                if member.address != known.address or member.health is not EndpointStatus.UP:
+                if member.address != known.address or member.status is not EndpointStatus.UP:
                     self._close_idle(known)
-                known.address, known.health, known.member = member.address, member.health, member
+                known.address, known.health, known.member = member.address, member.status, member
         if full:
             for name in self.known.keys() - {member.name for member in members}:
                 self._drop(name)
@@ -216,11 +211,11 @@
                 return
             remaining = attempt.until - clock()
             request = attempt.open.request
-            connection.reader.bodiless = request.method == "HEAD"
+            connection.reader.is_head_only = request.method == "HEAD"
             connection.write(
                 encode_request(request, connection.address, min(remaining, attempt.open.patience))
             )
-            if request.parts or request.rest is not None:
+            if request.body_chunks or request.body_stream is not None:
                 if not self._write_long(attempt, request, connection):
                     return
                 attempt.sent = clock()
@@ -232,22 +227,22 @@
             if answer is None:
                 self._finish(attempt, Outcome.RESET, seen=seen)
                 return
-            if connection.reader.long and _outcome(answer) is Outcome.SUCCESS:
+            if connection.reader.exceeds_body_buffer and _outcome(answer) is Outcome.SUCCESS:
                 # also where its end has come already: its body is not in the answer
                 self._stream(attempt, connection, answer, seen)
             else:
                 self._finish(attempt, _outcome(answer), answer, seen)
-            if (whole := connection.reader.whole) is None:
+            if (whole := connection.reader.completed_response) is None:
                 return
             fit = known.health is EndpointStatus.UP and connection.address == known.address
-            if fit and whole.keep and not connection.reader.stray:
+            if fit and whole.keep_alive and not connection.reader.has_unexpected_data:
                 attempt.sock = None
-                connection.reader.next()
+                connection.reader.start_next_response()
                 self._rest(connection, known, clock())
                 connection = None
         except OSError:
             self._finish(attempt, Outcome.RESET if written else Outcome.CONNECT_FAILED)
-        except MalformedError as fault:
+        except MalformedMessageError as fault:
             if not written:
                 # what is no request: its body, on its way
                 self._finish(attempt, Outcome.CONNECT_FAILED)
@@ -265,20 +260,20 @@
 
     def _write_long(self, attempt: Attempt, request: ClientRequest, connection: Connection) -> bool:
         """Whether a long body went out whole; where not, the attempt has ended."""
-        if request.rest is None:
-            for part in request.parts:
+        if request.body_stream is None:
+            for part in request.body_chunks:
                 connection.write(part)
             return True
-        chunked = request.rest.length is None
+        chunked = request.body_stream.content_length is None
         self.budget.streams += 1
         try:
-            while parts := request.rest.next():
+            while parts := request.body_stream.read_chunks():
                 if readable(connection.sock):
                     # an answer ahead of the request's end, or a close: it has not run
                     self._finish(attempt, Outcome.CONNECT_FAILED)
                     return False
                 for part in parts:
-                    connection.write(chunk(part) if chunked else part)
+                    connection.write(encode_chunk(part) if chunked else part)
             if chunked:
                 connection.write(LAST_CHUNK)
         finally:
@@ -316,7 +311,7 @@
             self._finish(attempt, Outcome.CONNECT_FAILED)
             return None
         try:
-            connection = Connection(known.address, MOST_BODY, HELD)
+            connection = Connection(known.address, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
             attempt.sock = connection.sock
             self.dials.add(clock())
             connection.dial(self.dial_timeout / 1_000_000)
@@ -332,7 +327,7 @@
             return
         attempt.ended = True
         seen = clock() if seen is None else seen
-        told = parse_load_report(answer.report, self.fields) if answer and answer.report else ()
+        told = parse_load_report(answer.load_report, self.fields) if answer and answer.load_report else ()
         served = answer if outcome is Outcome.SUCCESS and not attempt.begun else None
         self.tell(FinishedAttempt(attempt, outcome, seen - attempt.sent, served, told), seen)
 
@@ -340,6 +335,6 @@
 def _outcome(answer: Response) -> Outcome:
     if answer.status == 200:
         return Outcome.SUCCESS
-    if answer.status in (503, 504) and answer.never_ran:
+    if answer.status in (503, 504) and answer.is_unprocessed:
         return Outcome.OVERLOADED
     return Outcome.ERROR
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,7 +17,8 @@
 from linetrack.server.budget import Budget
 from linetrack.server.connection import Connection
 from linetrack.server.discovery_client import DiscoveryClient
-from linetrack.server.messages import address, parse_endpoint_list
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import parse_endpoint_list
 from linetrack.server.upstream_pool import UpstreamPool
 from tests import stand_ins
 from tests.stand_ins import answer, entry, turns_until
@@ -36,7 +37,7 @@
         self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda done, seen: None)
         self.failed: list[PollFailure] = []
         self.discovery = DiscoveryClient(
-            address(self.server.address), self.upstreams, self.put, ("north",), ("plain",), settings, 1
+            parse_address(self.server.address), self.upstreams, self.put, ("north",), ("plain",), settings, 1
         )
         failed = self.discovery.schedule.record_failure
 
@@ -216,7 +217,7 @@
     watched.start()
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("c")])
-    watched.discovery.move(address(other.address))
+    watched.discovery.move(parse_address(other.address))
     assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
     assert [e.endpoint for e in watched.told[1].entries] == ["c"] and list(watched.upstreams.known) == ["c"]
     assert "?" not in other.calls[0]
@@ -231,11 +232,11 @@
     watched.server.scripted = [answer(b"", 503)]
     watched.start()
     turns_until(lambda: watched.failed)
-    watched.discovery.move(address(watched.server.address))
+    watched.discovery.move(parse_address(watched.server.address))
     gevent.sleep(0.05)
     assert len(watched.server.calls) == 1
     other = stand_ins.Discovery([entry("c")])
-    watched.discovery.move(address(other.address))
+    watched.discovery.move(parse_address(other.address))
     assert watched.forms(2)[1] is ListForm.SNAPSHOT
     other.close()
 
@@ -247,7 +248,7 @@
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("a"), entry("c")])
     with other.news:  # it takes the call and cannot answer yet
-        watched.discovery.move(address(other.address))
+        watched.discovery.move(parse_address(other.address))
         turns_until(lambda: other.connections)
         watched.server.change(entry("b", state="DRAINING"))
         assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
@@ -309,7 +310,7 @@
 def test_while_the_new_discovery_fails_the_old_list_stands(watched: Watched) -> None:
     watched.start()
     turns_until(lambda: watched.server.calls)
-    watched.discovery.move(address(stand_ins.free_address()))
+    watched.discovery.move(parse_address(stand_ins.free_address()))
     turns_until(lambda: watched.failed)
     assert watched.failed == [PollFailure.UNREACHABLE] and sorted(watched.upstreams.known) == ["a", "b"]
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,7 +35,8 @@
 from linetrack.server.config import config_of
 from linetrack.server.connection import Connection, readable
 from linetrack.server.hot_restart_channel import Predecessor, Successor
-from linetrack.server.messages import EndpointRecord, address
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.lifecycle import Sidecar
 from linetrack.server.upstream_pool import REST, UpstreamPool
@@ -89,7 +90,7 @@
         self.running = [self.accepting, gevent.spawn(self.owner.run)]
 
     def member(self, health: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
-        return EndpointRecord("a", address(self.server.address), "north", "plain", 1, health, 1.0, 0)
+        return EndpointRecord("a", parse_address(self.server.address), "north", "plain", 1, health, 1.0, 0)
 
     def connect(self) -> Any:
         assert self.clients.listener is not None
@@ -330,7 +331,7 @@
     data = call(expires="20.0")
     if ends == "its time is over":
         wire.sendall(data[:20])
-        turns_until(lambda: client.reader.open)
+        turns_until(lambda: client.reader.has_partial_request)
         client.out_of_time()
         data = data[20:]
     else:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -17,7 +17,10 @@
 from linetrack.policy.events import Outcome, RequestBodySent, RequestReceived, ResponseStarted, TimerFired
 from linetrack.server import budget as budget_module
 from linetrack.server.budget import Budget
-from linetrack.server.messages import HELD, ResponseReader, MalformedError, RequestReader
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
+from linetrack.server.http1.requests import RequestReader
+from linetrack.server.http1.responses import ResponseReader
 from tests.helpers import KEYED, MS, SAFE, SECOND, Driver, sends
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, request, until
 from tests.test_admin import admin, figures, row
@@ -86,7 +89,7 @@
 
 
 @pytest.mark.parametrize("form", FORMS)
-@pytest.mark.parametrize("size", [1000, HELD, 66_000, 131_000, len(LONG)])
+@pytest.mark.parametrize("size", [1000, MAX_BUFFERED_BODY_BYTES, 66_000, 131_000, len(LONG)])
 def test_an_answer_of_any_form_and_size_comes_back_unchanged(tmp_path: Path, form: str, size: int) -> None:
     # guards against an answer that grows long and ends within the same bytes, which went on without its body
     def script(message: Message, wire: Wire) -> bytes | None:
@@ -373,17 +376,17 @@
     closes = form in ("until close", "1.0")
     if stray and not closes:
         data += answer(b"another")
-    reader, got, whole = ResponseReader(32 * MB, HELD), b"", None
+    reader, got, whole = ResponseReader(32 * MB, MAX_BUFFERED_BODY_BYTES), b"", None
     for at in range(0, len(data), step):
         whole = reader.feed(data[at : at + step])
-        if reader.long:
-            got += b"".join(reader.take())
+        if reader.exceeds_body_buffer:
+            got += b"".join(reader.take_body_chunks())
         if whole:
             break
     if closes:
-        whole = reader.finish()
-    assert whole is not None and reader.long == (size > HELD)
-    assert (got if reader.long else whole.body) == body
+        whole = reader.feed_eof()
+    assert whole is not None and reader.exceeds_body_buffer == (size > MAX_BUFFERED_BODY_BYTES)
+    assert (got if reader.exceeds_body_buffer else whole.body) == body
 
 
 @given(st.lists(st.integers(1, 5000), min_size=1, max_size=60))
@@ -393,9 +396,10 @@
     reader.feed(top)
     for piece in pieces:
         reader.feed(bytes(piece))
-        assert len(reader.chunks) <= 1 + sum(p >= 4096 for p in pieces) + reader.size // HELD
+        separate = sum(p >= 4096 for p in pieces)
+        assert len(reader.body_chunks) <= 1 + separate + reader.body_size // MAX_BUFFERED_BODY_BYTES
     (whole,) = reader.feed(b"x")
-    assert len(whole.body) + sum(map(len, whole.parts)) == sum(pieces) + 1
+    assert len(whole.body) + sum(map(len, whole.body_chunks)) == sum(pieces) + 1
 
 
 @pytest.mark.parametrize("memory_mb", [32, 64, 192])
@@ -415,15 +419,15 @@
 
 
 def test_too_long_is_told_at_its_head_or_at_the_byte_that_is_too_many() -> None:
-    with pytest.raises(MalformedError) as fault:
+    with pytest.raises(MalformedMessageError) as fault:
         RequestReader().feed(head("look", "1", f"Content-Length: {32 * MB + 1}", method="POST"))
     assert fault.value.status == 413
     reader = RequestReader()
     reader.feed(head("look", "1", "Transfer-Encoding: chunked", method="POST"))
     for _ in range(32):
         reader.feed(b"100000\r\n" + bytes(MB) + b"\r\n")
-        reader.take()
-    with pytest.raises(MalformedError) as fault:
+        reader.take_body_chunks()
+    with pytest.raises(MalformedMessageError) as fault:
         reader.feed(b"1\r\nx\r\n")
     assert fault.value.status == 413
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -32,7 +32,8 @@
 )
 from linetrack.policy.settings import Idempotency, RequestClass, Settings
 from linetrack.server import dispatcher as module
-from linetrack.server.messages import Response, ClientRequest
+from linetrack.server.http1.requests import ClientRequest
+from linetrack.server.http1.responses import Response
 from linetrack.server.dispatcher import Attempt, FinishedAttempt, FinalResponse, DisconnectedClient, Dispatcher, IncomingRequest
 from tests.stand_ins import MS, PATIENCE, SECOND
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,7 +16,7 @@
 from linetrack.server.listener import Listener
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.connection import readable
-from linetrack.server.messages import ClientRequest
+from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.dispatcher import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
 from linetrack.server.lifecycle import LINE_EVERY, LogRateLimiter, must_live
@@ -233,7 +233,7 @@
 ) -> None:
     monkeypatch.setattr(clients_module, "WITHIN", 100 * MS)
     gevent.spawn(clients.sweep)
-    request = ClientRequest("GET", "/look", "1", expires="0.5")
+    request = ClientRequest("GET", "/look", "1", expires_in="0.5")
     intake = clients.intake
     assert isinstance(intake.arrival(request), RequestReceived)
     with pytest.raises(RejectedRequestError) as rejected:
@@ -249,7 +249,9 @@
 
 def test_what_the_module_is_told_of_a_request(clients: Listener) -> None:
     props = {"party": "3", "workUs": "12000", "update": "1", "other": "x"}
-    request = ClientRequest("GET", "/look/a/k7?q=1", "1", expires="0.5", again=True, props=props)
+    request = ClientRequest(
+        "GET", "/look/a/k7?q=1", "1", expires_in="0.5", is_client_retry=True, properties=props
+    )
     assert clients.intake.arrival(request) == RequestReceived(1, 0, SECOND // 2, 3, "k7", 12000, True, True)
-    odd = ClientRequest("GET", "/look", "2", expires="9e99", props={"party": "-1", "workUs": "x" * 99})
+    odd = ClientRequest("GET", "/look", "2", expires_in="9e99", properties={"party": "-1", "workUs": "x" * 99})
     assert clients.intake.arrival(odd) == RequestReceived(1, 0, 2 * SECOND)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,7 +4,8 @@
 
 from linetrack.control import policy_snapshot as snapshot
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
-from linetrack.server import messages
+from linetrack.server.endpoint_list import MAX_ENDPOINT_LIST_BYTES, decode_endpoint_list
+from linetrack.server.http1.responses import ResponseReader
 from linetrack.server.hot_restart_channel import MOST_FRAME
 from linetrack.policy.balancer import Balancer
 from tests.helpers import Driver
@@ -51,7 +52,7 @@
     value = {"version": 7, "full": True, "servers": [entry(f"u{n}") for n in range(SERVERS)]}
     for indent in (None, 4):
         body = json.dumps(value, indent=indent).encode()
-        reader = messages.ResponseReader(messages.MOST_LIST, messages.MOST_LIST)
+        reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         got = [reader.feed(whole[at : at + 1000]) for at in range(0, len(whole), 1000)][-1]
-        assert got is not None and len(messages.decode_endpoint_list(got.body).members) == SERVERS
+        assert got is not None and len(decode_endpoint_list(got.body).endpoints) == SERVERS
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -13,7 +13,10 @@
 from linetrack.server.budget import COPIES, RESERVE, Budget
 from linetrack.server.clock import clock
 from linetrack.server.connection import ResponseStream, readable
-from linetrack.server.messages import ClientRequest, MalformedError, EndpointRecord, address
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import EndpointRecord
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.dispatcher import Attempt, FinishedAttempt, ActiveRequest, SentBody, StartedResponse
 from linetrack.server.upstream_pool import REST, UpstreamPool
 from tests.stand_ins import MS, PATIENCE, SECOND, Message, Upstream, Wire, answer, silent, turns_until, until
@@ -22,7 +25,7 @@
 
 
 def member(name: str, where: str, health: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
-    return EndpointRecord(name, address(where), "north", "plain", 1, health, 1.0, 0)
+    return EndpointRecord(name, parse_address(where), "north", "plain", 1, health, 1.0, 0)
 
 
 class Pool:
@@ -50,7 +53,7 @@
         try:
             while stream.next():
                 pass
-        except (OSError, MalformedError):
+        except (OSError, MalformedMessageError):
             stream.end(Outcome.RESET)
         stream.end(Outcome.SUCCESS)
 
