--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -1,7 +1,7 @@
-"""Discovery: the list of upstreams, called for and watched.
+"""The discovery client: polls the endpoint list and publishes its updates.
 
-Owns the connection to discovery, its address and the version of the list at hand.  Must never decide when to
-call, for how long or when to give up: that is `control/discovery_schedule.py`.
+It owns the connection to discovery, discovery's address and the version of the current list.  When to poll,
+for how long and when to give up is decided by `control/discovery_schedule.py`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 from gevent import socket
 from gevent.event import Event
 
-from linetrack.control.discovery_schedule import Poll, DiscoverySchedule, PollFailure
+from linetrack.control.discovery_schedule import DiscoverySchedule, Poll, PollFailure
+from linetrack.errors import LinetrackError
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, ListForm
 from linetrack.policy.settings import Settings
 from linetrack.server.clock import clock
@@ -32,204 +33,253 @@
 
 log = structlog.get_logger()
 
-SECOND = 1_000_000
+STATUS_OK = 200
+MICROSECONDS_PER_MILLISECOND = 1_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
-class PollError(Exception):
-    """A call to discovery failed."""
+class PollError(LinetrackError):
+    """A poll of discovery failed; `reason` says why, for the log."""
 
-    def __init__(self, fault: PollFailure, cause: object) -> None:
-        super().__init__(str(cause) or type(cause).__name__)
-        self.fault = fault
+    def __init__(self, failure: PollFailure, cause: object) -> None:
+        reason = str(cause) or type(cause).__name__
+        super().__init__(reason)
+        self.failure = failure
+        self.reason = reason
 
 
 class DiscoveryClient:
+    """Keeps the endpoint list of one instance up to date."""
+
     def __init__(
         self,
         address: tuple[str, int],
         upstreams: UpstreamPool,
-        tell: Callable[[EndpointListUpdate, int], None],
-        zones: tuple[str, ...],
-        kinds: tuple[str, ...],
+        publish: Callable[[EndpointListUpdate, int], None],
+        zone_names: tuple[str, ...],
+        host_class_names: tuple[str, ...],
         settings: Settings,
         seed: int,
     ) -> None:
-        self.address, self.upstreams, self.tell = address, upstreams, tell
+        """`publish` is called with each update and the time at which it was received."""
+        self.address = address
+        self.upstreams = upstreams
+        self.publish = publish
         self.schedule = DiscoverySchedule(settings, seed)
-        self.set(zones, kinds, settings)
-        self.version: int | None = None
-        self.asked, self.moved = Event(), Event()
-        # a first call was answered, or there is nobody to answer; where lists are asked for, it has failed
-        self.heard = Event()
-        self.turn = 0  # how often another discovery was named
-        self.former: gevent.Greenlet | None = None  # hears what the one before it still tells
-
-    def set(self, zones: tuple[str, ...], kinds: tuple[str, ...], settings: Settings) -> None:
-        """The numbers that places and kinds have from here on, and the settings."""
-        self.zones = {name: n for n, name in enumerate(zones)}
-        self.kinds = {name: n for n, name in enumerate(kinds)}
+        self.configure(zone_names, host_class_names, settings)
+        self.version: int | None = None  # of the current list; None asks for a snapshot
+        # Set once a first poll has succeeded or discovery is down and has nothing to tell; where updates are
+        # not pushed, any failure will do.
+        self.initial_poll_finished = Event()
+        self._watch_requested = Event()
+        self._server_switched = Event()
+        self._server_generation = 0  # how often another server was configured
+        # Polls the server before the current one, for an update that it has sent already.
+        self._previous_polling: gevent.Greenlet | None = None
+
+    def configure(
+        self, zone_names: tuple[str, ...], host_class_names: tuple[str, ...], settings: Settings
+    ) -> None:
+        """Apply settings from here on; zones and host classes are numbered in the order of their names."""
+        self.zone_indexes = {name: index for index, name in enumerate(zone_names)}
+        self.host_class_indexes = {name: index for index, name in enumerate(host_class_names)}
         self.schedule.configure(settings)
 
-    def remember(self, known: EndpointRecords) -> None:
-        """The list as this sidecar last had it, before anything else is told."""
-        self.version = known.version if known.endpoints else None
-        self._tell(known, ListForm.CACHED)
+    def restore(self, records: EndpointRecords) -> None:
+        """Publish the list as this sidecar last had it; called before anything else is published."""
+        self.version = records.version if records.endpoints else None
+        self._publish(records, ListForm.CACHED)
 
     def watch(self) -> None:
-        """The module asks for the list; from then on it is kept."""
-        self.asked.set()
+        """Begin to poll where updates are not pushed; from then on the list is kept up to date."""
+        self._watch_requested.set()
+
+    def switch_server(self, address: tuple[str, int]) -> None:
+        """Poll the discovery server at `address` from here on.
 
-    def move(self, address: tuple[str, int]) -> None:
-        """The configuration names this address now.  Another discovery is asked at once, whatever back-off
-        stands, and for its whole list, as its versions are its own; until it has answered the old list
-        stands."""
+        It is polled at once, whatever backoff is pending, and for a snapshot, since its versions are its own.
+        Until it has responded the current list stays.
+        """
         if address == self.address:
             return
-        self.address, self.version = address, None
-        self.turn += 1
+        self.address = address
+        self.version = None
+        self._server_generation += 1
         self.schedule.switch_server(clock())
-        for event in (self.asked, self.moved):
-            event.set()
+        self._watch_requested.set()
+        self._server_switched.set()
 
     def run(self) -> None:
-        """Calls one after the other, from the module's asking on where changes do not come by themselves; for
-        ever."""
+        """Poll for ever; where updates are not pushed, from `watch` on."""
         if not self.schedule.updates_are_pushed:
-            self.asked.wait()
+            self._watch_requested.wait()
         while True:
-            self.moved.clear()
+            self._server_switched.clear()
             poll = self.schedule.next_poll(clock())
-            if self.moved.wait(max(0, poll.due_at - clock()) / SECOND):
+            if self._server_switched.wait(_seconds_until(poll.due_at)):
                 continue
-            following = gevent.spawn(self._until_it_fails, poll, self.turn)
-            gevent.wait([following, self.moved], count=1)
-            if self.moved.is_set():
-                # guards against the old discovery's failure holding back the first call to another
-                self._hear_out(following)
-            elif isinstance(failed := following.get(), PollError):
-                self.schedule.record_failure(clock(), failed.fault)
-                if failed.fault is PollFailure.UNREACHABLE or not self.schedule.updates_are_pushed:
-                    self.heard.set()
-                log.warning("discovery_failed", how=failed.fault.value, fault=str(failed))
-
-    def _hear_out(self, following: gevent.Greenlet | None) -> None:
-        """Another discovery is asked from here on.
-
-        Guards against news that the old one had written and that nobody would read: it counts as told.  Its
-        open call is heard until the new one has answered, or the next move."""
-        if self.former is not None:
-            self.former.kill(block=False)
-        self.former = following
-
-    def _until_it_fails(self, poll: Poll, turn: int) -> PollError | None:
-        try:
-            self._follow(poll, turn)
-        except PollError as failed:
-            return failed
-        return None
-
-    def _follow(self, poll: Poll, turn: int) -> None:
-        """This call and all that follow it, on one connection while it is kept; ends by raising, or once
-        another discovery is asked."""
-        line: Connection | None = None
+            polling = gevent.spawn(self._poll_until_failure, poll, self._server_generation)
+            gevent.wait([polling, self._server_switched], count=1)
+            if self._server_switched.is_set():
+                # A failure of the previous server must not delay the first poll of this one.
+                self._replace_previous_polling(polling)
+            elif isinstance(error := polling.get(), PollError):
+                self._record_failure(error)
+
+    def _record_failure(self, error: PollError) -> None:
+        self.schedule.record_failure(clock(), error.failure)
+        if error.failure is PollFailure.UNREACHABLE or not self.schedule.updates_are_pushed:
+            self.initial_poll_finished.set()
+        log.warning("discovery_poll_failed", failure=error.failure.value, fault=error.reason)
+
+    def _replace_previous_polling(self, polling: gevent.Greenlet | None) -> None:
+        """Let `polling` of the previous server go on, in place of the one that did so far.
+
+        An update that the previous server has sent is binding, although another is polled by now: its open
+        poll is read until the new server has responded, or the server is switched again.
+        """
+        if self._previous_polling is not None:
+            self._previous_polling.kill(block=False)
+        self._previous_polling = polling
+
+    # --- Polls of one server -----------------------------------------------------------------------
+    def _poll_until_failure(self, poll: Poll, server_generation: int) -> PollError | None:
+        """Make `poll` and all that follow it, on one connection while that is kept alive.
+
+        Returns the error that ended them, or None once another server is polled.
+        """
+        connection: Connection | None = None
         try:
             while True:
-                gevent.sleep(max(0, poll.due_at - clock()) / SECOND)
-                if line is None:
-                    line = self._dial(poll)
-                answer = self._call(line, poll)
-                if answer.status != 200:
-                    raise PollError(PollFailure.REJECTED, f"discovery answered {answer.status}")
-                before = self.version
-                try:
-                    told = decode_endpoint_list(answer.body)
-                    if turn != self.turn:
-                        self._take_last(told)
-                        return
-                    self._take(told)
-                except MalformedMessageError as fault:
-                    raise PollError(PollFailure.INVALID, fault) from None
-                self._hear_out(None)
-                self.schedule.record_success(clock(), poll, self.version != before)
-                self.heard.set()
-                if not answer.keep_alive or line.reader.has_unexpected_data:
-                    line.close()
-                    line = None
+                gevent.sleep(_seconds_until(poll.due_at))
+                if connection is None:
+                    connection = self._connect(poll)
+                self._send_poll(connection, poll)
+                response = _read_response(connection, poll)
+                if not self._apply_response(response, poll, server_generation):
+                    return None
+                if not response.keep_alive or connection.reader.has_unexpected_data:
+                    connection.close()
+                    connection = None
                 poll = self.schedule.next_poll(clock())
+        except PollError as error:
+            return error
         finally:
-            if line is not None:
-                line.close()
+            if connection is not None:
+                connection.close()
 
-    def _dial(self, poll: Poll) -> Connection:
+    def _connect(self, poll: Poll) -> Connection:
         try:
-            # guards against ending with the process where no descriptor is left
-            line = Connection(self.address, MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
-            line.dial(poll.connect_timeout / SECOND)
-        except OSError as fault:
-            raise PollError(PollFailure.UNREACHABLE, fault) from None
-        return line
-
-    def _call(self, line: Connection, poll: Poll) -> Response:
-        """One call's answer, whole; a CallError where none comes in time."""
-        fault = PollFailure.TIMEOUT
-        # a wait begins when discovery has been told of it, however long the dial took
-        since = clock() if poll.long_poll_wait else poll.due_at
-        deadline = since + poll.response_timeout
+            # Where no descriptor is left the poll fails, and the process goes on.
+            connection = Connection(self.address, MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
+            connection.dial(poll.connect_timeout / MICROSECONDS_PER_SECOND)
+        except OSError as error:
+            raise PollError(PollFailure.UNREACHABLE, error) from None
+        return connection
+
+    def _send_poll(self, connection: Connection, poll: Poll) -> None:
+        """Send the poll and wait until its response begins."""
+        # A long poll's wait begins once discovery has received it, however long connecting took.
+        started_at = clock() if poll.long_poll_wait else poll.due_at
+        timeout = _seconds_until(started_at + poll.response_timeout)
+        long_poll_wait_ms = poll.long_poll_wait // MICROSECONDS_PER_MILLISECOND
+        try:
+            with gevent.Timeout(timeout, TimeoutError("no answer")):
+                connection.sock.sendall(encode_poll(self.address, self.version, long_poll_wait_ms))
+                socket.wait_read(connection.sock.fileno())
+        except TimeoutError as error:
+            raise PollError(PollFailure.TIMEOUT, error) from None
+        except OSError as error:
+            raise PollError(PollFailure.UNREACHABLE, error) from None
+
+    def _apply_response(self, response: Response, poll: Poll, server_generation: int) -> bool:
+        """Publish what the response says; returns whether its server is still the one to poll."""
+        if response.status != STATUS_OK:
+            raise PollError(PollFailure.REJECTED, f"discovery answered {response.status}")
+        previous_version = self.version
         try:
-            with gevent.Timeout(max(0, deadline - clock()) / SECOND, TimeoutError("no answer")):
-                line.sock.sendall(
-                    encode_poll(self.address, self.version, poll.long_poll_wait // 1000)
-                )
-                socket.wait_read(line.sock.fileno())
-            fault = PollFailure.TRUNCATED
-            with gevent.Timeout(poll.transfer_timeout / SECOND, TimeoutError("the answer takes too long")):
-                answer = line.read(poll.stall_timeout / SECOND, lambda size: None)
-        except TimeoutError as late:
-            raise PollError(fault, late) from None
-        except OSError as broken:
-            raise PollError(PollFailure.UNREACHABLE, broken) from None
-        except StalledError as late:
-            raise PollError(PollFailure.TRUNCATED, late) from None
-        except MalformedMessageError as malformed:
-            raise PollError(PollFailure.INVALID, malformed) from None
-        if answer is None:
-            fault = PollFailure.UNREACHABLE if line.reader.response is None else PollFailure.TRUNCATED
-            raise PollError(fault, "discovery closed the connection")
-        line.reader.start_next_response()
-        return answer
-
-    def _take_last(self, told: EndpointRecords) -> None:
-        """The last news of a discovery that was left, while the new one has told nothing."""
+            records = decode_endpoint_list(response.body)
+            if server_generation != self._server_generation:
+                self._apply_last_update(records)
+                return False
+            self._apply_update(records)
+        except MalformedMessageError as error:
+            raise PollError(PollFailure.INVALID, error) from None
+        self._replace_previous_polling(None)
+        self.schedule.record_success(clock(), poll, self.version != previous_version)
+        self.initial_poll_finished.set()
+        return True
+
+    # --- Updates -----------------------------------------------------------------------------------
+    def _apply_last_update(self, records: EndpointRecords) -> None:
+        """Publish an update of the previous server, unless the new one has responded already."""
         if self.version is None:
-            self._pass_on(told)
-
-    def _take(self, told: EndpointRecords) -> None:
-        if told.skipped_count:
-            log.warning("members_passed_over", entries=told.skipped_count)
-        if self.version is not None and told.version < self.version:
-            # guards against old news, and against staying deaf to a discovery that started over: the next
-            # call asks for the whole list, which then holds whatever its version
-            version, self.version = self.version, None
-            raise MalformedMessageError(f"version {told.version} is older than {version}")
-        self.version = told.version
-        self._pass_on(told)
-
-    def _pass_on(self, told: EndpointRecords) -> None:
-        if told.endpoints or told.is_snapshot:
-            self._tell(told, ListForm.SNAPSHOT if told.is_snapshot else ListForm.DELTA)
-
-    def _tell(self, told: EndpointRecords, form: ListForm) -> None:
-        seen = clock()
-        self.upstreams.learn(told.endpoints, form is not ListForm.DELTA)
-        self.tell(EndpointListUpdate(form, tuple(self._entry(member) for member in told.endpoints)), seen)
-
-    def _entry(self, member: EndpointRecord) -> EndpointEntry:
-        zone, kind, health = _place(self.zones, member.zone), _place(self.kinds, member.host_class), member.status
-        return EndpointEntry(member.name, zone, kind, member.cell, health, member.weight, member.started_at_ms * 1000)
-
-
-def _place(named: dict[str, int], name: str) -> int:
-    """A name's number; one that the settings do not hold gets one of its own, kept nowhere: new names may
-    come for ever."""
-    place = named.get(name)
-    return len(named) + zlib.crc32(name.encode()) if place is None else place
+            self._publish_changes(records)
+
+    def _apply_update(self, records: EndpointRecords) -> None:
+        if records.skipped_count:
+            log.warning("endpoints_skipped", entries=records.skipped_count)
+        version = self.version
+        if version is not None and records.version < version:
+            # An outdated list must not count.  A server that started over must not be ignored for ever
+            # either: the next poll asks for a snapshot, which counts whatever its version.
+            self.version = None
+            raise MalformedMessageError(f"version {records.version} is older than {version}")
+        self.version = records.version
+        self._publish_changes(records)
+
+    def _publish_changes(self, records: EndpointRecords) -> None:
+        if records.endpoints or records.is_snapshot:
+            self._publish(records, ListForm.SNAPSHOT if records.is_snapshot else ListForm.DELTA)
+
+    def _publish(self, records: EndpointRecords, form: ListForm) -> None:
+        received_at = clock()
+        self.upstreams.learn(records.endpoints, form is not ListForm.DELTA)
+        entries = tuple(self._to_entry(record) for record in records.endpoints)
+        self.publish(EndpointListUpdate(form, entries), received_at)
+
+    def _to_entry(self, record: EndpointRecord) -> EndpointEntry:
+        return EndpointEntry(
+            endpoint=record.name,
+            zone=_index_of(record.zone, self.zone_indexes),
+            host_class=_index_of(record.host_class, self.host_class_indexes),
+            cell=record.cell,
+            status=record.status,
+            capacity=record.weight,
+            started_at=record.started_at_ms * MICROSECONDS_PER_MILLISECOND,
+        )
+
+
+def _read_response(connection: Connection, poll: Poll) -> Response:
+    """Read the complete response, of which the first bytes have come."""
+    try:
+        with gevent.Timeout(
+            poll.transfer_timeout / MICROSECONDS_PER_SECOND, TimeoutError("the answer takes too long")
+        ):
+            response = connection.read(poll.stall_timeout / MICROSECONDS_PER_SECOND, lambda size: None)
+    except (TimeoutError, StalledError) as error:
+        raise PollError(PollFailure.TRUNCATED, error) from None
+    except OSError as error:
+        raise PollError(PollFailure.UNREACHABLE, error) from None
+    except MalformedMessageError as error:
+        raise PollError(PollFailure.INVALID, error) from None
+    if response is None:
+        has_begun = connection.reader.response is not None
+        failure = PollFailure.TRUNCATED if has_begun else PollFailure.UNREACHABLE
+        raise PollError(failure, "discovery closed the connection")
+    connection.reader.start_next_response()
+    return response
+
+
+def _index_of(name: str, indexes: dict[str, int]) -> int:
+    """Return the index of `name`.
+
+    A name that the settings do not have gets a number of its own behind all indexes.  It is not kept
+    anywhere, since new names may come for ever.
+    """
+    index = indexes.get(name)
+    return len(indexes) + zlib.crc32(name.encode()) if index is None else index
+
+
+def _seconds_until(moment: int) -> float:
+    return max(0, moment - clock()) / MICROSECONDS_PER_SECOND
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -124,7 +124,7 @@
         gevent.signal_handler(signal.SIGHUP, self.again.set)
         _say_streams(self.config)
         successor, known = self._listen()
-        self.discovery.remember(known)
+        self.discovery.restore(known)
         if self.config.admin is not None:
             must_live("admin", AdminServer(self.config.admin, self.serving, self._text).accept)
         must_live("owner", self.owner.run)
@@ -173,7 +173,7 @@
         called by all that start together, and may be cut off: one that has not answered for so long is taken
         to be out of reach, and one that is down has nothing to tell; then the list of the configuration is
         all that there is."""
-        if not gevent.wait([self.discovery.heard, self.leave], LIST_WITHIN, count=1):
+        if not gevent.wait([self.discovery.initial_poll_finished, self.leave], LIST_WITHIN, count=1):
             log.warning("list_unheard", entries=len(self.upstreams.known))
 
     # --- Taking another process's place, and giving this one's ---------------------------------------
@@ -341,7 +341,7 @@
                 needs_restart, same = [*needs_restart, "settings"], True
             self.figures.files_accepted += 1
             log.info("reloaded", discovery=new.discovery, switched=not same, needs_restart=needs_restart)
-            self.discovery.move(new.discovery)
+            self.discovery.switch_server(new.discovery)
             if not same:
                 _say_streams(new)
                 self._switch(new)
@@ -350,7 +350,7 @@
         """Other settings, whole and at one moment: nothing waits in here, and the owner takes what was read
         before it under the old ones, what is read after it under the new."""
         self.upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
-        self.discovery.set(new.zone_names, new.kind_names, new.settings)
+        self.discovery.configure(new.zone_names, new.kind_names, new.settings)
         self.figures.declare(new.class_names)
         self.clients.intake.set(new.class_names, new.deadlines)
         self.owner.put(SerializedCallback(partial(self._succeed, new)), clock())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -53,7 +53,7 @@
 
     def start(self) -> None:
         known = {"version": 1, "full": True, "servers": self.server.entries}
-        self.discovery.remember(parse_endpoint_list(known))
+        self.discovery.restore(parse_endpoint_list(known))
         self.discovery.watch()
 
     def forms(self, count: int) -> list[ListForm]:
@@ -145,7 +145,7 @@
     watched.server.scripted = [reply]
     watched.start()
     turns_until(lambda: watched.failed)
-    assert watched.failed == [fault] and watched.discovery.heard.is_set()
+    assert watched.failed == [fault] and watched.discovery.initial_poll_finished.is_set()
     # the old list stands meanwhile; the list that is told then counts
     assert watched.forms(1) == [ListForm.CACHED]
     watched.server.change(entry("a", state="DELETED"))
@@ -189,7 +189,8 @@
     # a zone and a kind without a name in the settings are numbered after those that have one, and kept
     # nowhere
     assert told["c"].zone > 0 and told["c"].host_class > 0
-    assert watched.discovery.zones == {"north": 0} and watched.discovery.kinds == {"plain": 0}
+    assert watched.discovery.zone_indexes == {"north": 0}
+    assert watched.discovery.host_class_indexes == {"plain": 0}
 
 
 def test_watches_go_on_at_once_on_one_connection(watched: Watched) -> None:
@@ -217,7 +218,7 @@
     watched.start()
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("c")])
-    watched.discovery.move(parse_address(other.address))
+    watched.discovery.switch_server(parse_address(other.address))
     assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
     assert [e.endpoint for e in watched.told[1].entries] == ["c"] and list(watched.upstreams.known) == ["c"]
     assert "?" not in other.calls[0]
@@ -232,11 +233,11 @@
     watched.server.scripted = [answer(b"", 503)]
     watched.start()
     turns_until(lambda: watched.failed)
-    watched.discovery.move(parse_address(watched.server.address))
+    watched.discovery.switch_server(parse_address(watched.server.address))
     gevent.sleep(0.05)
     assert len(watched.server.calls) == 1
     other = stand_ins.Discovery([entry("c")])
-    watched.discovery.move(parse_address(other.address))
+    watched.discovery.switch_server(parse_address(other.address))
     assert watched.forms(2)[1] is ListForm.SNAPSHOT
     other.close()
 
@@ -248,7 +249,7 @@
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("a"), entry("c")])
     with other.news:  # it takes the call and cannot answer yet
-        watched.discovery.move(parse_address(other.address))
+        watched.discovery.switch_server(parse_address(other.address))
         turns_until(lambda: other.connections)
         watched.server.change(entry("b", state="DRAINING"))
         assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
@@ -300,8 +301,8 @@
     try:
         watched.server.scripted = [answer(b"", 503), answer(b"", 503), answer(b"not JSON")]
         turns_until(lambda: len(watched.failed) == 3)
-        assert not watched.discovery.heard.is_set()
-        turns_until(watched.discovery.heard.is_set)
+        assert not watched.discovery.initial_poll_finished.is_set()
+        turns_until(watched.discovery.initial_poll_finished.is_set)
         assert watched.told[-1].form is ListForm.SNAPSHOT
     finally:
         watched.close()
@@ -310,7 +311,7 @@
 def test_while_the_new_discovery_fails_the_old_list_stands(watched: Watched) -> None:
     watched.start()
     turns_until(lambda: watched.server.calls)
-    watched.discovery.move(parse_address(stand_ins.free_address()))
+    watched.discovery.switch_server(parse_address(stand_ins.free_address()))
     turns_until(lambda: watched.failed)
     assert watched.failed == [PollFailure.UNREACHABLE] and sorted(watched.upstreams.known) == ["a", "b"]
 
@@ -321,13 +322,13 @@
     watched = Watched(PUSHED)
     try:
         watched.server.scripted = [answer(b"", 503), listed(1, False)]
-        watched.discovery.remember(
+        watched.discovery.restore(
             parse_endpoint_list({"version": 1, "full": True, "servers": watched.server.entries})
         )
-        assert not watched.discovery.heard.is_set()
+        assert not watched.discovery.initial_poll_finished.is_set()
         turns_until(lambda: len(watched.server.calls) == 3)
         assert [call.partition("hold_ms=")[2] for call in watched.server.calls[:2]] == ["0", "0"]
-        assert watched.discovery.heard.is_set()
+        assert watched.discovery.initial_poll_finished.is_set()
         watched.server.change(entry("a", state="DRAINING"))
         assert watched.forms(2)[1] is ListForm.DELTA
     finally:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -336,7 +336,7 @@
     server = Upstream("a")
     sidecar = Sidecar(tmp_path, config(free_address(), [server.entry()]))
     with sidecar:
-        until(lambda: "discovery_failed" in sidecar.log())
+        until(lambda: "discovery_poll_failed" in sidecar.log())
         assert sidecar.ask().status == 200
     server.close()
 
