--- a/linetrack/__main__.py
+++ b/linetrack/__main__.py
@@ -1,14 +1,13 @@
-"""Run with `python -m linetrack`: one real sidecar, told by EDGE_* what to do.  With a command: the command
-line."""
+"""`python -m linetrack`: the platform's sidecar, configured by EDGE_*; with arguments, the command line."""
 
 import os
 import sys
 
 if __name__ == "__main__":
     if len(sys.argv) > 1:
-        from linetrack.cli.main import main as command_line
+        from linetrack.cli.main import main as run_command_line
 
-        command_line()
+        run_command_line()
     else:
         from linetrack.server.lifecycle import main
 
--- a/linetrack/control/hot_restart.py
+++ b/linetrack/control/hot_restart.py
@@ -1,217 +1,280 @@
-"""The steps of a replacement: what the process that serves does next, and what the one that takes its place.
+"""The steps of a hot restart: a new process takes over from the one that serves, and no request is lost.
 
-Both sides are told what came over the link between them, and when; each answer is the list of things that
-the host is to do, in order.  Owns the order of steps, their time limits and the way back from each.  Must
-never read a clock or touch a socket.  At any moment one of the two accepts whoever comes, whichever ends
-or hangs.
+One state machine for each side.  The host reports what came over the channel between the two processes, and
+the time; each method returns the commands that the host is to execute, in order.  The machines own the order
+of the steps, their time limits and the way back from each step; they never read a clock or touch a socket.
+At any moment one of the two processes accepts connections, whichever of them ends or hangs.
+
+All times are integer microseconds.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
 
-VERSION = 1  # of what is said over the link; another one is not understood
-MS, SECOND = 1000, 1_000_000
-READY_WITHIN = 10 * SECOND  # from the grant until the new process must have said that it is ready
-GRANTED_WITHIN = 3 * SECOND  # from a call until its answer
-CALL_FOR = 5 * SECOND  # while the old process is busy with another one
-CALL_AGAIN = 100 * MS
-BEAT = 250 * MS  # how often the old process says that it still serves
-SILENT = 2 * SECOND  # without a word of it, after which it is taken to hang
-NEVER = 1 << 62
+PROTOCOL_VERSION = 1  # of the messages on the channel; a process of another version is rejected
+READY_TIMEOUT_US = 10_000_000  # from the grant until the successor must have reported that it is ready
+GRANT_TIMEOUT_US = 3_000_000  # from connecting until the predecessor's answer
+CONNECT_RETRY_TIMEOUT_US = 5_000_000  # how long a successor goes on connecting to a busy predecessor
+CONNECT_RETRY_INTERVAL_US = 100_000
+HEARTBEAT_INTERVAL_US = 250_000
+HEARTBEAT_TIMEOUT_US = 2_000_000  # without a message of the predecessor, after which it is taken to hang
+NEVER = 1 << 62  # a moment that does not come
 
 
 @dataclass(slots=True, frozen=True)
 class Identity:
-    """Whose process it is, beside its name and address."""
+    """What tells the processes of one sidecar from another customer's with the same name and address."""
 
-    classes: tuple[str, ...]
-    settings: str  # a digest
+    class_names: tuple[str, ...]
+    settings_digest: str
 
-    def told(self) -> dict[str, Any]:
-        return {"classes": self.classes, "settings": self.settings}
+    def is_foreign(self, other: Identity | None) -> bool:
+        """Return whether the other process is another customer's: other settings, and no class in common.
 
-    def foreign(self, told: object) -> bool:
-        """Whether what the other side told of itself is another customer's: other settings, and no class in
-        common.  One of an earlier version tells nothing, and one whose settings have changed keeps some."""
-        if not isinstance(told, dict) or not isinstance(theirs := told.get("classes"), list):
+        A process of an early version sends no identity (None) and is not foreign; neither is one whose
+        settings have changed, as it keeps some of its classes.
+        """
+        if other is None or other.settings_digest == self.settings_digest:
             return False
-        return told.get("settings") != self.settings and not any(name in self.classes for name in theirs)
+        return not any(name in self.class_names for name in other.class_names)
 
 
 class Command(Enum):
-    # the old process
-    GRANT = "give the listening socket and the list"
-    SAY_BUSY = "tell the caller to come again, and close"
-    SAY_FOREIGN = "tell the caller that this is another one's process, and close"
-    CLOSE = "close the link"
-    BEAT = "say that this side still serves"
-    HAND_ON = "accept no more, tell what was learnt, hand the connections over"
-    KEEP = "accept again and serve what is left"
-    LEAVE = "leave as without a successor"
-    # the new process
-    CALL = "call the one that serves"
-    LISTEN = "listen as in an ordinary start"
-    SAY_READY = "tell that all is prepared"
-    ACCEPT = "accept, and be found by the next one"
-    WHOLE = "all limits are this process's"
-    GIVE_UP = "end: another process takes over or serves"
+    """What a state machine asks its host to do."""
+
+    # of the predecessor
+    GRANT = "grant"  # send the listening socket and the endpoint list
+    REJECT_BUSY = "reject_busy"  # answer that another successor is taking over, and close
+    REJECT_FOREIGN = "reject_foreign"  # answer that this is another customer's process, and close
+    REJECT_VERSION = "reject_version"  # answer that the successor's version is not spoken, and close
+    CLOSE_CHANNEL = "close_channel"
+    SEND_HEARTBEAT = "send_heartbeat"
+    HAND_OVER = "hand_over"  # stop accepting, send what the policy has learnt, then the client connections
+    RESUME = "resume"  # accept again, and shut down as without a successor
+    SHUT_DOWN = "shut_down"  # without a successor
+    # of the successor
+    CONNECT = "connect"  # to the predecessor's socket
+    LISTEN = "listen"  # as in a start without a predecessor
+    SEND_READY = "send_ready"
+    START_ACCEPTING = "start_accepting"  # and let the next successor find this process
+    TAKE_ALL_LIMITS = "take_all_limits"  # descriptors and memory are no longer shared with the predecessor
+    GIVE_UP = "give_up"  # end: another process serves or takes over
+
+
+class PredecessorState(Enum):
+    """The states of the process that serves; the values are logged."""
+
+    SERVING = "serving"
+    GRANTED = "granted"
+    SUCCESSOR_READY = "successor_ready"
+    HANDING_OVER = "handing_over"
+    SHUTTING_DOWN = "shutting_down"
+
+
+class SuccessorState(Enum):
+    """The states of the process that takes over; the values are logged."""
+
+    CONNECTING = "connecting"
+    PREPARING = "preparing"
+    STANDING_BY = "standing_by"
+    ACCEPTING = "accepting"
+    ALONE = "alone"
+    GAVE_UP = "gave_up"
 
 
 class PredecessorStateMachine:
-    """The side that serves; it changes nothing until it is told to leave."""
+    """The side that serves; it changes nothing until it is told to shut down.
 
-    class State(Enum):
-        SERVING = "nobody takes over"
-        GRANTED = "one prepares to"
-        READY = "one stands by"
-        HANDING = "what is here goes over"
-        LEAVING = "leaving without a successor"
+    | state           | meaning                                 | left by                                |
+    | --------------- | --------------------------------------- | -------------------------------------- |
+    | SERVING         | no successor                            | hello, shutdown                        |
+    | GRANTED         | a successor prepares and has the socket | ready, lost channel, timeout, shutdown |
+    | SUCCESSOR_READY | the successor stands by                 | lost channel, shutdown                 |
+    | HANDING_OVER    | state and connections go over           | lost channel                           |
+    | SHUTTING_DOWN   | ends without a successor                |                                        |
+    """
 
     def __init__(self) -> None:
-        self.state, self.due, self.limit = self.State.SERVING, NEVER, NEVER
-
-    def called(self, now: int, version: object, foreign: bool = False) -> list[Command]:
-        if foreign:
-            # guards against a customer served, and its list and ids known, by another one's process
-            return [Command.SAY_FOREIGN]
-        if self.state is not self.State.SERVING:
-            return [Command.SAY_BUSY]
-        if version != VERSION:
-            return [Command.CLOSE]
-        self.state, self.limit, self.due = self.State.GRANTED, now + READY_WITHIN, now + BEAT
+        self.state = PredecessorState.SERVING
+        self.next_heartbeat_at = NEVER
+        self.ready_deadline = NEVER
+
+    def on_hello(self, now: int, version: object, is_foreign: bool = False) -> list[Command]:
+        """A successor has connected and said which version it speaks and whose process it is."""
+        if is_foreign:
+            # one customer's process must not learn the endpoints and request ids of another's
+            return [Command.REJECT_FOREIGN]
+        if self.state is not PredecessorState.SERVING:
+            return [Command.REJECT_BUSY]
+        if version != PROTOCOL_VERSION:
+            return [Command.REJECT_VERSION]
+        self.state = PredecessorState.GRANTED
+        self.ready_deadline = now + READY_TIMEOUT_US
+        self.next_heartbeat_at = now + HEARTBEAT_INTERVAL_US
         return [Command.GRANT]
 
-    def ready(self) -> list[Command]:
-        if self.state is self.State.GRANTED:
-            self.state, self.limit = self.State.READY, NEVER
+    def on_ready(self) -> list[Command]:
+        """The successor has all that it needs to serve."""
+        if self.state is PredecessorState.GRANTED:
+            self.state = PredecessorState.SUCCESSOR_READY
+            self.ready_deadline = NEVER
         return []
 
-    def lost(self) -> list[Command]:
-        """The link has ended."""
-        self.due = self.limit = NEVER
-        if self.state in (self.State.GRANTED, self.State.READY):
-            self.state = self.State.SERVING
-        elif self.state is self.State.HANDING:
-            self.state = self.State.LEAVING
-            return [Command.KEEP]
+    def on_channel_lost(self) -> list[Command]:
+        """The channel to the successor has ended."""
+        self._clear_deadlines()
+        if self._has_successor():
+            self.state = PredecessorState.SERVING
+        elif self.state is PredecessorState.HANDING_OVER:
+            self.state = PredecessorState.SHUTTING_DOWN
+            return [Command.RESUME]
         return []
 
-    def leave(self) -> list[Command]:
+    def begin_shutdown(self) -> list[Command]:
         """This process is to end."""
-        if self.state in (self.State.GRANTED, self.State.READY):
-            # one that only prepares holds the listening socket already: whoever comes waits in its queue
-            self.state, self.due, self.limit = self.State.HANDING, NEVER, NEVER
-            return [Command.HAND_ON]
-        if self.state is self.State.SERVING:
-            self.state = self.State.LEAVING
-            return [Command.LEAVE]
+        if self._has_successor():
+            # one that still prepares holds the listening socket too: new connections wait in its queue
+            self.state = PredecessorState.HANDING_OVER
+            self._clear_deadlines()
+            return [Command.HAND_OVER]
+        if self.state is PredecessorState.SERVING:
+            self.state = PredecessorState.SHUTTING_DOWN
+            return [Command.SHUT_DOWN]
         return []
 
-    def tick(self, now: int) -> list[Command]:
-        if now >= self.limit:
-            # guards against a new process that hangs: its place is free for another one
-            return [Command.CLOSE, *self.lost()]
-        if now >= self.due:
-            self.due = now + BEAT
-            return [Command.BEAT]
+    def on_tick(self, now: int) -> list[Command]:
+        """Time has passed."""
+        if now >= self.ready_deadline:
+            # a successor that hangs would keep every other one away
+            return [Command.CLOSE_CHANNEL, *self.on_channel_lost()]
+        if now >= self.next_heartbeat_at:
+            self.next_heartbeat_at = now + HEARTBEAT_INTERVAL_US
+            return [Command.SEND_HEARTBEAT]
         return []
 
+    def _has_successor(self) -> bool:
+        return self.state in (PredecessorState.GRANTED, PredecessorState.SUCCESSOR_READY)
 
-class SuccessorStateMachine:
-    """The side that takes over."""
+    def _clear_deadlines(self) -> None:
+        self.next_heartbeat_at = NEVER
+        self.ready_deadline = NEVER
 
-    class State(Enum):
-        CALLING = "it asks whether somebody serves"
-        PREPARING = "it has the listening socket and learns the list"
-        STANDING_BY = "it could serve"
-        ACCEPTING = "it serves; the other one ends what it has"
-        ALONE = "nobody else does"
-        GAVE_UP = "there was no way"
 
-    def __init__(self, now: int) -> None:
-        self.state, self.due, self.until = self.State.CALLING, now, now + CALL_FOR
-        self.prepared_ = self.met_stranger = False
-
-    def start(self, now: int) -> list[Command]:
-        self.due = now + GRANTED_WITHIN
-        return [Command.CALL]
+class SuccessorStateMachine:
+    """The side that takes over.
+
+    | state       | meaning                                  | left by                                   |
+    | ----------- | ---------------------------------------- | ----------------------------------------- |
+    | CONNECTING  | looks for a process that serves          | granted, no predecessor, retry timeout    |
+    | PREPARING   | has the socket, learns the endpoints     | prepared, handover, lost channel, timeout |
+    | STANDING_BY | could serve                              | handover, lost channel, timeout           |
+    | ACCEPTING   | serves; the predecessor ends what it has | lost channel                              |
+    | ALONE       | no other process serves                  | address in use                            |
+    | GAVE_UP     | another process serves or takes over     |                                           |
+    """
 
-    def nobody(self) -> list[Command]:
-        """Nobody is found there, or whoever was has gone before it granted anything."""
-        self.state, self.due = self.State.ALONE, NEVER
+    def __init__(self, now: int) -> None:
+        self.state = SuccessorState.CONNECTING
+        self.next_action_at = now  # the next connection, or when the predecessor is taken to hang
+        self.connect_deadline = now + CONNECT_RETRY_TIMEOUT_US
+        self.is_prepared = False
+        self.has_met_foreign = False
+
+    def begin_connect(self, now: int) -> list[Command]:
+        """Connect to the predecessor, whose answer is due by `next_action_at`."""
+        self.next_action_at = now + GRANT_TIMEOUT_US
+        return [Command.CONNECT]
+
+    def on_no_predecessor(self) -> list[Command]:
+        """No process was found, or the one found ended before it granted anything."""
+        self.state = SuccessorState.ALONE
+        self.next_action_at = NEVER
         return [Command.LISTEN]
 
-    def stranger(self) -> list[Command]:
-        """Whoever is found there is another customer's, which stays as it is and found."""
-        self.met_stranger = True
-        return self.nobody()
+    def on_foreign_predecessor(self) -> list[Command]:
+        """The process found is another customer's; it stays as it is, and stays the one that is found."""
+        self.has_met_foreign = True
+        return self.on_no_predecessor()
 
-    def taken(self, now: int) -> list[Command]:
-        """Nobody was found and the address is not free: whoever has it may be about to be found."""
-        # guards against a call that met the old process as it ended, before its successor could be found
-        self.state = self.State.CALLING
-        return self._give_up() if now + CALL_AGAIN >= self.until else self.busy(now)
+    def on_address_in_use(self, now: int) -> list[Command]:
+        """No process was found and the address is taken: its owner may be about to be found.
 
-    def busy(self, now: int) -> list[Command]:
-        if now >= self.until:
+        A connection that met an old process as it ended, before its own successor could be found, ends here.
+        """
+        self.state = SuccessorState.CONNECTING
+        if now + CONNECT_RETRY_INTERVAL_US >= self.connect_deadline:
             return self._give_up()
-        self.due = now + CALL_AGAIN
-        return []
+        return self.on_busy(now)
 
-    def _give_up(self) -> list[Command]:
-        self.state, self.due = self.State.GAVE_UP, NEVER
-        return [Command.GIVE_UP]
+    def on_busy(self, now: int) -> list[Command]:
+        """The predecessor has another successor: connect again until the deadline."""
+        if now >= self.connect_deadline:
+            return self._give_up()
+        self.next_action_at = now + CONNECT_RETRY_INTERVAL_US
+        return []
 
-    def granted(self, now: int) -> list[Command]:
-        self.state, self.due = self.State.PREPARING, now + SILENT
+    def on_granted(self, now: int) -> list[Command]:
+        """The predecessor has sent the listening socket and its endpoint list."""
+        self.state = SuccessorState.PREPARING
+        self.next_action_at = now + HEARTBEAT_TIMEOUT_US
         return []
 
-    def prepared(self) -> list[Command]:
-        """All that serving needs is here."""
-        self.prepared_ = True
-        if self.state is self.State.PREPARING:
-            self.state = self.State.STANDING_BY
-            return [Command.SAY_READY]
-        return self._accept()
-
-    def heard(self, now: int) -> list[Command]:
-        """The other side still serves."""
-        if self.state in (self.State.PREPARING, self.State.STANDING_BY):
-            self.due = now + SILENT
+    def on_prepared(self) -> list[Command]:
+        """This process has all that it needs to serve."""
+        self.is_prepared = True
+        if self.state is SuccessorState.PREPARING:
+            self.state = SuccessorState.STANDING_BY
+            return [Command.SEND_READY]
+        return self._accept_if_due()
+
+    def on_message(self, now: int) -> list[Command]:
+        """Any message of the predecessor, which therefore still serves."""
+        if self._is_waiting():
+            self.next_action_at = now + HEARTBEAT_TIMEOUT_US
         return []
 
-    def left(self) -> list[Command]:
-        """The other side accepts no more."""
-        return self._take()
+    def on_handover(self) -> list[Command]:
+        """The predecessor has stopped accepting."""
+        return self._take_over()
+
+    def on_channel_lost(self) -> list[Command]:
+        """The channel has ended: the predecessor has, or is about to."""
+        if self.state is SuccessorState.CONNECTING:
+            return self.on_no_predecessor()
+        commands = self._take_over()
+        self.state = SuccessorState.ALONE
+        self.next_action_at = NEVER
+        return [*commands, Command.TAKE_ALL_LIMITS]
+
+    def on_tick(self, now: int) -> list[Command]:
+        """Time has passed."""
+        if now < self.next_action_at:
+            return []
+        if self.state is SuccessorState.CONNECTING:
+            if now >= self.connect_deadline:
+                return self.on_busy(now)
+            return self.begin_connect(now)
+        # no heartbeat: the predecessor hangs, and nobody else accepts from the listening socket
+        return self._take_over()
 
-    def lost(self) -> list[Command]:
-        """The link has ended: the other side has, or is about to."""
-        if self.state is self.State.CALLING:
-            return self.nobody()
-        do = self._take()
-        self.state, self.due = self.State.ALONE, NEVER
-        return [*do, Command.WHOLE]
+    def _is_waiting(self) -> bool:
+        return self.state in (SuccessorState.PREPARING, SuccessorState.STANDING_BY)
 
-    def tick(self, now: int) -> list[Command]:
-        if now < self.due:
-            return []
-        if self.state is self.State.CALLING:
-            if now >= self.until:
-                return self.busy(now)
-            return self.start(now)
-        # guards against an old process that hangs with the only listener that is accepted from
-        return self._take()
-
-    def _take(self) -> list[Command]:
-        if self.state not in (self.State.PREPARING, self.State.STANDING_BY):
-            return []
-        self.state, self.due = self.State.ACCEPTING, NEVER
-        return self._accept()
+    def _give_up(self) -> list[Command]:
+        self.state = SuccessorState.GAVE_UP
+        self.next_action_at = NEVER
+        return [Command.GIVE_UP]
 
-    def _accept(self) -> list[Command]:
-        """At the later of two moments: it is its turn, and it is prepared."""
-        turn = self.state in (self.State.ACCEPTING, self.State.ALONE)
-        return [Command.ACCEPT] if turn and self.prepared_ else []
+    def _take_over(self) -> list[Command]:
+        if not self._is_waiting():
+            return []
+        self.state = SuccessorState.ACCEPTING
+        self.next_action_at = NEVER
+        return self._accept_if_due()
+
+    def _accept_if_due(self) -> list[Command]:
+        """Start accepting once the predecessor has stopped and this side is prepared, whichever is later."""
+        has_taken_over = self.state in (SuccessorState.ACCEPTING, SuccessorState.ALONE)
+        return [Command.START_ACCEPTING] if has_taken_over and self.is_prepared else []
--- /dev/null
+++ b/linetrack/server/hot_restart_messages.py
@@ -0,0 +1,272 @@
+"""The messages on the hot-restart channel, and their form as frames.
+
+A frame is its length as four bytes, most significant first, and one JSON object; descriptors go along beside
+it.  The two processes may be of different builds, so that names, keys and types stay as they are: they stand
+here only, and `tests/server/fixtures/hot_restart_messages.json` holds what an older build sent.
+"""
+
+from __future__ import annotations
+
+import json
+import struct
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any, ClassVar, Self
+
+from linetrack.control.hot_restart import Identity
+from linetrack.errors import LinetrackError
+
+LENGTH_FORMAT = "!I"
+LENGTH_BYTES = struct.calcsize(LENGTH_FORMAT)
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # of JSON: several thousand endpoints, and room to spare
+
+NAME_KEY = "what"
+DESCRIPTOR_COUNT_KEY = "fds"
+VERSION_KEY = "version"
+PID_KEY = "pid"
+IDENTITY_KEY = "identity"
+CLASS_NAMES_KEY = "classes"
+SETTINGS_DIGEST_KEY = "settings"
+ENDPOINT_LIST_KEY = "list"
+DISCOVERY_ADDRESS_KEY = "discovery"
+SOCKET_LIMIT_KEY = "sockets"
+REQUEST_IDS_KEY = "ids"
+POLICY_SNAPSHOT_KEY = "learnt"
+RESPONSE_COUNT_KEY = "answers"
+
+
+class HotRestartProtocolError(LinetrackError):
+    """The other process sent what cannot be understood.
+
+    Attributes:
+        reason: what is wrong with it.
+    """
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+class HotRestartMessage:
+    """Base of the messages; one without values needs no more than its name."""
+
+    name: ClassVar[str]
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the message's values under their keys, without its name and descriptor count."""
+        return {}
+
+    @classmethod
+    def from_json(cls, values: Mapping[str, Any]) -> Self:
+        """Return the message of these values; raises KeyError where one is missing."""
+        return cls()
+
+
+@dataclass(slots=True, frozen=True)
+class Hello(HotRestartMessage):
+    """A successor says which version it speaks and whose process it is."""
+
+    name: ClassVar[str] = "hello"
+
+    version: object
+    identity: Identity | None  # None from an early version
+    pid: int = 0  # for whoever traces the socket; no process reads it
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the message's values under their keys."""
+        identity = encode_identity(self.identity)
+        return {VERSION_KEY: self.version, PID_KEY: self.pid, IDENTITY_KEY: identity}
+
+    @classmethod
+    def from_json(cls, values: Mapping[str, Any]) -> Self:
+        """Return the message of these values; an early version leaves some out."""
+        return cls(values.get(VERSION_KEY), decode_identity(values.get(IDENTITY_KEY)))
+
+
+@dataclass(slots=True, frozen=True)
+class Grant(HotRestartMessage):
+    """The predecessor gives its listening socket, as the one descriptor, and its endpoint list."""
+
+    name: ClassVar[str] = "grant"
+
+    identity: Identity | None
+    endpoint_list: Any  # in the form in which discovery serves it
+    discovery_address: list[Any] | None  # of the discovery that the list is from; None from an early version
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the message's values under their keys."""
+        return {
+            IDENTITY_KEY: encode_identity(self.identity),
+            ENDPOINT_LIST_KEY: self.endpoint_list,
+            DISCOVERY_ADDRESS_KEY: self.discovery_address,
+        }
+
+    @classmethod
+    def from_json(cls, values: Mapping[str, Any]) -> Self:
+        """Return the message of these values; an early version leaves some out."""
+        return cls(
+            identity=decode_identity(values.get(IDENTITY_KEY)),
+            endpoint_list=values.get(ENDPOINT_LIST_KEY),
+            discovery_address=values.get(DISCOVERY_ADDRESS_KEY),
+        )
+
+
+@dataclass(slots=True, frozen=True)
+class BusyReply(HotRestartMessage):
+    """The predecessor has another successor: connect again."""
+
+    name: ClassVar[str] = "busy"
+
+
+@dataclass(slots=True, frozen=True)
+class ForeignReply(HotRestartMessage):
+    """The process belongs to another customer."""
+
+    name: ClassVar[str] = "foreign"
+
+
+@dataclass(slots=True, frozen=True)
+class VersionReply(HotRestartMessage):
+    """The predecessor does not speak the successor's version."""
+
+    name: ClassVar[str] = "no"
+
+
+@dataclass(slots=True, frozen=True)
+class Ready(HotRestartMessage):
+    """The successor has all that it needs to serve."""
+
+    name: ClassVar[str] = "ready"
+
+
+@dataclass(slots=True, frozen=True)
+class Heartbeat(HotRestartMessage):
+    """The predecessor still serves."""
+
+    name: ClassVar[str] = "beat"
+
+
+@dataclass(slots=True, frozen=True)
+class Handover(HotRestartMessage):
+    """The predecessor has stopped accepting; its client connections follow.
+
+    Attributes:
+        socket_limit: how many descriptors the successor may use while the predecessor still runs.
+        request_ids: those of requests that are in flight or ended lately.
+        policy_snapshot: what the policy has learnt.
+        settings_digest: of the settings under which it was learnt; None from an early version.
+    """
+
+    name: ClassVar[str] = "leave"
+
+    socket_limit: int
+    request_ids: list[str]
+    policy_snapshot: Mapping[str, Any]
+    settings_digest: str | None
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the message's values under their keys."""
+        return {
+            SOCKET_LIMIT_KEY: self.socket_limit,
+            REQUEST_IDS_KEY: self.request_ids,
+            POLICY_SNAPSHOT_KEY: self.policy_snapshot,
+            SETTINGS_DIGEST_KEY: self.settings_digest,
+        }
+
+    @classmethod
+    def from_json(cls, values: Mapping[str, Any]) -> Self:
+        """Return the message of these values; raises KeyError where one is missing."""
+        return cls(
+            socket_limit=values[SOCKET_LIMIT_KEY],
+            request_ids=values[REQUEST_IDS_KEY],
+            policy_snapshot=values[POLICY_SNAPSHOT_KEY],
+            settings_digest=values.get(SETTINGS_DIGEST_KEY),
+        )
+
+
+@dataclass(slots=True, frozen=True)
+class ClientHandover(HotRestartMessage):
+    """One client connection, as the one descriptor, and how many responses were given on it."""
+
+    name: ClassVar[str] = "client"
+
+    response_count: int
+
+    def to_json(self) -> dict[str, Any]:
+        """Return the message's values under their keys."""
+        return {RESPONSE_COUNT_KEY: self.response_count}
+
+    @classmethod
+    def from_json(cls, values: Mapping[str, Any]) -> Self:
+        """Return the message of these values; raises KeyError where one is missing."""
+        return cls(values[RESPONSE_COUNT_KEY])
+
+
+@dataclass(slots=True, frozen=True)
+class UnknownMessage(HotRestartMessage):
+    """A message of a later build, which is passed over."""
+
+
+@dataclass(slots=True, frozen=True)
+class DecodedFrame:
+    """A message, and how many descriptors belong to it."""
+
+    message: HotRestartMessage
+    descriptor_count: int
+
+
+_MESSAGES: dict[str, type[HotRestartMessage]] = {
+    message.name: message
+    for message in (
+        Hello,
+        Grant,
+        BusyReply,
+        ForeignReply,
+        VersionReply,
+        Ready,
+        Heartbeat,
+        Handover,
+        ClientHandover,
+    )
+}
+
+
+def encode_frame(message: HotRestartMessage, descriptor_count: int) -> bytes:
+    """Return the frame of a message that so many descriptors go along with."""
+    head = {NAME_KEY: message.name, DESCRIPTOR_COUNT_KEY: descriptor_count}
+    data = json.dumps({**head, **message.to_json()}).encode()
+    return struct.pack(LENGTH_FORMAT, len(data)) + data
+
+
+def decode_length(data: bytes) -> int:
+    """Return how many bytes of JSON follow the first `LENGTH_BYTES` of a frame."""
+    (length,) = struct.unpack(LENGTH_FORMAT, data)
+    return int(length)
+
+
+def decode_message(data: bytes) -> DecodedFrame:
+    """Return what a frame's JSON object says; raises HotRestartProtocolError where it holds no message."""
+    try:
+        values = json.loads(data)
+        name = values[NAME_KEY]
+        descriptor_count = values[DESCRIPTOR_COUNT_KEY]
+        message = _MESSAGES.get(name, UnknownMessage).from_json(values)
+    except (ValueError, KeyError, TypeError, RecursionError) as error:
+        raise HotRestartProtocolError(repr(error)) from None
+    if not isinstance(descriptor_count, int):
+        raise HotRestartProtocolError(f"{DESCRIPTOR_COUNT_KEY} is {descriptor_count!r}")
+    return DecodedFrame(message, descriptor_count)
+
+
+def encode_identity(identity: Identity | None) -> dict[str, Any] | None:
+    """Return the JSON object of an identity."""
+    if identity is None:
+        return None
+    return {CLASS_NAMES_KEY: identity.class_names, SETTINGS_DIGEST_KEY: identity.settings_digest}
+
+
+def decode_identity(value: object) -> Identity | None:
+    """Return the identity that the other process sent, or None where it sent none that makes sense."""
+    if not isinstance(value, dict) or not isinstance(class_names := value.get(CLASS_NAMES_KEY), list):
+        return None
+    return Identity(tuple(class_names), value.get(SETTINGS_DIGEST_KEY, ""))
--- /dev/null
+++ b/linetrack/server/reload.py
@@ -0,0 +1,110 @@
+"""Reading the configuration again at SIGHUP, and bringing it into force while requests are in flight.
+
+Owns the configuration in force.  How the policy changes its settings is decided in
+`linetrack/control/settings_switch.py`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+import structlog
+from gevent.event import Event
+
+from linetrack.control.metrics import Metrics
+from linetrack.control.settings_switch import SettingsSwitch
+from linetrack.server.clock import clock
+from linetrack.server.config import STREAMS, Config, ConfigError
+from linetrack.server.discovery_client import DiscoveryClient
+from linetrack.server.dispatcher import Dispatcher, SerializedCallback
+from linetrack.server.listener import Listener
+from linetrack.server.upstream_pool import UpstreamPool
+
+log = structlog.get_logger()
+
+SETTINGS_KEY = "settings"
+
+
+class Reloader:
+    """The configuration in force, which each SIGHUP may replace."""
+
+    def __init__(
+        self,
+        read: Callable[[], Config],
+        config: Config,
+        *,
+        dispatcher: Dispatcher,
+        policy_switch: SettingsSwitch,
+        listener: Listener,
+        upstreams: UpstreamPool,
+        discovery: DiscoveryClient,
+        metrics: Metrics,
+    ) -> None:
+        """Make one with `config` in force; `read` returns the file's configuration or raises a ConfigError."""
+        self.config = config
+        self.max_timeout = config.longest  # of any class since the start, in microseconds
+        self.requested = Event()
+        self._read = read
+        self._dispatcher = dispatcher
+        self._policy_switch = policy_switch
+        self._listener = listener
+        self._upstreams = upstreams
+        self._discovery = discovery
+        self._metrics = metrics
+
+    def run(self) -> None:
+        """Reload each time that `requested` is set, for ever."""
+        while True:
+            self.requested.wait()
+            self.requested.clear()
+            self._reload()
+
+    def _reload(self) -> None:
+        """Read the configuration again and apply it; a faulty one changes nothing."""
+        try:
+            read = self._read()
+            new = read.after(self.config)
+        except ConfigError as fault:
+            self._metrics.files_invalid += 1
+            log.error("reload_rejected", fault=str(fault))
+            return
+        needs_restart = self.config.restart_for(read)
+        switches_settings = not new.same_settings(self.config)
+        if switches_settings and not self._policy_switch.can:
+            needs_restart = [*needs_restart, SETTINGS_KEY]
+            switches_settings = False
+        self._metrics.files_accepted += 1
+        log.info(
+            "reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart
+        )
+        self._discovery.switch_server(new.discovery)
+        if switches_settings:
+            log_unused_multiplexing(new)
+            self._apply(new)
+
+    def _apply(self, new: Config) -> None:
+        """Apply other settings at one moment: nothing in here waits.
+
+        The dispatcher takes what was read before this moment under the old settings, and what is read after
+        it under the new ones.
+        """
+        self._upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
+        self._discovery.configure(new.zone_names, new.kind_names, new.settings)
+        self._metrics.declare(new.class_names)
+        self._listener.intake.set(new.class_names, new.deadlines)
+        self._dispatcher.put(SerializedCallback(partial(self._switch_policy, new)), clock())
+        self.config = new
+        self.max_timeout = max(self.max_timeout, new.longest)
+
+    def _switch_policy(self, new: Config) -> None:
+        in_flight = self._policy_switch.switch(new.settings)
+        log.info(
+            "settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals()
+        )
+
+
+def log_unused_multiplexing(config: Config) -> None:
+    """Warn where more requests a connection are configured than HTTP/1.1 carries at once."""
+    if config.told_streams > STREAMS:
+        log.warning("multiplex_unused", configured=config.told_streams, used=STREAMS)
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -150,7 +150,7 @@
     reply = client.read()
     assert reply is not None and reply.status == 409
     log = sidecar.log()
-    assert '"learnt": true' in log and '"same_settings": true' in log
+    assert '"snapshot_restored": true' in log and '"same_settings": true' in log
     peer.sock.close()
     after = sidecar.talk(request("/look/k", "GET", "X-Trace-Id: after", "X-Expires-In: 2.0"))
     assert after.status == 200
@@ -176,7 +176,7 @@
     process = fixture.sidecar.launch()
     old.accept().send(recorded("foreign"))
     assert process.wait(TIMEOUT_SECONDS) == 1, "the address is the other one's"
-    assert "hot_restart_foreign" in fixture.sidecar.log()
+    assert "hot_restart_foreign_process" in fixture.sidecar.log()
 
 
 def test_a_successor_of_the_old_build_takes_over_from_a_new_process(fixture: Fixture) -> None:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -398,6 +398,6 @@
 
 def last_counts(log: str) -> dict[str, Any]:
     """The counts that the program wrote as it ended."""
-    (ended,) = [line for line in map(json.loads, log.splitlines()) if line.get("now") == "ended"]
+    (ended,) = [line for line in map(json.loads, log.splitlines()) if line.get("phase") == "ended"]
     counts: dict[str, Any] = ended
     return counts
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -34,7 +34,10 @@
 from linetrack.server.clock import clock
 from linetrack.server.config import config_of
 from linetrack.server.connection import Connection, readable
-from linetrack.server.hot_restart_channel import Predecessor, Successor
+from linetrack.server.hot_restart_channel import GrantedListener
+from linetrack.server.hot_restart_messages import Grant
+from linetrack.server.hot_restart_predecessor import Predecessor
+from linetrack.server.hot_restart_successor import Successor
 from linetrack.server.address import parse_address
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.dispatcher import Dispatcher
@@ -469,18 +472,19 @@
 def test_without_a_descriptor_for_its_link_a_successor_waits_and_has_its_grant(tmp_path: Path) -> None:
     """Guards against a process that serves and ends because one that would take its place called."""
     path, own = tmp_path / "link.sock", Identity(("look",), "1")
-    old = Predecessor(path, lambda: own, lambda: (0, {}), lambda do: None)
-    old.prepare()
-    old.appear()
+    granted = GrantedListener(0, Grant(own, endpoint_list=None, discovery_address=None))
+    old = Predecessor(path, lambda: own, lambda: granted, lambda command: None)
+    old.open_socket()
+    old.publish_socket()
     old.listener = made = Listener(old.listener)
     running = gevent.spawn(old.run)
-    new = Successor(path, own, lambda do: None, lambda what, values, fds: None)
+    new = Successor(path, own, lambda command: None, lambda message, descriptors: None)
     with gevent.Timeout(PATIENCE):
-        granted = new.call()
-    assert granted is not None and made.failed
-    os.close(granted[0])
-    assert new.link is not None
-    new.link.close()
+        received = new.connect()
+    assert received is not None and made.failed
+    os.close(received.descriptor)
+    assert new.channel is not None
+    new.channel.close()
     running.kill()
     made.sock.close()
 
@@ -510,10 +514,10 @@
     """Guards against an old process that accepts again and has no room for who comes back to it."""
     values = config("127.0.0.1:9", [])
     sidecar = Sidecar(lambda: config_of({**values, "listen": "127.0.0.1:1"}, {}))
-    sidecar.clients.listen(("127.0.0.1", 0))
+    sidecar.listener.listen(("127.0.0.1", 0))
     whole = sidecar.budget.most
     sidecar.budget.leave_to_successor()
     assert sidecar.budget.most < whole
-    sidecar._act(Command.KEEP)
-    assert sidecar.budget.most == whole and sidecar.clients.passes is None
-    sidecar._stop_accepting()
+    sidecar.hot_restart.execute(Command.RESUME)
+    assert sidecar.budget.most == whole and sidecar.listener.passes is None
+    sidecar.hot_restart.stop_accepting()
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,10 +19,20 @@
 
 from linetrack.control import policy_snapshot as snapshot
 from linetrack.control.settings_switch import count_unavailable
-from linetrack.control.hot_restart import READY_WITHIN, SECOND, SILENT, Command, Identity, SuccessorStateMachine, PredecessorStateMachine
+from linetrack.control.hot_restart import (
+    HEARTBEAT_TIMEOUT_US,
+    READY_TIMEOUT_US,
+    Command,
+    Identity,
+    PredecessorState,
+    PredecessorStateMachine,
+    SuccessorState,
+    SuccessorStateMachine,
+)
 from linetrack.policy.events import Outcome
 from linetrack.policy.balancer import Balancer
-from tests.helpers import MS, SAFE, Driver
+from linetrack.server.hot_restart_messages import decode_identity, encode_identity
+from tests.helpers import MS, SAFE, SECOND, Driver
 from tests.stand_ins import (
     Discovery,
     Message,
@@ -52,31 +62,31 @@
         self.linked = self.told_lost = False
         self.old_accepts, self.new_accepts, self.gave_up = True, False, False
         self.old_lives, self.old_hangs, self.new_lives = True, False, True
-        self.did(self.new, self.new.start(self.now))
+        self.did(self.new, self.new.begin_connect(self.now))
 
     def did(self, side: PredecessorStateMachine | SuccessorStateMachine, do: list[Command]) -> None:
         for what in do:
             match what:
-                case Command.CALL:
+                case Command.CONNECT:
                     if self.old_lives:
                         self.linked = True
                         self.to_old.append("hello")
                     else:
-                        self.did(self.new, self.new.nobody())
+                        self.did(self.new, self.new.on_no_predecessor())
                 case Command.GRANT:
                     self.to_new.append("grant")
-                case Command.BEAT:
+                case Command.SEND_HEARTBEAT:
                     self.to_new.append("beat")
-                case Command.SAY_READY:
+                case Command.SEND_READY:
                     self.to_old.append("ready")
-                case Command.HAND_ON:
+                case Command.HAND_OVER:
                     self.old_accepts = False
                     self.to_new.append("leave")
-                case Command.KEEP:
+                case Command.RESUME:
                     self.old_accepts = True
-                case Command.CLOSE:
+                case Command.CLOSE_CHANNEL:
                     self.linked = False
-                case Command.ACCEPT | Command.LISTEN:
+                case Command.START_ACCEPTING | Command.LISTEN:
                     self.new_accepts = True
                 case Command.GIVE_UP:
                     self.gave_up = True
@@ -84,14 +94,14 @@
     def deliver(self) -> None:
         if self.to_old and self.old_lives and not self.old_hangs:
             what = self.to_old.popleft()
-            self.did(self.old, self.old.called(self.now, 1) if what == "hello" else self.old.ready())
+            self.did(self.old, self.old.on_hello(self.now, 1) if what == "hello" else self.old.on_ready())
         if self.to_new and self.new_lives:
             what = self.to_new.popleft()
             if what == "grant":
-                self.new.granted(self.now)
+                self.new.on_granted(self.now)
             else:
-                self.new.heard(self.now)
-                self.did(self.new, self.new.left() if what == "leave" else [])
+                self.new.on_message(self.now)
+                self.did(self.new, self.new.on_handover() if what == "leave" else [])
 
     def settle(self) -> None:
         """Everything said has arrived, and an end of one side is known to the other."""
@@ -99,17 +109,17 @@
             self.deliver()
         if self.linked and not self.new_lives and self.old_lives and not self.old_hangs:
             self.linked = False
-            self.did(self.old, self.old.lost())
+            self.did(self.old, self.old.on_channel_lost())
         if self.linked and not self.old_lives and self.new_lives:
             self.linked = False
-            self.did(self.new, self.new.lost())
+            self.did(self.new, self.new.on_channel_lost())
 
     def tick(self, after: int) -> None:
         self.now += after
         if self.old_lives and not self.old_hangs:
-            self.did(self.old, self.old.tick(self.now))
+            self.did(self.old, self.old.on_tick(self.now))
         if self.new_lives:
-            self.did(self.new, self.new.tick(self.now))
+            self.did(self.new, self.new.on_tick(self.now))
 
 
 STEPS = ("deliver", "tick", "prepared", "term", "old ends", "old hangs", "new ends")
@@ -126,12 +136,12 @@
             case "tick":
                 pair.tick(SECOND // 4)
             case "prepared" if (
-                pair.new_lives and not pair.new.prepared_ and pair.new.state is not SuccessorStateMachine.State.CALLING
+                pair.new_lives and not pair.new.is_prepared and pair.new.state is not SuccessorState.CONNECTING
             ):
-                pair.did(pair.new, pair.new.prepared())
+                pair.did(pair.new, pair.new.on_prepared())
             case "term" if pair.old_lives and not pair.old_hangs:
                 termed = True
-                pair.did(pair.old, pair.old.leave())
+                pair.did(pair.old, pair.old.begin_shutdown())
             case "old ends":
                 pair.old_lives = pair.old_accepts = False
             case "old hangs":
@@ -139,13 +149,13 @@
             case "new ends":
                 pair.new_lives = pair.new_accepts = False
         pair.settle()
-    if pair.new_lives and not pair.new.prepared_ and pair.new.state is not SuccessorStateMachine.State.CALLING:
-        pair.did(pair.new, pair.new.prepared())
+    if pair.new_lives and not pair.new.is_prepared and pair.new.state is not SuccessorState.CONNECTING:
+        pair.did(pair.new, pair.new.on_prepared())
     for _ in range(60):
         pair.tick(SECOND // 4)
         pair.settle()
-        if pair.new.state is not SuccessorStateMachine.State.CALLING and not pair.new.prepared_ and pair.new_lives:
-            pair.did(pair.new, pair.new.prepared())
+        if pair.new.state is not SuccessorState.CONNECTING and not pair.new.is_prepared and pair.new_lives:
+            pair.did(pair.new, pair.new.on_prepared())
     both = pair.old_accepts and pair.new_accepts and not pair.old_hangs
     assert not both, "two processes spend one sidecar's budgets"
     if pair.new_lives and not pair.gave_up:
@@ -170,49 +180,49 @@
 )
 def test_whose_process_it_is_goes_by_settings_and_classes(told: object, foreign: bool) -> None:
     own = Identity(("look", "pay"), "1")
-    assert own.foreign(told) is foreign
-    assert not own.foreign(json.loads(json.dumps(own.told())))
+    assert own.is_foreign(decode_identity(told)) is foreign
+    assert not own.is_foreign(decode_identity(json.loads(json.dumps(encode_identity(own)))))
     old = PredecessorStateMachine()
-    assert old.called(0, 1, foreign) == [Command.SAY_FOREIGN if foreign else Command.GRANT]
-    assert old.called(0, 1, True) == [Command.SAY_FOREIGN]
+    assert old.on_hello(0, 1, foreign) == [Command.REJECT_FOREIGN if foreign else Command.GRANT]
+    assert old.on_hello(0, 1, True) == [Command.REJECT_FOREIGN]
 
 
 def test_a_second_caller_is_told_to_come_again_and_gives_up_in_time() -> None:
     old, new, now = PredecessorStateMachine(), SuccessorStateMachine(0), 0
-    assert old.called(0, 1) == [Command.GRANT] and old.called(0, 1) == [Command.SAY_BUSY]
-    new.start(0)
+    assert old.on_hello(0, 1) == [Command.GRANT] and old.on_hello(0, 1) == [Command.REJECT_BUSY]
+    new.begin_connect(0)
     calls = 0
-    while new.busy(now) != [Command.GIVE_UP]:
-        now = new.due
-        calls += new.tick(now) == [Command.CALL]
+    while new.on_busy(now) != [Command.GIVE_UP]:
+        now = new.next_action_at
+        calls += new.on_tick(now) == [Command.CONNECT]
     assert calls > 10 and now <= 6 * SECOND
 
 
 def test_where_the_address_is_taken_and_nobody_is_found_it_calls_again_and_gives_up_in_time() -> None:
     new, now, said = SuccessorStateMachine(0), 0, []
     for _ in range(100):
-        assert new.tick(now) == [Command.CALL] and new.nobody() == [Command.LISTEN]
-        said = new.taken(now)
+        assert new.on_tick(now) == [Command.CONNECT] and new.on_no_predecessor() == [Command.LISTEN]
+        said = new.on_address_in_use(now)
         if said:
             break
-        now = new.due
+        now = new.next_action_at
     assert said == [Command.GIVE_UP] and SECOND < now <= 6 * SECOND
 
 
 def test_another_version_is_not_granted_anything_and_one_that_hangs_makes_way() -> None:
     old = PredecessorStateMachine()
-    assert old.called(0, 2) == [Command.CLOSE] and old.state is PredecessorStateMachine.State.SERVING
-    old.called(0, 1)
-    assert old.tick(READY_WITHIN) == [Command.CLOSE] and old.called(READY_WITHIN, 1) == [Command.GRANT]
+    assert old.on_hello(0, 2) == [Command.REJECT_VERSION] and old.state is PredecessorState.SERVING
+    old.on_hello(0, 1)
+    assert old.on_tick(READY_TIMEOUT_US) == [Command.CLOSE_CHANNEL] and old.on_hello(READY_TIMEOUT_US, 1) == [Command.GRANT]
 
 
 def test_an_old_one_without_a_word_is_taken_to_hang_and_is_not_while_it_speaks() -> None:
     new = SuccessorStateMachine(0)
-    new.start(0)
-    new.granted(0)
-    assert new.prepared() == [Command.SAY_READY]
-    new.heard(SILENT - 1)
-    assert new.tick(SILENT) == [] and new.tick(2 * SILENT) == [Command.ACCEPT] and new.left() == []
+    new.begin_connect(0)
+    new.on_granted(0)
+    assert new.on_prepared() == [Command.SEND_READY]
+    new.on_message(HEARTBEAT_TIMEOUT_US - 1)
+    assert new.on_tick(HEARTBEAT_TIMEOUT_US) == [] and new.on_tick(2 * HEARTBEAT_TIMEOUT_US) == [Command.START_ACCEPTING] and new.on_handover() == []
 
 
 # --- What goes over ------------------------------------------------------------------------------------
@@ -360,7 +370,7 @@
         ids = [message.headers["x-trace-id"] for server in servers for message in server.seen]
         assert len(set(ids)) == len(ids), "something ran twice"
         until(lambda: figures(serving.config["admin_addr"])["app_open_requests"] == 0)
-        assert '"learnt": true' in serving.log()
+        assert '"snapshot_restored": true' in serving.log()
 
 
 def test_what_the_old_one_has_is_answered_there_and_half_a_request_too(tmp_path: Path) -> None:
@@ -470,7 +480,7 @@
             if ends:
                 ending.settimeout(20)
                 ending.accept()[0].close()
-        until(lambda: "hot_restart_address_taken" in new.log() or (new.process and new.process.poll()))
+        until(lambda: "hot_restart_address_in_use" in new.log() or (new.process and new.process.poll()))
         away.rename(path)
         until(lambda: healthy(new))
         assert pair.old.end() == 0 and new.ask("pay").status == 200
@@ -526,11 +536,11 @@
         assert theirs.process and theirs.process.wait(20) == 1
         log = theirs.log()
         assert (
-            log.count("hot_restart_foreign") == 1
+            log.count("hot_restart_foreign_process") == 1
             and "hot_restart_granted" not in log
             and "cannot_listen" in log
         )
-        assert "hot_restart_called" not in pair.old.log()
+        assert "hot_restart_requested" not in pair.old.log()
         assert pair.old.ask("pay").status == 200
         new = pair.again()
         assert pair.old.end() == 0 and new.ask("pay").status == 200
@@ -566,9 +576,9 @@
         values["azs"].reverse()
         known = {"version": 0, "full": True, "servers": [b.entry()]}
         new = pair.again(discovery=elsewhere.address, known=known, settings=values)
-        assert "hot_restart_list_left" in new.log()
+        assert "hot_restart_endpoint_list_ignored" in new.log()
         assert pair.old.end() == 0
-        until(lambda: "hot_restart_told" in new.log())
+        until(lambda: "hot_restart_handover_received" in new.log())
         assert '"same_settings": false' in new.log()
         until(lambda: elsewhere.calls)
         assert "from=0" in elsewhere.calls[0]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -19,7 +19,8 @@
 from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.dispatcher import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
-from linetrack.server.lifecycle import LINE_EVERY, LogRateLimiter, must_live
+from linetrack.server.greenlets import spawn_essential
+from linetrack.server.logging_setup import MIN_LINE_INTERVAL_US, LogRateLimiter
 from tests.stand_ins import MS, PATIENCE, SECOND, call, turns_until
 
 
@@ -32,8 +33,8 @@
             sparing(None, "warning", {"event": "a"})
     assert sparing(None, "warning", {"event": "b"}) == {"event": "b"}
     assert sparing(None, "info", {"event": "a"}) == {"event": "a"}
-    now = LINE_EVERY
-    assert sparing(None, "warning", {"event": "a"}) == {"event": "a", "unsaid": 5}
+    now = MIN_LINE_INTERVAL_US
+    assert sparing(None, "warning", {"event": "a"}) == {"event": "a", "suppressed": 5}
 
 
 def test_a_greenlet_that_must_live_ends_the_process_when_it_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -44,9 +45,9 @@
     def broken() -> None:
         raise RuntimeError("a defect")
 
-    must_live("broken", broken).join(PATIENCE)
+    spawn_essential("broken", broken).join(PATIENCE)
     assert ended == [1]
-    must_live("killed", lambda: gevent.sleep(PATIENCE)).kill()
+    spawn_essential("killed", lambda: gevent.sleep(PATIENCE)).kill()
     assert ended == [1]
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -414,7 +414,7 @@
     world.discovery.scripted = [away, answer(b"no list"), away, answer(json.dumps(listed).encode())]
     with world as sidecar:
         assert {sidecar.ask().body for _ in range(20)} == {b"b"}
-        assert not a.seen and "list_unheard" not in sidecar.log()
+        assert not a.seen and "endpoint_list_timeout" not in sidecar.log()
 
 
 def test_where_lists_are_pushed_a_start_is_ready_though_discovery_never_answers(tmp_path: Path) -> None:
@@ -423,7 +423,7 @@
     world.sidecar.config["settings"]["registryMode"] = "automatic"
     world.discovery.scripted = [b""] * 100
     with world as sidecar:
-        assert sidecar.ask().status == 200 and "list_unheard" in sidecar.log()
+        assert sidecar.ask().status == 200 and "endpoint_list_timeout" in sidecar.log()
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_out_neither_discovery_nor_calls(
@@ -509,7 +509,7 @@
         for text, key in faulty(dict(sidecar.config)):
             before = len(sidecar.log())
             reload(sidecar, text)
-            until(partial(lambda at: "reload_faulty" in sidecar.log()[at:], before))
+            until(partial(lambda at: "reload_rejected" in sidecar.log()[at:], before))
             assert f'"{key}' in sidecar.log()[before:]
             assert sidecar.ask().status == 200
             time.sleep(1.0)  # a line of one event a second
@@ -527,7 +527,7 @@
     with World(tmp_path, Upstream("a")) as sidecar:
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGTERM)
-        until(lambda: "leaving" in sidecar.log())
+        until(lambda: '"draining"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGHUP)
         assert sidecar.process.wait(20) == 0
 
@@ -553,15 +553,15 @@
         until(lambda: len(server.seen) == 2)
         sidecar.process.send_signal(signal.SIGTERM)
         sidecar.process.send_signal(signal.SIGTERM)
-        until(lambda: "leaving" in sidecar.log())
+        until(lambda: '"draining"' in sidecar.log())
         # new connections still come for a while and are served; readiness is over
         try:
             assert sidecar.ask().status == 200
             assert sidecar.get("/_health").status == 503
         except OSError:
-            until(lambda: "emptying" in sidecar.log(), "a machine too slow to ask in that while")
+            until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
         assert kept and kept.status == 200 and idle.ended()
-        until(lambda: "emptying" in sidecar.log())
+        until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
         let.set()
         reply = taken.read()
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,7 @@
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
 from linetrack.server.endpoint_list import MAX_ENDPOINT_LIST_BYTES, decode_endpoint_list
 from linetrack.server.http1.responses import ResponseReader
-from linetrack.server.hot_restart_channel import MOST_FRAME
+from linetrack.server.hot_restart_messages import MAX_FRAME_BYTES
 from linetrack.policy.balancer import Balancer
 from tests.helpers import Driver
 from tests.stand_ins import entry
@@ -39,7 +39,7 @@
     asked(old)
     told = json.dumps(snapshot.take(old.balancer))
     listed = json.dumps([entry(e.endpoint) for e in servers()])
-    assert len(told) + len(listed) < MOST_FRAME / 8
+    assert len(told) + len(listed) < MAX_FRAME_BYTES / 8
     new = Balancer(old.balancer.s, 2)
     new.handle(old.now, EndpointListUpdate(ListForm.CACHED, servers()))
     assert snapshot.restore(new, json.loads(told), old.now, True, True)
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -33,7 +33,7 @@
     """Give the program this file and wait until it has said what it made of it."""
     before = len(sidecar.log())
     test_sidecar.reload(sidecar, values if isinstance(values, str) else json.dumps(values))
-    until(lambda: any(word in sidecar.log()[before:] for word in ('"reloaded"', "reload_faulty")))
+    until(lambda: any(word in sidecar.log()[before:] for word in ('"reloaded"', "reload_rejected")))
 
 
 def moved(old: dict[str, Any]) -> dict[str, Any]:
@@ -186,7 +186,7 @@
             assert sidecar.ask("look").status == 200
             time.sleep(1.0)  # a line of one event a second
         assert "settings_switched" not in sidecar.log()
-        assert sidecar.log().count("reload_faulty") == len(faulty(old))
+        assert sidecar.log().count("reload_rejected") == len(faulty(old))
 
 
 def faulty(values: dict[str, Any]) -> dict[str, str]:
