--- a/tests/test_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -13,7 +13,7 @@
 import pytest
 
 from linetrack.server.config import ConfigError, config_of
-from tests import test_sidecar
+from tests.server import test_sidecar
 from tests.stand_ins import (
     MS,
     SECOND,
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -26,7 +26,7 @@
     silent,
     until,
 )
-from tests.test_switch import moved, reload
+from tests.server.test_settings_switch import moved, reload
 
 
 def admin(sidecar: Sidecar) -> str:
