--- /dev/null
+++ b/tests/server/test_invalid_requests.py
@@ -0,0 +1,125 @@
+"""Bytes that are no valid request, sent to the program over sockets."""
+
+from __future__ import annotations
+
+import threading
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, call, request, until
+
+
+VALID_HEADERS = ("X-Trace-Id: 1", "X-Expires-In: 2.0")
+
+
+CONTRADICTORY_LENGTHS = ("Content-Length: 5", "Transfer-Encoding: chunked")
+
+
+INVALID_REQUESTS: list[tuple[str, bytes, int]] = [
+    ("not HTTP", b"HELLO\r\n\r\n", 400),
+    ("an unknown class", request("/other/k", "GET", *VALID_HEADERS), 400),
+    ("no class", request("/", "GET", *VALID_HEADERS), 400),
+    ("no id", request("/look/k", "GET", "X-Expires-In: 2.0"), 400),
+    ("no deadline", request("/look/k", "GET", "X-Trace-Id: 1"), 400),
+    ("a deadline that is no number", call(expires="soon"), 400),
+    ("a deadline that is not finite", call(expires="nan"), 400),
+    ("a negative deadline", call(expires="-1"), 400),
+    ("a deadline already over", call(expires="0"), 504),
+    ("two lengths", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1", "Content-Length: 2"), 400),
+    ("a length twice", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 0", "Content-Length: 0"), 400),
+    ("a length with a sign", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: +1") + b"x", 400),
+    ("a negative length", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: -1") + b"x", 400),
+    ("a length with a space", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1 1") + b"x", 400),
+    ("a length and chunks", request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS) + b"0\r\n\r\n" + call(), 400),
+    ("chunks and a length", request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS[::-1]) + b"0\r\n\r\n" + call(), 400),
+    ("a wrong chunk size", request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"zz\r\n", 400),
+    ("a huge chunk size", request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"fffffff\r\n" + b"x" * 70_000, 408),
+    ("a chunk size beyond all", request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"f" * 40 + b"\r\n", 400),
+    ("a deadline with other signs", call(expires="1_0"), 400),
+    ("a body too large", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 33554433"), 413),
+    (
+        "a body too large, sent",
+        request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 33600000") + b"x" * 200_000,
+        413,
+    ),
+    ("a head too large", request("/look/k", "GET", *VALID_HEADERS, "X-A: " + "y" * 50_000), 431),
+]
+
+
+@pytest.fixture(scope="module")
+def serving(tmp_path_factory: pytest.TempPathFactory) -> Any:
+    server = Upstream("a")
+    with World(tmp_path_factory.mktemp("bad"), server) as sidecar:
+        yield sidecar, server
+
+
+@pytest.mark.parametrize(("data", "status"), [bad[1:] for bad in INVALID_REQUESTS], ids=[bad[0] for bad in INVALID_REQUESTS])
+def test_an_invalid_request_is_rejected_without_the_policy(
+    serving: tuple[Sidecar, Upstream], data: bytes, status: int
+) -> None:
+    sidecar, server = serving
+    seen = len(server.seen)
+    assert sidecar.talk(data).status == status
+    assert len(server.seen) == seen
+    assert sidecar.ask().status == 200
+
+
+def test_a_complete_request_is_served_before_invalid_bytes_behind_it_are_rejected(
+    serving: tuple[Sidecar, Upstream],
+) -> None:
+    # what comes behind a request in the same bytes must not lose it
+    wire = serving[0].connect()
+    wire.sock.sendall(call() + call() + b"NONSENSE\r\n\r\n")
+    assert [reply and reply.status for reply in (wire.read(), wire.read(), wire.read())] == [200, 200, 400]
+    assert wire.ended()
+    wire.sock.close()
+
+
+def test_a_request_id_that_is_in_flight_or_ended_lately_is_rejected(tmp_path: Path) -> None:
+    # one client's request must not run, nor be answered, under the id of another's
+    let = threading.Event()
+
+    def script(request: Message, wire: Wire) -> bytes:
+        let.wait(20)
+        return answer(request.target.encode())
+
+    server = Upstream("a", script)
+    with World(tmp_path, server) as sidecar:
+        first = sidecar.connect()
+        first.sock.sendall(request("/look/mine", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0"))
+        until(lambda: server.seen)
+        copy = request("/look/theirs", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0")
+        assert sidecar.talk(copy).status == 409
+        let.set()
+        reply = first.read()
+        assert reply and reply.body == b"/look/mine"
+        assert sidecar.talk(copy).status == 409
+        assert len(server.seen) == 1
+        first.sock.close()
+
+
+def test_nothing_behind_an_invalid_request_is_served(serving: tuple[Sidecar, Upstream]) -> None:
+    sidecar, server = serving
+    seen = len(server.seen)
+    for data in (request("/other/k", "GET", *VALID_HEADERS), request("/look/k", "GET")):
+        wire = sidecar.connect()
+        wire.sock.sendall(data + call())
+        reply = wire.read()
+        assert reply and reply.status == 400 and wire.ended()
+        wire.sock.close()
+    assert len(server.seen) == seen
+
+
+def test_a_client_that_closes_within_a_request_does_no_harm(serving: tuple[Sidecar, Upstream]) -> None:
+    sidecar, _ = serving
+    for data in (b"", b"GET /lo", call(body=b"hello")[:-2]):
+        wire = sidecar.connect()
+        wire.sock.sendall(data)
+        wire.sock.close()
+    assert sidecar.ask().status == 200
+
+
+def test_a_very_long_timeout_is_accepted(serving: tuple[Sidecar, Upstream]) -> None:
+    assert serving[0].ask(expires="1e300").status == 200
--- /dev/null
+++ b/tests/server/test_reload.py
@@ -0,0 +1,84 @@
+"""A new configuration file at SIGHUP, while the program serves."""
+
+from __future__ import annotations
+
+import json
+import signal
+import time
+from functools import partial
+from pathlib import Path
+from typing import Any
+
+from tests.server.reloading import send_reload
+from tests.stand_ins import Discovery, Upstream, World, call, until
+
+
+def test_a_reload_switches_discovery_without_disturbing_requests(tmp_path: Path) -> None:
+    a, b = Upstream("a"), Upstream("b")
+    world = World(tmp_path, a)
+    with world as sidecar:
+        assert sidecar.ask().body == b"a"
+        wire = sidecar.connect()
+        for _ in range(2):
+            other = Discovery([b.entry()])
+            sidecar.config["discovery"] = other.address
+            send_reload(sidecar, json.dumps(sidecar.config))
+            until(partial(lambda name: sidecar.ask().body == name, b.name.encode()))
+            wire.sock.sendall(call())
+            reply = wire.read()
+            assert reply and reply.body == b.name.encode()
+            a, b = b, a
+            other.close()
+        wire.sock.close()
+        assert sidecar.end() == 0
+
+
+def test_the_file_overrides_the_environment_for_the_discovery_address(tmp_path: Path) -> None:
+    # the environment stays as it was and must not hide what the new file says
+    world, other = World(tmp_path, Upstream("a")), Discovery([])
+    world.sidecar.environ["EDGE_DISCOVERY"] = world.discovery.address
+    with world as sidecar:
+        until(lambda: world.discovery.calls)
+        sidecar.config["discovery"] = other.address
+        send_reload(sidecar, json.dumps(sidecar.config))
+        until(lambda: other.calls)
+    other.close()
+
+
+def invalid_files(values: dict[str, Any]) -> list[tuple[str, str]]:
+    classes = {**values["settings"], "classes": [{"name": "look", "deadlineUs": "soon"}]}
+    return [
+        (json.dumps(values)[:200], "EDGE_CONFIG"),
+        ("", "EDGE_CONFIG"),
+        (json.dumps({**values, "discovery": "nowhere"}), "discovery"),
+        (json.dumps({**values, "settings": classes}), "settings.classes.0.deadlineUs"),
+    ]
+
+
+def test_an_invalid_file_is_logged_by_key_and_the_old_one_stays_in_force(tmp_path: Path) -> None:
+    server = Upstream("a")
+    with World(tmp_path, server) as sidecar:
+        for text, key in invalid_files(dict(sidecar.config)):
+            before = len(sidecar.log())
+            send_reload(sidecar, text)
+            until(partial(lambda at: "reload_rejected" in sidecar.log()[at:], before))
+            assert f'"{key}' in sidecar.log()[before:]
+            assert sidecar.ask().status == 200
+            time.sleep(1.0)  # at most one line of an event is logged a second
+        (tmp_path / "config.json").unlink()
+        assert sidecar.process is not None
+        sidecar.process.send_signal(signal.SIGHUP)
+        until(lambda: "No such file" in sidecar.log())
+        send_reload(sidecar, json.dumps({**sidecar.config, "name": "other", "limits": {"sockets": 100}}))
+        until(lambda: "reloaded" in sidecar.log())
+        assert '"needs_restart": ["limits.sockets", "name"]' in sidecar.log()
+        assert sidecar.end() == 0
+
+
+def test_sighup_while_draining_changes_nothing(tmp_path: Path) -> None:
+    with World(tmp_path, Upstream("a")) as sidecar:
+        assert sidecar.process is not None
+        sidecar.process.send_signal(signal.SIGTERM)
+        until(lambda: '"draining"' in sidecar.log())
+        sidecar.process.send_signal(signal.SIGHUP)
+        assert sidecar.process.wait(20) == 0
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -13,62 +13,31 @@
 import pytest
 
 from linetrack.server.config import ConfigError, config_of
-from tests.server import test_sidecar
-from tests.stand_ins import (
-    MS,
-    SECOND,
-    Message,
-    Sidecar,
-    Upstream,
-    Wire,
-    World,
-    answer,
-    config,
-    request,
-    until,
-)
-
-
-def reload(sidecar: Sidecar, values: dict[str, Any] | str) -> None:
-    """Give the program this file and wait until it has said what it made of it."""
-    before = len(sidecar.log())
-    test_sidecar.reload(sidecar, values if isinstance(values, str) else json.dumps(values))
-    until(lambda: any(word in sidecar.log()[before:] for word in ('"reloaded"', "reload_rejected")))
-
-
-def moved(old: dict[str, Any]) -> dict[str, Any]:
-    """A deployment of another shape: more places, live weights, one class gone and one come, one attempt."""
-    new: dict[str, Any] = json.loads(json.dumps(old))
-    settings = new["settings"]
-    settings["azs"] = ["west", "north", "south"]
-    settings["zone"] = 1
-    settings["weights"] = "live"
-    settings["allowed"] |= {"multiplex": 100, "maxAttempts": 1, "maxRetryAfterUs": 300 * MS}
-    settings["classes"] = [settings["classes"][1], {**settings["classes"][0], "name": "quote"}]
-    return new
-
-
-class Ledger:
+from tests.server.reloading import reload, reshaped, send_reload
+from tests.stand_ins import SECOND, Message, Sidecar, Upstream, Wire, World, answer, config, request, until
+
+
+class AnswerLedger:
     """What callers sent and were answered, by id."""
 
     def __init__(self) -> None:
         self.answers: dict[str, list[int]] = {}
         self.lock = threading.Lock()
 
-    def ask(self, sidecar: Sidecar, klass: str, trace: str) -> int:
-        reply = sidecar.talk(request(f"/{klass}/k", "GET", f"X-Trace-Id: {trace}", "X-Expires-In: 2.0"))
+    def ask(self, sidecar: Sidecar, class_name: str, trace: str) -> int:
+        reply = sidecar.talk(request(f"/{class_name}/k", "GET", f"X-Trace-Id: {trace}", "X-Expires-In: 2.0"))
         with self.lock:
             self.answers.setdefault(trace, []).append(reply.status)
         return reply.status
 
 
-def test_settings_switch_there_and_back_under_load_and_nothing_is_lost_or_sent_twice(tmp_path: Path) -> None:
+def test_a_settings_switch_there_and_back_under_load_loses_and_repeats_nothing(tmp_path: Path) -> None:
     def work(message: Message, wire: Wire) -> bytes:
         time.sleep(0.02)
         return answer(b"ok")
 
     servers = [Upstream(name, work) for name in ("a", "b", "c")]
-    world, ledger, stop = World(tmp_path, *servers), Ledger(), threading.Event()
+    world, ledger, stop = World(tmp_path, *servers), AnswerLedger(), threading.Event()
     faults: list[BaseException] = []
 
     def caller(number: int) -> None:
@@ -85,13 +54,13 @@
         callers = [threading.Thread(target=caller, args=(number,)) for number in range(6)]
         for thread in callers:
             thread.start()
-        for values, klass, gone in ((moved(old), "quote", "look"), (old, "look", "quote")) * 2:
+        for values, added, dropped in ((reshaped(old), "quote", "look"), (old, "look", "quote")) * 2:
             answered = len(ledger.answers)
             reload(sidecar, values)
             until(partial(lambda before: len(ledger.answers) > before + 30, answered))
             # the settings in force are seen to act, and those before them no longer
-            assert ledger.ask(sidecar, klass, f"{klass}{answered}") == 200
-            assert ledger.ask(sidecar, gone, f"{gone}{answered}") == 400
+            assert ledger.ask(sidecar, added, f"{added}{answered}") == 200
+            assert ledger.ask(sidecar, dropped, f"{dropped}{answered}") == 400
         stop.set()
         for thread in callers:
             thread.join()
@@ -107,8 +76,8 @@
     assert '"multiplex_unused"' in log and '"used": 1' in log
 
 
-def test_what_was_taken_before_a_switch_keeps_its_class_and_effect(tmp_path: Path) -> None:
-    """Its class is gone after the switch, and its number is an unsafe class's, which could only fail."""
+def test_a_request_read_before_a_switch_keeps_its_class_and_idempotency(tmp_path: Path) -> None:
+    """Its class is dropped, and its index is then a non-idempotent class's, which could only fail."""
     held, switched = threading.Event(), threading.Event()
 
     def first(message: Message, wire: Wire) -> bytes | None:
@@ -122,20 +91,21 @@
         thread = threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status))
         thread.start()
         assert held.wait(20)
-        reload(sidecar, moved(old))
+        reload(sidecar, reshaped(old))
         until(lambda: "settings_switched" in sidecar.log())
         assert '"still_open": 1' in sidecar.log()
         switched.set()
         thread.join()
-        # refused, as trying again is harmless; an unsafe one that may have run gets 502
+        # rejected, as a retry is harmless; a non-idempotent one that may have run gets 502
         assert statuses == [503]
         assert sidecar.ask("pay").status == 502
         assert sidecar.end() == 0
 
 
-def test_a_file_that_comes_during_the_switch_to_another_is_the_one_in_force(tmp_path: Path) -> None:
-    """With requests open.  Guards against a signal that comes while the file before it is read or applied and
-    is taken for the same one, and against requests lost between two switches."""
+def test_the_last_of_several_files_is_in_force_though_it_comes_during_a_switch(tmp_path: Path) -> None:
+    """With requests in flight, which no switch may lose.
+
+    A signal that comes while the file before it is read or applied is one more reload."""
     let = threading.Event()
 
     def held(message: Message, wire: Wire) -> bytes:
@@ -150,10 +120,10 @@
         for thread in threads:
             thread.start()
         until(lambda: len(server.seen) == 3)
-        values = moved(dict(sidecar.config))
+        values = reshaped(dict(sidecar.config))
         for turn in range(6):
             values["settings"]["classes"][1]["name"] = f"quote{turn}"
-            test_sidecar.reload(sidecar, json.dumps(values))
+            send_reload(sidecar, json.dumps(values))
         until(lambda: "quote5" in sidecar.log(), "the last file")
         let.set()
         for thread in threads:
@@ -163,7 +133,7 @@
         assert sidecar.end() == 0
 
 
-def test_nothing_goes_to_a_draining_upstream_after_a_switch(tmp_path: Path) -> None:
+def test_nothing_is_sent_to_a_draining_endpoint_after_a_switch(tmp_path: Path) -> None:
     a, b = Upstream("a"), Upstream("b")
     world = World(tmp_path, a, b)
     with world as sidecar:
@@ -171,33 +141,33 @@
         world.discovery.change(a.entry(state="DRAINING"))
         until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
         seen = len(a.seen)
-        reload(sidecar, moved(old))
+        reload(sidecar, reshaped(old))
         assert {sidecar.ask("quote").body for _ in range(20)} == {b"b"}
         reload(sidecar, old)
         assert {sidecar.ask("look").body for _ in range(20)} == {b"b"}
         assert len(a.seen) == seen
 
 
-def test_a_faulty_file_leaves_the_settings_in_force(tmp_path: Path) -> None:
+def test_an_invalid_file_leaves_the_settings_in_force(tmp_path: Path) -> None:
     with World(tmp_path, Upstream("a")) as sidecar:
         old = dict(sidecar.config)
-        for values in faulty(old).values():
+        for values in invalid_files(old).values():
             reload(sidecar, values)
             assert sidecar.ask("look").status == 200
             time.sleep(1.0)  # a line of one event a second
         assert "settings_switched" not in sidecar.log()
-        assert sidecar.log().count("reload_rejected") == len(faulty(old))
+        assert sidecar.log().count("reload_rejected") == len(invalid_files(old))
 
 
-def faulty(values: dict[str, Any]) -> dict[str, str]:
+def invalid_files(values: dict[str, Any]) -> dict[str, str]:
     """Files that make no sense, by the key that is to blame."""
 
     def changed(part: str, key: str, value: Any) -> str:
-        new = moved(values)
+        new = reshaped(values)
         (new["settings"] if not part else new["settings"][part])[key] = value
         return json.dumps(new)
 
-    classes = json.loads(json.dumps(moved(values)["settings"]["classes"]))
+    classes = json.loads(json.dumps(reshaped(values)["settings"]["classes"]))
     classes[1]["deadlineUs"] = 0
     return {
         "EDGE_CONFIG": json.dumps(values)[:300],
@@ -209,18 +179,18 @@
     }
 
 
-def test_each_fault_names_its_key(tmp_path: Path) -> None:
+def test_each_error_names_its_key(tmp_path: Path) -> None:
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
-    for key, text in faulty(values).items():
+    for key, text in invalid_files(values).items():
         if key != "EDGE_CONFIG":
             with pytest.raises(ConfigError, match=key.replace(".", r"\.")):
                 config_of(json.loads(text), {})
 
 
-def test_places_keep_their_numbers_and_what_needs_a_start_stays() -> None:
+def test_zones_keep_their_indices_and_what_needs_a_restart_stays() -> None:
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     old = config_of(values, {})
-    new = config_of({**moved(values), "name": "other", "limits": {"sockets": 100}}, {})
+    new = config_of({**reshaped(values), "name": "other", "limits": {"sockets": 100}}, {})
     assert old.restart_for(new) == ["limits.sockets", "name"]
     after = new.after(old)
     assert after.zone_names == ("north", "south", "west") and after.settings.zone == 0
@@ -232,14 +202,14 @@
     assert not back.same_settings(after)
 
 
-def test_the_keys_of_the_new_shape_reach_the_policy_and_stay_neutral_where_absent() -> None:
+def test_the_keys_of_the_new_shape_reach_the_policy_and_default_to_neutral_values() -> None:
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
-    plain, new = config_of(values, {}).settings, config_of(moved(values), {}).settings
+    plain, new = config_of(values, {}).settings, config_of(reshaped(values), {}).settings
     assert (plain.capacity_varies_with_load, new.capacity_varies_with_load) == (False, True)
     assert plain.keep_alive_timeout == new.keep_alive_timeout == 30 * SECOND
 
 
-def test_a_class_dropped_and_back_with_another_effect_and_a_broken_file_between(tmp_path: Path) -> None:
+def test_a_class_may_return_with_another_idempotency_after_an_invalid_file(tmp_path: Path) -> None:
     server = Upstream("a", lambda message, wire: None if message.target.startswith("/pay") else answer(b"ok"))
     world = World(tmp_path, server, Upstream("b", server.script))
     with world as sidecar:
--- /dev/null
+++ b/tests/server/test_shutdown.py
@@ -0,0 +1,104 @@
+"""The end of the program at SIGTERM."""
+
+from __future__ import annotations
+
+import contextlib
+import signal
+import threading
+from pathlib import Path
+
+from tests.stand_ins import (
+    SECOND,
+    Message,
+    Sidecar,
+    Upstream,
+    Wire,
+    World,
+    answer,
+    call,
+    last_counts,
+    request,
+    until,
+)
+
+
+def test_at_sigterm_all_requests_in_flight_are_answered_and_the_exit_status_is_zero(tmp_path: Path) -> None:
+    let = threading.Event()
+
+    def script(request: Message, wire: Wire) -> bytes:
+        if request.body:
+            let.wait(20)
+        return answer(b"ok")
+
+    server = Upstream("a", script)
+    with World(tmp_path, server) as sidecar:
+        assert sidecar.process is not None
+        taken, idle = sidecar.connect(), sidecar.connect()
+        taken.sock.sendall(call(body=b"hold"))
+        idle.sock.sendall(call())
+        kept = idle.read()
+        until(lambda: len(server.seen) == 2)
+        sidecar.process.send_signal(signal.SIGTERM)
+        sidecar.process.send_signal(signal.SIGTERM)
+        until(lambda: '"draining"' in sidecar.log())
+        # new connections still come for a while and are served; readiness is over
+        try:
+            assert sidecar.ask().status == 200
+            assert sidecar.get("/_health").status == 503
+        except OSError:
+            until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
+        assert kept and kept.status == 200 and idle.ended()
+        until(lambda: '"shutting_down"' in sidecar.log())
+        sidecar.process.send_signal(signal.SIGTERM)
+        let.set()
+        reply = taken.read()
+        assert reply and reply.status == 200 and reply.headers["connection"] == "close" and taken.ended()
+        assert sidecar.process.wait(20) == 0
+
+
+def test_connections_in_the_backlog_at_sigterm_are_served(tmp_path: Path) -> None:
+    with World(tmp_path, Upstream("a")) as sidecar:
+        assert sidecar.process is not None
+        sidecar.process.send_signal(signal.SIGSTOP)
+        wires = [sidecar.connect() for _ in range(5)]
+        for wire in wires:
+            wire.sock.sendall(call())
+        sidecar.process.send_signal(signal.SIGTERM)
+        sidecar.process.send_signal(signal.SIGCONT)
+        replies = [wire.read() for wire in wires]
+        assert [reply.status for reply in replies if reply] == [200] * 5
+        assert sidecar.process.wait(20) == 0
+
+
+def test_under_load_every_accepted_request_is_answered_before_the_exit(tmp_path: Path) -> None:
+    answered: list[int] = []
+
+    def keep_asking(sidecar: Sidecar) -> None:
+        """One request after the other, on kept connections, until none can be opened any more."""
+        while True:
+            try:
+                wire = sidecar.connect()
+            except OSError:
+                return
+            with wire.sock, contextlib.suppress(OSError):
+                wire.sock.sendall(call(expires="20.0"))
+                while reply := wire.read():
+                    answered.append(reply.status)
+                    wire.sock.sendall(call(expires="20.0"))
+
+    world = World(tmp_path, Upstream("a"), Upstream("b"))
+    # a verdict on the program, not on the machine: where this process or the sidecar stands still for 100 ms,
+    # the policy takes that for congestion and with objectives of 500 ms rejects a few; with seconds it does not
+    for klass in world.sidecar.config["settings"]["classes"]:
+        klass["aimUs"] = klass["deadlineUs"] = 20 * SECOND
+    with world as sidecar:
+        threads = [threading.Thread(target=keep_asking, args=(sidecar,)) for _ in range(6)]
+        for thread in threads:
+            thread.start()
+        until(lambda: len(answered) > 50)
+        assert sidecar.end() == 0
+        for thread in threads:
+            thread.join(20)
+        last = last_counts(sidecar.log())
+        assert last["left"] == 0 and last["taken"] == len(answered)
+        assert set(answered) == {200}
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -26,7 +26,7 @@
     silent,
     until,
 )
-from tests.server.test_settings_switch import moved, reload
+from tests.server.reloading import reload, reshaped
 
 
 def admin(sidecar: Sidecar) -> str:
@@ -96,7 +96,7 @@
         wire.sock.close()
         until(lambda: figures(address)["app_open_requests"] == 0)
         reload(sidecar, json.dumps(sidecar.config)[:-9])
-        reload(sidecar, moved(sidecar.config))
+        reload(sidecar, reshaped(sidecar.config))
         told = until(lambda: (f := figures(address))["app_cfg_accepted_total"] and f)
         assert (told["app_cfg_accepted_total"], told["app_cfg_invalid_total"]) == (1, 1)
         assert told[row("pay", "throttled")] == 1 and told[row("quote", "fulfilled")] == 0
