--- a/linetrack/control/hot_restart.py
+++ b/linetrack/control/hot_restart.py
@@ -276,5 +276,5 @@
 
     def _accept_if_due(self) -> list[Command]:
         """Start accepting once the predecessor has stopped and this side is prepared, whichever is later."""
-        has_taken_over = self.state in (SuccessorState.ACCEPTING, SuccessorState.ALONE)
-        return [Command.START_ACCEPTING] if has_taken_over and self.is_prepared else []
+        is_its_turn = self.state in (SuccessorState.ACCEPTING, SuccessorState.ALONE)
+        return [Command.START_ACCEPTING] if is_its_turn and self.is_prepared else []
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -2,13 +2,16 @@
 
 from __future__ import annotations
 
+import threading
 import time
 from pathlib import Path
 from typing import Any
 
-from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, until
+from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, request, until
 from tests.test_admin import admin, ask
 
+MAX_REQUESTS = 100_000  # of one client
+
 
 class RestartableWorld:
     """A world whose sidecar can be started again beside itself, with one folder for both."""
@@ -45,6 +48,46 @@
         return successor
 
 
+class KeptConnectionLoad:
+    """Clients that send one request after the other, each on one connection that is never to be closed."""
+
+    def __init__(self, sidecar: Sidecar, clients: int) -> None:
+        self.sidecar = sidecar
+        self.faults: list[str] = []
+        self.stopping = threading.Event()
+        self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(clients)]
+
+    def start(self) -> None:
+        for thread in self.threads:
+            thread.start()
+
+    def stop(self) -> None:
+        """Stop sending, once each client has its last response."""
+        self.stopping.set()
+        for thread in self.threads:
+            thread.join()
+
+    def _run(self, number: int) -> None:
+        wire = self.sidecar.connect()
+        with wire.sock:
+            for turn in range(MAX_REQUESTS):
+                if self.stopping.is_set() or not self._ask(wire, f"{number}-{turn}"):
+                    return
+
+    def _ask(self, wire: Wire, request_id: str) -> bool:
+        """Send one request; return whether it was answered and the connection kept."""
+        try:
+            wire.sock.sendall(request("/pay/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0"))
+            reply = wire.read()
+        except OSError as fault:
+            self.faults.append(f"{request_id}: {fault}")
+            return False
+        if reply is None or reply.status != 200 or "connection" in reply.headers:
+            self.faults.append(f"{request_id}: {reply}")
+            return False
+        return True
+
+
 def is_running_and_ready(sidecar: Sidecar) -> bool:
     """Whether its admin address reports that it is ready; fails where the process has ended."""
     assert sidecar.process and sidecar.process.poll() is None, sidecar.log()
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -13,7 +13,13 @@
 
 import pytest
 
-from tests.server.hot_restart_world import RestartableWorld, is_ready, is_running_and_ready, respond_slowly
+from tests.server.hot_restart_world import (
+    KeptConnectionLoad,
+    RestartableWorld,
+    is_ready,
+    is_running_and_ready,
+    respond_slowly,
+)
 from tests.stand_ins import (
     Discovery,
     Message,
@@ -35,42 +41,19 @@
 
 
 def test_under_load_every_request_is_answered_and_no_kept_connection_is_closed(tmp_path: Path) -> None:
-    faults: list[str] = []
-    stop = threading.Event()
-
-    def caller(number: int) -> None:
-        wire = pair.old.connect()
-        with wire.sock:
-            for turn in range(100_000):
-                if stop.is_set():
-                    return
-                trace = f"X-Trace-Id: {number}-{turn}"
-                try:
-                    wire.sock.sendall(request("/pay/k", "GET", trace, "X-Expires-In: 2.0"))
-                    reply = wire.read()
-                except OSError as fault:
-                    faults.append(f"{trace}: {fault}")
-                    return
-                if reply is None or reply.status != 200 or "connection" in reply.headers:
-                    faults.append(f"{trace}: {reply}")
-                    return
-
     servers = [Upstream(name, respond_slowly) for name in "abc"]
     with RestartableWorld(tmp_path, *servers) as pair:
-        callers = [threading.Thread(target=caller, args=(n,)) for n in range(12)]
-        for thread in callers:
-            thread.start()
+        load = KeptConnectionLoad(pair.old, clients=12)
+        load.start()
         serving = pair.old
         for _ in range(2):
             new = pair.start_successor()
             assert serving.end() == 0, serving.log()
             sent = sum(len(server.seen) for server in servers)
-            until(partial(has_served_more_than, servers, sent + 50, faults))
+            until(partial(has_served_more_than, servers, sent + 50, load.faults))
             serving = new
-        stop.set()
-        for thread in callers:
-            thread.join()
-        assert not faults, faults
+        load.stop()
+        assert not load.faults, load.faults
         ids = [message.headers["x-trace-id"] for server in servers for message in server.seen]
         assert len(set(ids)) == len(ids), "something ran twice"
         until(lambda: figures(serving.config["admin_addr"])["app_open_requests"] == 0)
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -31,29 +31,44 @@
         return reply.status
 
 
-def test_a_settings_switch_there_and_back_under_load_loses_and_repeats_nothing(tmp_path: Path) -> None:
-    def work(message: Message, wire: Wire) -> bytes:
-        time.sleep(0.02)
-        return answer(b"ok")
+class Load:
+    """Callers that ask for `pay` one after the other until they are stopped; their ids have a hyphen."""
+
+    def __init__(self, sidecar: Sidecar, ledger: AnswerLedger, callers: int) -> None:
+        self.sidecar = sidecar
+        self.ledger = ledger
+        self.faults: list[BaseException] = []
+        self.stopping = threading.Event()
+        self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(callers)]
+        for thread in self.threads:
+            thread.start()
 
-    servers = [Upstream(name, work) for name in ("a", "b", "c")]
-    world, ledger, stop = World(tmp_path, *servers), AnswerLedger(), threading.Event()
-    faults: list[BaseException] = []
+    def stop(self) -> None:
+        self.stopping.set()
+        for thread in self.threads:
+            thread.join()
 
-    def caller(number: int) -> None:
+    def _run(self, number: int) -> None:
         try:
             for turn in range(10_000):
-                if stop.is_set():
+                if self.stopping.is_set():
                     return
-                ledger.ask(sidecar, "pay", f"{number}-{turn}")
+                self.ledger.ask(self.sidecar, "pay", f"{number}-{turn}")
         except BaseException as fault:
-            faults.append(fault)
+            self.faults.append(fault)
 
-    with world as sidecar:
+
+def respond_slowly(message: Message, wire: Wire) -> bytes:
+    time.sleep(0.02)
+    return answer(b"ok")
+
+
+def test_a_settings_switch_there_and_back_under_load_loses_and_repeats_nothing(tmp_path: Path) -> None:
+    servers = [Upstream(name, respond_slowly) for name in ("a", "b", "c")]
+    ledger = AnswerLedger()
+    with World(tmp_path, *servers) as sidecar:
         old = dict(sidecar.config)
-        callers = [threading.Thread(target=caller, args=(number,)) for number in range(6)]
-        for thread in callers:
-            thread.start()
+        load = Load(sidecar, ledger, callers=6)
         for values, added, dropped in ((reshaped(old), "quote", "look"), (old, "look", "quote")) * 2:
             answered = len(ledger.answers)
             reload(sidecar, values)
@@ -61,17 +76,15 @@
             # the settings in force are seen to act, and those before them no longer
             assert ledger.ask(sidecar, added, f"{added}{answered}") == 200
             assert ledger.ask(sidecar, dropped, f"{dropped}{answered}") == 400
-        stop.set()
-        for thread in callers:
-            thread.join()
+        load.stop()
         log = sidecar.log()
         assert sidecar.end() == 0
-    assert not faults
+    assert not load.faults
     assert all(len(statuses) == 1 for statuses in ledger.answers.values())
     paid = [statuses[0] for trace, statuses in ledger.answers.items() if "-" in trace]
     assert set(paid) <= {200, 503}
     ran = Counter(message.headers["x-trace-id"] for server in servers for message in list(server.seen))
-    assert max(ran.values()) == 1, "an unsafe request ran twice"
+    assert max(ran.values()) == 1, "a non-idempotent request ran twice"
     assert log.count('"settings_switched"') == 4
     assert '"multiplex_unused"' in log and '"used": 1' in log
 
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -33,8 +33,8 @@
     server = Upstream("a", script)
     with World(tmp_path, server) as sidecar:
         assert sidecar.process is not None
-        taken, idle = sidecar.connect(), sidecar.connect()
-        taken.sock.sendall(call(body=b"hold"))
+        busy, idle = sidecar.connect(), sidecar.connect()
+        busy.sock.sendall(call(body=b"hold"))
         idle.sock.sendall(call())
         kept = idle.read()
         until(lambda: len(server.seen) == 2)
@@ -51,8 +51,8 @@
         until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
         let.set()
-        reply = taken.read()
-        assert reply and reply.status == 200 and reply.headers["connection"] == "close" and taken.ended()
+        reply = busy.read()
+        assert reply and reply.status == 200 and reply.headers["connection"] == "close" and busy.ended()
         assert sidecar.process.wait(20) == 0
 
 
@@ -89,8 +89,8 @@
     world = World(tmp_path, Upstream("a"), Upstream("b"))
     # a verdict on the program, not on the machine: where this process or the sidecar stands still for 100 ms,
     # the policy takes that for congestion and with objectives of 500 ms rejects a few; with seconds it does not
-    for klass in world.sidecar.config["settings"]["classes"]:
-        klass["aimUs"] = klass["deadlineUs"] = 20 * SECOND
+    for request_class in world.sidecar.config["settings"]["classes"]:
+        request_class["aimUs"] = request_class["deadlineUs"] = 20 * SECOND
     with world as sidecar:
         threads = [threading.Thread(target=keep_asking, args=(sidecar,)) for _ in range(6)]
         for thread in threads:
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -32,8 +32,8 @@
 
 
 def test_an_address_that_cannot_be_bound_ends_the_program(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        values = {**config("127.0.0.1:9", []), "listen": f"127.0.0.1:{taken.getsockname()[1]}"}
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        values = {**config("127.0.0.1:9", []), "listen": f"127.0.0.1:{other.getsockname()[1]}"}
         sidecar = Sidecar(tmp_path, values)
         assert sidecar.launch().wait(20) == 1
     assert "cannot_listen" in sidecar.log() and "Traceback" not in sidecar.log()
