--- a/linetrack/control/settings_digest.py
+++ b/linetrack/control/settings_digest.py
@@ -1,9 +1,9 @@
 """A digest that stands for all settings that decisions go by.
 
-Two processes of one sidecar compare digests when one takes the other's place: equal digests mean that indices
-of classes, zones and host classes mean the same in both.  The two may be of different builds, so the text that
-is digested is fixed: it names fields and enum members as the first build did that sent a digest, whatever
-they are called in the code today.  A setting that is added later has to be left out while it has its default.
+Two processes of one sidecar compare digests in a hot restart: equal digests mean that indices of classes,
+zones and host classes mean the same in both.  The two may be of different builds, so that the digested text
+is fixed: it names fields and enum members as the first build that sent a digest did, whatever they are called
+in the code today.  A setting that is added later has to be left out while it has its default.
 """
 
 from __future__ import annotations
--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -269,11 +269,14 @@
         if self._shutdown_command is not Command.HAND_OVER:
             return False
         while self._listener.open and clock() < deadline:
-            if self._shutdown_command is Command.RESUME:
+            if self._has_resumed():
                 return False
             gevent.sleep(POLL_SECONDS)
         return True
 
+    def _has_resumed(self) -> bool:
+        return self._shutdown_command is Command.RESUME
+
     def stop_accepting(self) -> None:
         """Accept no more connections; they wait in the listening socket's queue."""
         if self._accepting is not None:
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -191,9 +191,9 @@
         """Where lists are pushed, wait for the first answer of discovery.
 
         What discovery has is binding there from a process's first moment, so that the list of the
-        configuration may be too old to send by.  Discovery is called by all processes that start together, and
-        may be cut off: if it has not answered in time it is taken to be out of reach, and if it is down it has
-        no list; then the list of the configuration is all that there is.
+        configuration may be too old to send by.  Discovery is called by all processes that start together,
+        and may be cut off: if it has not answered in time it is taken to be out of reach, and if it is down
+        it has no list; then the list of the configuration is all that there is.
         """
         if not self.discovery.schedule.updates_are_pushed:
             return
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -41,7 +41,10 @@
         discovery: DiscoveryClient,
         metrics: Metrics,
     ) -> None:
-        """Make one with `config` in force; `read` returns the file's configuration or raises a ConfigError."""
+        """Make one with `config` in force.
+
+        `read` returns the configuration as its file is now, or raises a ConfigError.
+        """
         self.config = config
         self.max_timeout = config.longest  # of any class since the start, in microseconds
         self.requested = Event()
@@ -75,9 +78,7 @@
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
         self._metrics.files_accepted += 1
-        log.info(
-            "reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart
-        )
+        log.info("reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart)
         self._discovery.switch_server(new.discovery)
         if switches_settings:
             log_unused_multiplexing(new)
@@ -99,9 +100,7 @@
 
     def _switch_policy(self, new: Config) -> None:
         in_flight = self._policy_switch.switch(new.settings)
-        log.info(
-            "settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals()
-        )
+        log.info("settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals())
 
 
 def log_unused_multiplexing(config: Config) -> None:
--- a/tests/control/test_policy_snapshot.py
+++ b/tests/control/test_policy_snapshot.py
@@ -19,7 +19,9 @@
 def trained_driver(seed: int = 3) -> Driver:
     driver = Driver(seed, slow_start_duration=0)
     for n in range(120):
-        driver.finish(lambda name: (Outcome.ERROR if name == "h1" else Outcome.SUCCESS, 30 * MS), n % 2 * SAFE)
+        driver.finish(
+            lambda name: (Outcome.ERROR if name == "h1" else Outcome.SUCCESS, 30 * MS), n % 2 * SAFE
+        )
     return driver
 
 
@@ -42,7 +44,16 @@
 
 
 SNAPSHOT_KEYS = ("calm", "answers", "work", "sizes", "zones", "others", "served", "upstreams", "version")
-INVALID_VALUES: tuple[Any, ...] = (None, "x", float("nan"), [], {"h0": {}}, [[1, 2]], {"a": [1.0, 1.0, 1]}, 99)
+INVALID_VALUES: tuple[Any, ...] = (
+    None,
+    "x",
+    float("nan"),
+    [],
+    {"h0": {}},
+    [[1, 2]],
+    {"a": [1.0, 1.0, 1]},
+    99,
+)
 
 
 @given(st.sampled_from(SNAPSHOT_KEYS), st.sampled_from(INVALID_VALUES))
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -35,7 +35,7 @@
         self.world.__exit__(*fault)
 
     def start_successor(self, ready: bool = True, **changes: Any) -> Sidecar:
-        """Start the program again, with an admin address of its own, and wait for it unless `ready` is false."""
+        """Start the program again, with its own admin address, and wait for it unless `ready` is false."""
         number = len(self.successors)
         folder = self.folder / f"successor-{number}"
         folder.mkdir()
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -211,8 +211,8 @@
 def test_a_process_of_another_customer_gets_nothing_and_blocks_nobody(tmp_path: Path) -> None:
     """The same name, address and folder, other settings.
 
-    It takes over neither the listening socket nor the endpoint list or the request ids, and is not found in the
-    place of the process that serves.
+    It takes over neither the listening socket nor the endpoint list or the request ids, and does not hide the
+    process that serves.
     """
     with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
         theirs = pair.start_successor(ready=False, settings=with_other_classes(pair.old.config))
--- a/tests/server/test_invalid_requests.py
+++ b/tests/server/test_invalid_requests.py
@@ -10,7 +10,6 @@
 
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, call, request, until
 
-
 VALID_HEADERS = ("X-Trace-Id: 1", "X-Expires-In: 2.0")
 
 
@@ -27,16 +26,44 @@
     ("a deadline that is not finite", call(expires="nan"), 400),
     ("a negative deadline", call(expires="-1"), 400),
     ("a deadline already over", call(expires="0"), 504),
-    ("two lengths", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1", "Content-Length: 2"), 400),
-    ("a length twice", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 0", "Content-Length: 0"), 400),
+    (
+        "two lengths",
+        request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1", "Content-Length: 2"),
+        400,
+    ),
+    (
+        "a length twice",
+        request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 0", "Content-Length: 0"),
+        400,
+    ),
     ("a length with a sign", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: +1") + b"x", 400),
     ("a negative length", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: -1") + b"x", 400),
     ("a length with a space", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1 1") + b"x", 400),
-    ("a length and chunks", request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS) + b"0\r\n\r\n" + call(), 400),
-    ("chunks and a length", request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS[::-1]) + b"0\r\n\r\n" + call(), 400),
-    ("a wrong chunk size", request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"zz\r\n", 400),
-    ("a huge chunk size", request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"fffffff\r\n" + b"x" * 70_000, 408),
-    ("a chunk size beyond all", request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"f" * 40 + b"\r\n", 400),
+    (
+        "a length and chunks",
+        request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS) + b"0\r\n\r\n" + call(),
+        400,
+    ),
+    (
+        "chunks and a length",
+        request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS[::-1]) + b"0\r\n\r\n" + call(),
+        400,
+    ),
+    (
+        "a wrong chunk size",
+        request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"zz\r\n",
+        400,
+    ),
+    (
+        "a huge chunk size",
+        request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"fffffff\r\n" + b"x" * 70_000,
+        408,
+    ),
+    (
+        "a chunk size beyond all",
+        request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"f" * 40 + b"\r\n",
+        400,
+    ),
     ("a deadline with other signs", call(expires="1_0"), 400),
     ("a body too large", request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 33554433"), 413),
     (
@@ -55,7 +82,9 @@
         yield sidecar, server
 
 
-@pytest.mark.parametrize(("data", "status"), [bad[1:] for bad in INVALID_REQUESTS], ids=[bad[0] for bad in INVALID_REQUESTS])
+@pytest.mark.parametrize(
+    ("data", "status"), [bad[1:] for bad in INVALID_REQUESTS], ids=[bad[0] for bad in INVALID_REQUESTS]
+)
 def test_an_invalid_request_is_rejected_without_the_policy(
     serving: tuple[Sidecar, Upstream], data: bytes, status: int
 ) -> None:
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -103,9 +103,7 @@
 
 
 @pytest.mark.parametrize("reply", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES)
-def test_an_invalid_response_fails_its_own_request_only(
-    tmp_path: Path, reply: bytes | None
-) -> None:
+def test_an_invalid_response_fails_its_own_request_only(tmp_path: Path, reply: bytes | None) -> None:
     server = Upstream("a", lambda request, wire: reply)
     with World(tmp_path, server) as sidecar:
         assert sidecar.ask("pay").status == 502
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -17,7 +17,6 @@
     answer,
     call,
     last_counts,
-    request,
     until,
 )
 
@@ -88,7 +87,7 @@
 
     world = World(tmp_path, Upstream("a"), Upstream("b"))
     # a verdict on the program, not on the machine: where this process or the sidecar stands still for 100 ms,
-    # the policy takes that for congestion and with objectives of 500 ms rejects a few; with seconds it does not
+    # the policy takes that for congestion, and rejects a few with objectives of 500 ms but not of seconds
     for request_class in world.sidecar.config["settings"]["classes"]:
         request_class["aimUs"] = request_class["deadlineUs"] = 20 * SECOND
     with world as sidecar:
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -12,7 +12,6 @@
 
 from tests.stand_ins import ROOT, Sidecar, Upstream, World, answer, config, free_address, until
 
-
 INVALID_CONFIGURATIONS: list[tuple[str, str]] = [
     ("{", "EDGE_CONFIG"),
     ("{}", "name"),
