--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -11,7 +11,7 @@
 import pytest
 
 from linetrack.control import discovery_schedule
-from linetrack.control.discovery_schedule import PollFailure
+from linetrack.control.discovery_schedule import DiscoverySchedule, PollFailure
 from linetrack.policy.events import EndpointListUpdate, EndpointStatus, ListForm
 from linetrack.policy.settings import Settings
 from linetrack.server.address import parse_address
@@ -28,6 +28,18 @@
 ONE_HOUR_US = 3_600_000_000  # a backoff that no test sees the end of
 
 
+class RecordingSchedule(DiscoverySchedule):
+    """A schedule that also keeps how polls failed."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.failures: list[PollFailure] = []
+
+    def record_failure(self, now: int, failure: PollFailure) -> None:
+        self.failures.append(failure)
+        super().record_failure(now, failure)
+
+
 class WatchedClient:
     """The client in its greenlet, the stand-in that it polls, and what it published."""
 
@@ -35,7 +47,6 @@
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
         self.updates: list[EndpointListUpdate] = []
         self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda event, seen: None)
-        self.failures: list[PollFailure] = []
         self.client = DiscoveryClient(
             parse_address(self.server.address),
             self.upstreams,
@@ -45,13 +56,8 @@
             settings,
             1,
         )
-        record_failure = self.client.schedule.record_failure
-
-        def record(now: int, failure: PollFailure) -> None:
-            self.failures.append(failure)
-            record_failure(now, failure)
-
-        self.client.schedule.record_failure = record  # type: ignore[method-assign]
+        self.schedule = RecordingSchedule(settings, 1)
+        self.client.schedule = self.schedule
         self.greenlet = gevent.spawn(self.client.run)
 
     def publish(self, update: EndpointListUpdate, received_at: int) -> None:
@@ -126,7 +132,7 @@
         "INITIAL_BACKOFF_US": ONE_HOUR_US,
     }.items():
         monkeypatch.setattr(discovery_schedule, name, value)
-    watched.client.schedule.backoff = ONE_HOUR_US
+    watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [reply]
     watched.start()
     assert watched.forms(1) == [ListForm.CACHED]
@@ -134,7 +140,7 @@
     monkeypatch.undo()
     watched.server.change(entry("a", state="DRAINING"))
     assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
-    assert watched.failures == [failure]
+    assert watched.schedule.failures == [failure]
     assert "hold_ms=0" in watched.server.calls[1] or "?" not in watched.server.calls[1]
 
 
@@ -149,11 +155,11 @@
 def test_a_server_that_is_down_is_polled_again_after_a_backoff(
     watched: WatchedClient, reply: bytes | None, failure: PollFailure
 ) -> None:
-    watched.client.schedule.backoff = 30_000
+    watched.schedule.backoff = 30_000
     watched.server.scripted = [reply]
     watched.start()
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [failure] and watched.client.initial_poll_finished.is_set()
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [failure] and watched.client.initial_poll_finished.is_set()
     # the current list stays meanwhile; the one that is received then counts
     assert watched.forms(1) == [ListForm.CACHED]
     watched.server.change(entry("a", state="DELETED"))
@@ -166,8 +172,8 @@
     turns_until(lambda: len(watched.server.calls) == 2)
     watched.server.scripted = [list_response(3, False, entry("c"))]
     watched.server.change(entry("b"))
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [PollFailure.INVALID]
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [PollFailure.INVALID]
     watched.server.version = 4
     turns_until(lambda: watched.updates[-1].form is ListForm.SNAPSHOT)
     assert any("?" not in call for call in watched.server.calls)
@@ -240,10 +246,10 @@
 def test_switching_servers_ends_a_backoff_and_the_same_address_changes_nothing(
     watched: WatchedClient,
 ) -> None:
-    watched.client.schedule.backoff = ONE_HOUR_US
+    watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [answer(b"", 503)]
     watched.start()
-    turns_until(lambda: watched.failures)
+    turns_until(lambda: watched.schedule.failures)
     watched.client.switch_server(parse_address(watched.server.address))
     gevent.sleep(0.05)
     assert len(watched.server.calls) == 1
@@ -279,14 +285,14 @@
 def test_a_long_poll_that_ends_in_half_of_its_response_is_repeated_at_once(watched: WatchedClient) -> None:
     """Half of a list must not be taken for all of it, and the other half not be waited for."""
     response = list_response(2, False, entry("a", state="DRAINING"), entry("b", state="DRAINING"))
-    watched.client.schedule.backoff = ONE_HOUR_US
+    watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [response[:-30]]
     watched.start()
     turns_until(lambda: watched.server.calls)
     watched.server.change(entry("b", state="DRAINING"))
     watched.server.connections[0].shutdown(socket.SHUT_RDWR)
     assert watched.forms(2)[1] is ListForm.DELTA
-    assert watched.failures == [PollFailure.TRUNCATED] and "hold_ms=0" in watched.server.calls[1]
+    assert watched.schedule.failures == [PollFailure.TRUNCATED] and "hold_ms=0" in watched.server.calls[1]
     assert [e.endpoint for e in watched.updates[1].entries] == ["b"]
 
 
@@ -301,8 +307,8 @@
 
     monkeypatch.setattr("linetrack.server.discovery_client.Connection", none_left)
     watched.start()
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [PollFailure.UNREACHABLE]
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [PollFailure.UNREACHABLE]
     turns_until(lambda: watched.server.calls)
     assert not watched.greenlet.dead
 
@@ -313,7 +319,7 @@
     watched = WatchedClient(PUSHED)
     try:
         watched.server.scripted = [answer(b"", 503), answer(b"", 503), answer(b"not JSON")]
-        turns_until(lambda: len(watched.failures) == 3)
+        turns_until(lambda: len(watched.schedule.failures) == 3)
         assert not watched.client.initial_poll_finished.is_set()
         turns_until(watched.client.initial_poll_finished.is_set)
         assert watched.updates[-1].form is ListForm.SNAPSHOT
@@ -325,8 +331,8 @@
     watched.start()
     turns_until(lambda: watched.server.calls)
     watched.client.switch_server(parse_address(stand_ins.free_address()))
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [PollFailure.UNREACHABLE]
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [PollFailure.UNREACHABLE]
     assert sorted(watched.upstreams.known) == ["a", "b"]
 
 
