--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -149,7 +149,7 @@
         """Close whoever is out of time or no longer worth a place, and see who has left."""
         for client in [client for client in self.open.values() if client.due <= now]:
             # guards against closing under what has come in the very moment in which its time was over
-            if client.busy or client.reader.open or not readable(client.sock):
+            if client.busy or client.reader.has_partial_request or not readable(client.sock):
                 client.out_of_time()
         for client, gone in list(self.unread.items()):
             if gone():
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -35,7 +35,7 @@
     assert read_values.settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
     assert read_values.settings.must_subscribe and read_values.settings.may_cancel
     assert read_values.longest == 2 * SECOND
-    assert [member.name for member in read_values.known.members] == ["a"]
+    assert [member.name for member in read_values.known.endpoints] == ["a"]
 
 
 def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
