--- /dev/null
+++ b/tests/tools/lint_exceptions.py
@@ -0,0 +1,59 @@
+"""The per-file exceptions to the lint rules: those that `pyproject.toml` lists, those that are needed.
+
+`python -m tests.tools.lint_exceptions` prints the entries that the code needs now, ready to paste.
+"""
+
+from __future__ import annotations
+
+import json
+import subprocess
+import sys
+import tomllib
+from collections import defaultdict
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent.parent
+#: Exceptions that hold for good, by pattern; all others name one file and are to go.
+STANDING = {"tests/**": frozenset({"D1"})}
+#: The rules that a file may be excepted from, by prefix; the others hold everywhere.
+EXCEPTABLE = ("ARG", "C901", "D", "PLR", "PT", "RET", "TRY")
+
+Exceptions = dict[str, frozenset[str]]
+
+
+def read_listed() -> Exceptions:
+    """Return the exceptions that `pyproject.toml` lists, the standing ones too."""
+    ruff = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["ruff"]
+    return {name: frozenset(codes) for name, codes in ruff["lint"]["per-file-ignores"].items()}
+
+
+def find_needed() -> Exceptions:
+    """Return the exceptable rules that each file breaks, under the standing exceptions alone."""
+    standing = ", ".join(f'"{pattern}" = {sorted(codes)}' for pattern, codes in STANDING.items())
+    command = [sys.executable, "-m", "ruff", "check", "--output-format", "json", "--exit-zero"]
+    command += ["--config", f"lint.per-file-ignores = {{ {standing} }}", "."]
+    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True)
+    needed: defaultdict[str, set[str]] = defaultdict(set)
+    for finding in json.loads(done.stdout):
+        if finding["code"].startswith(EXCEPTABLE):
+            name = Path(finding["filename"]).relative_to(ROOT).as_posix()
+            needed[name].add(finding["code"])
+    return {name: frozenset(codes) for name, codes in needed.items()}
+
+
+def count_pairs(exceptions: Exceptions) -> int:
+    """Return how many pairs of a file and a rule there are, without the standing exceptions."""
+    return sum(len(codes) for name, codes in exceptions.items() if name not in STANDING)
+
+
+def main() -> None:
+    """Print the entries that the code needs, and their number."""
+    needed = find_needed()
+    for name in sorted(needed):
+        codes = ", ".join(f'"{code}"' for code in sorted(needed[name]))
+        print(f'"{name}" = [{codes}]')
+    print(f"# {count_pairs(needed)} pairs", file=sys.stderr)
+
+
+if __name__ == "__main__":
+    main()
