--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# The newcomer's two commands.
-.PHONY: demo test
+# The newcomer's commands; all work in a virtual environment of their own, .venv-dev.
+.PHONY: demo test lint format
 
 demo: .venv-dev/tools
 	.venv-dev/bin/python -m linetrack experiment run demo
@@ -7,6 +7,16 @@
 test:
 	sh tests/run.sh
 
+lint: .venv-dev/tools
+	.venv-dev/bin/ruff format --check .
+	.venv-dev/bin/ruff check .
+	.venv-dev/bin/mypy
+	.venv-dev/bin/lint-imports --no-cache
+
+format: .venv-dev/tools
+	.venv-dev/bin/ruff check --fix-only .
+	.venv-dev/bin/ruff format .
+
 .venv-dev/tools: requirements.txt requirements-tools.txt requirements-dev.txt
 	test -x .venv-dev/bin/python || python3 -m venv .venv-dev
 	.venv-dev/bin/pip -q install -r requirements.txt -r requirements-tools.txt -r requirements-dev.txt
