--- a/linetrack/control/discovery_schedule.py
+++ b/linetrack/control/discovery_schedule.py
@@ -120,8 +120,10 @@
         self._reset_backoff(now)
 
     def next_poll(self, now: int) -> Poll:
-        """Return the poll to make next; it is to be followed by `record_success`, `record_failure` or
-        `switch_server`."""
+        """Return the poll to make next.
+
+        It is to be followed by `record_success`, `record_failure` or `switch_server`.
+        """
         due_at = max(now, self.next_poll_at)
         self.poll_started_at = due_at
         return self._long_poll(due_at) if self.is_list_current else self._immediate_poll(due_at)
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -256,7 +256,7 @@
         with gevent.Timeout(
             poll.transfer_timeout / MICROSECONDS_PER_SECOND, TimeoutError("the answer takes too long")
         ):
-            response = connection.read(poll.stall_timeout / MICROSECONDS_PER_SECOND, lambda size: None)
+            response = connection.read(poll.stall_timeout / MICROSECONDS_PER_SECOND, _reserve_nothing)
     except (TimeoutError, StalledError) as error:
         raise PollError(PollFailure.TRUNCATED, error) from None
     except OSError as error:
@@ -271,6 +271,10 @@
     return response
 
 
+def _reserve_nothing(_size: int) -> None:
+    """Take no memory from the budget for a response: the list is needed whatever its size."""
+
+
 def _index_of(name: str, indexes: dict[str, int]) -> int:
     """Return the index of `name`.
 
--- a/linetrack/server/endpoint_list.py
+++ b/linetrack/server/endpoint_list.py
@@ -119,11 +119,7 @@
     `MalformedMessageError` where the value is no list or all of its entries were skipped.
     """
     try:
-        version = int(value[VERSION_FIELD])
-        is_snapshot = value[IS_SNAPSHOT_FIELD]
-        entries = value[ENDPOINTS_FIELD]
-        if not isinstance(is_snapshot, bool) or not isinstance(entries, list):
-            raise ValueError(f"{IS_SNAPSHOT_FIELD} or {ENDPOINTS_FIELD} is of another type")
+        version, is_snapshot, entries = _parse_envelope(value)
     except (KeyError, TypeError, ValueError, OverflowError) as error:
         raise MalformedMessageError(f"no list of members: {error!r}") from None
     endpoints: dict[str, EndpointRecord] = {}
@@ -140,6 +136,16 @@
     return EndpointRecords(version, is_snapshot, tuple(endpoints.values()), skipped_count)
 
 
+def _parse_envelope(value: Any) -> tuple[int, bool, list[Any]]:
+    """Return a list's version, whether it is a snapshot, and its entries, which are not read yet."""
+    version = int(value[VERSION_FIELD])
+    is_snapshot = value[IS_SNAPSHOT_FIELD]
+    entries = value[ENDPOINTS_FIELD]
+    if isinstance(is_snapshot, bool) and isinstance(entries, list):
+        return version, is_snapshot, entries
+    raise ValueError(f"{IS_SNAPSHOT_FIELD} or {ENDPOINTS_FIELD} is of another type")
+
+
 def _parse_endpoint(value: Any) -> EndpointRecord:
     """Read one entry; raises one of `CONVERSION_ERRORS`."""
     status = STATUS_BY_WIRE_NAME[value[STATUS_FIELD]]
--- a/linetrack/server/http1/encoding.py
+++ b/linetrack/server/http1/encoding.py
@@ -9,8 +9,10 @@
 
 
 def encode_head(start_line: str, headers: list[tuple[HeaderName, str]], body: bytes = b"") -> bytes:
-    """Return a message's start line and headers with `body` behind them; a header without a value is left
-    out."""
+    """Return a message's start line and headers with `body` behind them.
+
+    A header without a value is left out.
+    """
     lines = "".join([f"{name.canonical}: {value}\r\n" for name, value in headers if value])
     return f"{start_line}\r\n{lines}\r\n".encode("latin-1") + body
 
--- a/linetrack/server/http1/headers.py
+++ b/linetrack/server/http1/headers.py
@@ -83,8 +83,10 @@
 
 
 def format_seconds(microseconds: int) -> str:
-    """Return a time in seconds, without a fraction where there is none: most clients read a `Retry-After` of
-    whole seconds only (RFC 9110, 10.2.3)."""
+    """Return a time in seconds, without a fraction where there is none.
+
+    Most clients read a `Retry-After` of whole seconds only (RFC 9110, 10.2.3).
+    """
     if microseconds % MICROSECONDS_PER_SECOND == 0:
         return str(microseconds // MICROSECONDS_PER_SECOND)
     return f"{microseconds / MICROSECONDS_PER_SECOND:.6f}"
--- a/linetrack/server/http1/responses.py
+++ b/linetrack/server/http1/responses.py
@@ -57,8 +57,7 @@
     """Reads one response at a time from the bytes of a connection to an upstream or to discovery."""
 
     def __init__(self, max_body_bytes: int, max_buffered_body_bytes: int) -> None:
-        """A body longer than `max_buffered_body_bytes` is not put into the response but read by
-        `take_body_chunks`."""
+        """A body over `max_buffered_body_bytes` is read by `take_body_chunks`, not from the response."""
         super().__init__(max_body_bytes, max_buffered_body_bytes)
         self.parser = httptools.HttpResponseParser(self)
         self.response: Response | None = None  # the current one, once its head is complete
--- a/tests/control/test_discovery_schedule.py
+++ b/tests/control/test_discovery_schedule.py
@@ -92,8 +92,11 @@
 def test_what_a_silent_watch_missed_is_received_before_it_is_binding(
     seed: int, silence_at: int, change_after: int, pushed: bool
 ) -> None:
-    """A silent watch given up too late, and followed by too long a backoff, would let attempts go to
-    endpoints that had been announced as draining (seen in the simulation "calm+brink", with every seed)."""
+    """A silent watch is given up early enough, and the backoff behind it is short enough.
+
+    Otherwise attempts go to endpoints that have been announced as draining (seen in the simulation
+    "calm+brink", with every seed).
+    """
     max_queue_delay = 5 * MS if pushed else 600 * MS
     change_at = max(0, silence_at + change_after)
     discovery = SimulatedDiscovery(seed, change_at, silence_at, max_queue_delay, rejects_polls=not pushed)
@@ -130,7 +133,8 @@
 def silent_long_poll(schedule: DiscoverySchedule) -> tuple[int, int]:
     """Play a first long poll that times out; return when it was given up, and its binding deadline."""
     poll = schedule.next_poll(0)
-    assert schedule.binding_deadline is not None and poll.long_poll_wait
+    assert schedule.binding_deadline is not None
+    assert poll.long_poll_wait
     deadline = schedule.binding_deadline
     given_up_at = poll.response_timeout
     schedule.record_failure(given_up_at, PollFailure.TIMEOUT)
@@ -150,16 +154,21 @@
 
 @given(st.integers(0, 10**6))
 def test_a_server_that_is_down_is_polled_often_enough_to_find_it_up_and_no_oftener(seed: int) -> None:
-    """Whatever failed before, a change is binding 6 s after discovery was reachable: a backoff that grew to
-    half of the poll interval was too long.  A refused connection costs discovery nothing."""
+    """Whatever failed before, a change is binding 6 s after discovery was reachable.
+
+    A backoff that grew to half of the poll interval was too long.  A refused connection costs discovery
+    nothing.
+    """
     schedule = DiscoverySchedule(SUBSCRIBED, seed)
     poll = schedule.next_poll(0)
     schedule.binding_deadline = None
     schedule.record_failure(poll.due_at, PollFailure.UNREACHABLE)
     polled_at = [0, *polls_of_failing_server(schedule, PollFailure.UNREACHABLE, 120 * SECOND)]
     pauses = [after - before for before, after in pairwise(polled_at)]
-    assert max(pauses) <= 2 * SECOND and len(polled_at) < 100
-    assert pauses[0] <= 1500 * MS and min(pauses[10:]) >= SECOND
+    assert max(pauses) <= 2 * SECOND
+    assert len(polled_at) < 100
+    assert pauses[0] <= 1500 * MS
+    assert min(pauses[10:]) >= SECOND
 
 
 #: What a discovery server may do so that a poll fails.
@@ -191,8 +200,7 @@
         self.states.append((end, end + 60 * SECOND, "answers"))
 
     def play(self, schedule: DiscoverySchedule) -> tuple[int, int]:
-        """Return when the first response after it was reachable for good was read, and when that is binding
-        at the latest."""
+        """Return when the list was read once reachable for good, and when it is binding at the latest."""
         now = 0
         binding_at = self.reachable_at + 6 * SECOND
         watch_ends = -1  # the end of the state in which a watch is open
@@ -260,8 +268,7 @@
 def test_whatever_failed_before_the_list_is_read_in_time_once_discovery_is_reachable(
     last_state: str, seed: int, states: list[tuple[str, int]], duration: int, pushed: bool
 ) -> None:
-    """Timeouts and pauses that are each bounded must not together outlast the 6 s from the moment at which
-    discovery is reachable."""
+    """Timeouts and pauses that are each bounded do not together outlast the 6 s since it is reachable."""
     states = [("refuses", MS), *states, (last_state, duration)]
     states = [s for n, s in enumerate(states) if n == 0 or s[0] != states[n - 1][0]]
     schedule = DiscoverySchedule(PUSHED if pushed else SUBSCRIBED, seed)
@@ -279,13 +286,13 @@
 
 @given(st.integers(0, 10**6), st.integers(0, 30 * SECOND))
 def test_another_server_is_polled_at_once_and_again_before_its_list_is_binding(seed: int, at: int) -> None:
-    """Neither the previous server's backoff nor three rejections by the new one may outlast the four seconds
-    after SIGHUP."""
+    """Neither the previous backoff nor rejections by the new server outlast the 4 s after SIGHUP."""
     schedule = DiscoverySchedule(SUBSCRIBED, seed)
     polls_of_failing_server(schedule, PollFailure.UNREACHABLE, at)
     schedule.switch_server(at)
     polled_at = polls_of_failing_server(schedule, PollFailure.REJECTED, at + 4 * SECOND, at)
-    assert polled_at[0] == at and len(polled_at) >= 5
+    assert polled_at[0] == at
+    assert len(polled_at) >= 5
 
 
 @pytest.mark.parametrize(
@@ -295,8 +302,10 @@
 def test_a_server_that_returns_loses_no_work_to_a_fleet_that_waited_for_it(
     work: int, max_queue_delay: int, downtime: int
 ) -> None:
-    """Discovery works through polls in turn and rejects at once what would wait too long.  A fleet of 230
-    must not give up its positions in that queue, nor poll so seldom that the queue runs empty."""
+    """Discovery works through polls in turn and rejects at once what would wait too long.
+
+    A fleet of 230 must not give up its positions in that queue, nor poll so seldom that the queue runs empty.
+    """
     fleet = [DiscoverySchedule(SUBSCRIBED, seed) for seed in range(230)]
     down_at = 20 * SECOND
     random = Random(work)
@@ -324,14 +333,18 @@
             read_at.append(done_at)
     assert max(read_at) - up_at <= len(fleet) * work + 2 * SECOND
     # refused while it is down, and rejected at its return
-    assert max(polls_per_second) <= 2 * len(fleet) and max(polls_per_second[30:]) <= 0.9 * len(fleet)
+    assert max(polls_per_second) <= 2 * len(fleet)
+    assert max(polls_per_second[30:]) <= 0.9 * len(fleet)
 
 
 def test_the_poll_after_a_failure_is_immediate_and_a_long_poll_follows_it() -> None:
     schedule = DiscoverySchedule(SUBSCRIBED, 1)
     now, _ = silent_long_poll(schedule)
     immediate = schedule.next_poll(now)
-    assert immediate.long_poll_wait == 0 and immediate.due_at == now
+    assert immediate.long_poll_wait == 0
+    assert immediate.due_at == now
     schedule.record_success(now + MS, immediate, False)
     following = schedule.next_poll(now + MS)
-    assert isinstance(following, Poll) and following.long_poll_wait and following.due_at - now <= 200 * MS
+    assert isinstance(following, Poll)
+    assert following.long_poll_wait
+    assert following.due_at - now <= 200 * MS
--- a/tests/server/test_address.py
+++ b/tests/server/test_address.py
@@ -9,6 +9,7 @@
     "text", ["", "127.0.0.1", ":80", "127.0.0.1:", "host:80", "127.0.0.1:0", "1.2.3.4:70000"]
 )
 def test_an_address_is_a_number_with_a_port(text: str) -> None:
-    with pytest.raises(ValueError) as error:
+    with pytest.raises(AddressError) as error:
         parse_address(text)
-    assert isinstance(error.value, AddressError) and error.value.text == text
+    assert isinstance(error.value, ValueError)
+    assert error.value.text == text
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -46,7 +46,7 @@
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
         self.updates: list[EndpointListUpdate] = []
-        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda event, seen: None)
+        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda _event, _seen: None)
         self.client = DiscoveryClient(
             parse_address(self.server.address),
             self.upstreams,
@@ -60,7 +60,7 @@
         self.client.schedule = self.schedule
         self.greenlet = gevent.spawn(self.client.run)
 
-    def publish(self, update: EndpointListUpdate, received_at: int) -> None:
+    def publish(self, update: EndpointListUpdate, _received_at: int) -> None:
         self.updates.append(update)
 
     def start(self) -> None:
@@ -123,8 +123,10 @@
 def test_a_failure_of_one_poll_only_is_followed_by_another_poll_at_once(
     watched: WatchedClient, reply: bytes, failure: PollFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With the backoff for a server that is down, what a silent, invalid or truncated long poll missed would
-    be binding before the next poll."""
+    """The backoff for a server that is down does not apply.
+
+    What a silent, invalid or truncated long poll missed would be binding before the next poll.
+    """
     for name, value in {
         "MAX_LONG_POLL_WAIT_US": 50_000,
         "LONG_POLL_RESPONSE_MARGIN_US": 30_000,
@@ -159,7 +161,8 @@
     watched.server.scripted = [reply]
     watched.start()
     turns_until(lambda: watched.schedule.failures)
-    assert watched.schedule.failures == [failure] and watched.client.initial_poll_finished.is_set()
+    assert watched.schedule.failures == [failure]
+    assert watched.client.initial_poll_finished.is_set()
     # the current list stays meanwhile; the one that is received then counts
     assert watched.forms(1) == [ListForm.CACHED]
     watched.server.change(entry("a", state="DELETED"))
@@ -199,10 +202,12 @@
     watched.forms(2)
     entries = {e.endpoint: e for e in watched.updates[1].entries}
     assert sorted(entries) == ["a", "c"]
-    assert entries["a"].status is EndpointStatus.UP and entries["a"].started_at == 5000
+    assert entries["a"].status is EndpointStatus.UP
+    assert entries["a"].started_at == 5000
     # a zone and a host class without a name in the settings are numbered after those that have one, and kept
     # nowhere
-    assert entries["c"].zone > 0 and entries["c"].host_class > 0
+    assert entries["c"].zone > 0
+    assert entries["c"].host_class > 0
     assert watched.client.zone_indexes == {"north": 0}
     assert watched.client.host_class_indexes == {"plain": 0}
 
@@ -262,8 +267,7 @@
 def test_an_update_of_the_previous_server_counts_until_the_new_one_has_responded(
     watched: WatchedClient,
 ) -> None:
-    """An update is binding when it is written, also where SIGHUP names another server meanwhile, which may
-    take long to respond."""
+    """An update is binding when it is written, and the new server may take long to respond."""
     watched.start()
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("a"), entry("c")])
@@ -278,7 +282,8 @@
     watched.server.change(entry("c", state="DRAINING"))
     turns_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert watched.upstreams.known["c"].health is EndpointStatus.UP and len(watched.updates) == 3
+    assert watched.upstreams.known["c"].health is EndpointStatus.UP
+    assert len(watched.updates) == 3
     other.close()
 
 
@@ -292,7 +297,8 @@
     watched.server.change(entry("b", state="DRAINING"))
     watched.server.connections[0].shutdown(socket.SHUT_RDWR)
     assert watched.forms(2)[1] is ListForm.DELTA
-    assert watched.schedule.failures == [PollFailure.TRUNCATED] and "hold_ms=0" in watched.server.calls[1]
+    assert watched.schedule.failures == [PollFailure.TRUNCATED]
+    assert "hold_ms=0" in watched.server.calls[1]
     assert [e.endpoint for e in watched.updates[1].entries] == ["b"]
 
 
@@ -301,7 +307,7 @@
 ) -> None:
     """Clients may leave no descriptor for a poll: the process must not end of that."""
 
-    def none_left(*args: object) -> NoReturn:
+    def none_left(*_args: object) -> NoReturn:
         monkeypatch.setattr("linetrack.server.discovery_client.Connection", Connection)
         raise OSError(errno.EMFILE, "Too many open files")
 
@@ -314,8 +320,11 @@
 
 
 def test_where_updates_are_pushed_the_initial_poll_finishes_with_a_list_not_with_a_rejection() -> None:
-    """What discovery has is binding from the first moment: a rejection by a server that hundreds poll at once
-    must not let the process serve by a list from before its start."""
+    """What discovery has is binding from the first moment.
+
+    A rejection by a server that hundreds poll at once must not let the process serve by a list from before
+    its start.
+    """
     watched = WatchedClient(PUSHED)
     try:
         watched.server.scripted = [answer(b"", 503), answer(b"", 503), answer(b"not JSON")]
@@ -337,8 +346,10 @@
 
 
 def test_where_updates_are_pushed_it_polls_unasked_and_first_for_an_immediate_response() -> None:
-    """A long poll is answered at once only where there is a change: the process must not serve by a list from
-    before its start while discovery has a newer one."""
+    """A long poll is answered at once only where there is a change.
+
+    The process must not serve by a list from before its start while discovery has a newer one.
+    """
     watched = WatchedClient(PUSHED)
     try:
         watched.server.scripted = [answer(b"", 503), list_response(1, False)]
--- a/tests/server/test_http1.py
+++ b/tests/server/test_http1.py
@@ -29,6 +29,11 @@
     return ResponseReader(MAX_BODY_BYTES, MAX_BODY_BYTES)
 
 
+def feed_in_pieces(reader: RequestReader, data: bytes) -> None:
+    for start in range(0, len(data), 1000):
+        reader.feed(data[start : start + 1000])
+
+
 def test_a_request_is_read_into_its_fields() -> None:
     (request,) = RequestReader().feed(POST)
     assert request == ClientRequest(
@@ -84,10 +89,8 @@
 
 @pytest.mark.parametrize("data", MALFORMED_REQUESTS)
 def test_a_malformed_request_has_a_status(data: bytes) -> None:
-    reader = RequestReader()
     with pytest.raises(MalformedMessageError) as error:
-        for start in range(0, len(data), 1000):
-            reader.feed(data[start : start + 1000])
+        feed_in_pieces(RequestReader(), data)
     assert error.value.status == MALFORMED_REQUESTS[data]
 
 
@@ -129,21 +132,25 @@
     reader = response_reader()
     assert all(reader.feed(data[n : n + 1]) is None for n in range(len(data) - 1))
     response = reader.feed(data[-1:])
-    assert response and response.body == b"ok"
+    assert response
+    assert response.body == b"ok"
 
 
 def test_an_informational_response_is_skipped() -> None:
     reader = response_reader()
     assert reader.feed(b"HTTP/1.1 100 Continue\r\n\r\n") is None
     response = reader.feed(OK_RESPONSE)
-    assert response and response.body == b"ok" and not reader.has_unexpected_data
+    assert response
+    assert response.body == b"ok"
+    assert not reader.has_unexpected_data
 
 
 @pytest.mark.parametrize("after", [b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", b"HTTP/1.1", b"x"])
 def test_unexpected_data_makes_the_connection_unusable_not_the_response(after: bytes) -> None:
     reader = response_reader()
     response = reader.feed(OK_RESPONSE + after)
-    assert response and response.body == b"ok"
+    assert response
+    assert response.body == b"ok"
     assert reader.has_unexpected_data
 
 
