--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -11,7 +11,7 @@
 import pytest
 
 from linetrack.control import discovery_schedule
-from linetrack.control.discovery_schedule import PollFailure
+from linetrack.control.discovery_schedule import DiscoverySchedule, PollFailure
 from linetrack.policy.events import EndpointListUpdate, EndpointStatus, ListForm
 from linetrack.policy.settings import Settings
 from linetrack.server.address import parse_address
@@ -28,14 +28,25 @@
 ONE_HOUR_US = 3_600_000_000  # a backoff that no test sees the end of
 
 
+class RecordingSchedule(DiscoverySchedule):
+    """A schedule that also keeps how polls failed."""
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.failures: list[PollFailure] = []
+
+    def record_failure(self, now: int, failure: PollFailure) -> None:
+        self.failures.append(failure)
+        super().record_failure(now, failure)
+
+
 class WatchedClient:
     """The client in its greenlet, the stand-in that it polls, and what it published."""
 
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
         self.updates: list[EndpointListUpdate] = []
-        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda event, seen: None)
-        self.failures: list[PollFailure] = []
+        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda _event, _seen: None)
         self.client = DiscoveryClient(
             parse_address(self.server.address),
             self.upstreams,
@@ -45,16 +56,11 @@
             settings,
             1,
         )
-        record_failure = self.client.schedule.record_failure
-
-        def record(now: int, failure: PollFailure) -> None:
-            self.failures.append(failure)
-            record_failure(now, failure)
-
-        self.client.schedule.record_failure = record  # type: ignore[method-assign]
+        self.schedule = RecordingSchedule(settings, 1)
+        self.client.schedule = self.schedule
         self.greenlet = gevent.spawn(self.client.run)
 
-    def publish(self, update: EndpointListUpdate, received_at: int) -> None:
+    def publish(self, update: EndpointListUpdate, _received_at: int) -> None:
         self.updates.append(update)
 
     def start(self) -> None:
@@ -117,8 +123,10 @@
 def test_a_failure_of_one_poll_only_is_followed_by_another_poll_at_once(
     watched: WatchedClient, reply: bytes, failure: PollFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With the backoff for a server that is down, what a silent, invalid or truncated long poll missed would
-    be binding before the next poll."""
+    """The backoff for a server that is down does not apply.
+
+    What a silent, invalid or truncated long poll missed would be binding before the next poll.
+    """
     for name, value in {
         "MAX_LONG_POLL_WAIT_US": 50_000,
         "LONG_POLL_RESPONSE_MARGIN_US": 30_000,
@@ -126,7 +134,7 @@
         "INITIAL_BACKOFF_US": ONE_HOUR_US,
     }.items():
         monkeypatch.setattr(discovery_schedule, name, value)
-    watched.client.schedule.backoff = ONE_HOUR_US
+    watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [reply]
     watched.start()
     assert watched.forms(1) == [ListForm.CACHED]
@@ -134,7 +142,7 @@
     monkeypatch.undo()
     watched.server.change(entry("a", state="DRAINING"))
     assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
-    assert watched.failures == [failure]
+    assert watched.schedule.failures == [failure]
     assert "hold_ms=0" in watched.server.calls[1] or "?" not in watched.server.calls[1]
 
 
@@ -149,11 +157,12 @@
 def test_a_server_that_is_down_is_polled_again_after_a_backoff(
     watched: WatchedClient, reply: bytes | None, failure: PollFailure
 ) -> None:
-    watched.client.schedule.backoff = 30_000
+    watched.schedule.backoff = 30_000
     watched.server.scripted = [reply]
     watched.start()
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [failure] and watched.client.initial_poll_finished.is_set()
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [failure]
+    assert watched.client.initial_poll_finished.is_set()
     # the current list stays meanwhile; the one that is received then counts
     assert watched.forms(1) == [ListForm.CACHED]
     watched.server.change(entry("a", state="DELETED"))
@@ -166,8 +175,8 @@
     turns_until(lambda: len(watched.server.calls) == 2)
     watched.server.scripted = [list_response(3, False, entry("c"))]
     watched.server.change(entry("b"))
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [PollFailure.INVALID]
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [PollFailure.INVALID]
     watched.server.version = 4
     turns_until(lambda: watched.updates[-1].form is ListForm.SNAPSHOT)
     assert any("?" not in call for call in watched.server.calls)
@@ -193,10 +202,12 @@
     watched.forms(2)
     entries = {e.endpoint: e for e in watched.updates[1].entries}
     assert sorted(entries) == ["a", "c"]
-    assert entries["a"].status is EndpointStatus.UP and entries["a"].started_at == 5000
+    assert entries["a"].status is EndpointStatus.UP
+    assert entries["a"].started_at == 5000
     # a zone and a host class without a name in the settings are numbered after those that have one, and kept
     # nowhere
-    assert entries["c"].zone > 0 and entries["c"].host_class > 0
+    assert entries["c"].zone > 0
+    assert entries["c"].host_class > 0
     assert watched.client.zone_indexes == {"north": 0}
     assert watched.client.host_class_indexes == {"plain": 0}
 
@@ -240,10 +251,10 @@
 def test_switching_servers_ends_a_backoff_and_the_same_address_changes_nothing(
     watched: WatchedClient,
 ) -> None:
-    watched.client.schedule.backoff = ONE_HOUR_US
+    watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [answer(b"", 503)]
     watched.start()
-    turns_until(lambda: watched.failures)
+    turns_until(lambda: watched.schedule.failures)
     watched.client.switch_server(parse_address(watched.server.address))
     gevent.sleep(0.05)
     assert len(watched.server.calls) == 1
@@ -256,8 +267,7 @@
 def test_an_update_of_the_previous_server_counts_until_the_new_one_has_responded(
     watched: WatchedClient,
 ) -> None:
-    """An update is binding when it is written, also where SIGHUP names another server meanwhile, which may
-    take long to respond."""
+    """An update is binding when it is written, and the new server may take long to respond."""
     watched.start()
     turns_until(lambda: watched.server.calls)
     other = stand_ins.Discovery([entry("a"), entry("c")])
@@ -272,21 +282,23 @@
     watched.server.change(entry("c", state="DRAINING"))
     turns_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert watched.upstreams.known["c"].health is EndpointStatus.UP and len(watched.updates) == 3
+    assert watched.upstreams.known["c"].health is EndpointStatus.UP
+    assert len(watched.updates) == 3
     other.close()
 
 
 def test_a_long_poll_that_ends_in_half_of_its_response_is_repeated_at_once(watched: WatchedClient) -> None:
     """Half of a list must not be taken for all of it, and the other half not be waited for."""
     response = list_response(2, False, entry("a", state="DRAINING"), entry("b", state="DRAINING"))
-    watched.client.schedule.backoff = ONE_HOUR_US
+    watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [response[:-30]]
     watched.start()
     turns_until(lambda: watched.server.calls)
     watched.server.change(entry("b", state="DRAINING"))
     watched.server.connections[0].shutdown(socket.SHUT_RDWR)
     assert watched.forms(2)[1] is ListForm.DELTA
-    assert watched.failures == [PollFailure.TRUNCATED] and "hold_ms=0" in watched.server.calls[1]
+    assert watched.schedule.failures == [PollFailure.TRUNCATED]
+    assert "hold_ms=0" in watched.server.calls[1]
     assert [e.endpoint for e in watched.updates[1].entries] == ["b"]
 
 
@@ -295,25 +307,28 @@
 ) -> None:
     """Clients may leave no descriptor for a poll: the process must not end of that."""
 
-    def none_left(*args: object) -> NoReturn:
+    def none_left(*_args: object) -> NoReturn:
         monkeypatch.setattr("linetrack.server.discovery_client.Connection", Connection)
         raise OSError(errno.EMFILE, "Too many open files")
 
     monkeypatch.setattr("linetrack.server.discovery_client.Connection", none_left)
     watched.start()
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [PollFailure.UNREACHABLE]
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [PollFailure.UNREACHABLE]
     turns_until(lambda: watched.server.calls)
     assert not watched.greenlet.dead
 
 
 def test_where_updates_are_pushed_the_initial_poll_finishes_with_a_list_not_with_a_rejection() -> None:
-    """What discovery has is binding from the first moment: a rejection by a server that hundreds poll at once
-    must not let the process serve by a list from before its start."""
+    """What discovery has is binding from the first moment.
+
+    A rejection by a server that hundreds poll at once must not let the process serve by a list from before
+    its start.
+    """
     watched = WatchedClient(PUSHED)
     try:
         watched.server.scripted = [answer(b"", 503), answer(b"", 503), answer(b"not JSON")]
-        turns_until(lambda: len(watched.failures) == 3)
+        turns_until(lambda: len(watched.schedule.failures) == 3)
         assert not watched.client.initial_poll_finished.is_set()
         turns_until(watched.client.initial_poll_finished.is_set)
         assert watched.updates[-1].form is ListForm.SNAPSHOT
@@ -325,14 +340,16 @@
     watched.start()
     turns_until(lambda: watched.server.calls)
     watched.client.switch_server(parse_address(stand_ins.free_address()))
-    turns_until(lambda: watched.failures)
-    assert watched.failures == [PollFailure.UNREACHABLE]
+    turns_until(lambda: watched.schedule.failures)
+    assert watched.schedule.failures == [PollFailure.UNREACHABLE]
     assert sorted(watched.upstreams.known) == ["a", "b"]
 
 
 def test_where_updates_are_pushed_it_polls_unasked_and_first_for_an_immediate_response() -> None:
-    """A long poll is answered at once only where there is a change: the process must not serve by a list from
-    before its start while discovery has a newer one."""
+    """A long poll is answered at once only where there is a change.
+
+    The process must not serve by a list from before its start while discovery has a newer one.
+    """
     watched = WatchedClient(PUSHED)
     try:
         watched.server.scripted = [answer(b"", 503), list_response(1, False)]
