--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -16,10 +16,11 @@
 from linetrack.server.listener import Listener
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.connection import readable
-from linetrack.server.messages import ClientRequest
+from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.dispatcher import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
-from linetrack.server.lifecycle import LINE_EVERY, LogRateLimiter, must_live
+from linetrack.server.greenlets import spawn_essential
+from linetrack.server.logging_setup import MIN_LINE_INTERVAL_US, LogRateLimiter
 from tests.stand_ins import MS, PATIENCE, SECOND, call, turns_until
 
 
@@ -32,8 +33,8 @@
             sparing(None, "warning", {"event": "a"})
     assert sparing(None, "warning", {"event": "b"}) == {"event": "b"}
     assert sparing(None, "info", {"event": "a"}) == {"event": "a"}
-    now = LINE_EVERY
-    assert sparing(None, "warning", {"event": "a"}) == {"event": "a", "unsaid": 5}
+    now = MIN_LINE_INTERVAL_US
+    assert sparing(None, "warning", {"event": "a"}) == {"event": "a", "suppressed": 5}
 
 
 def test_a_greenlet_that_must_live_ends_the_process_when_it_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -44,9 +45,9 @@
     def broken() -> None:
         raise RuntimeError("a defect")
 
-    must_live("broken", broken).join(PATIENCE)
+    spawn_essential("broken", broken).join(PATIENCE)
     assert ended == [1]
-    must_live("killed", lambda: gevent.sleep(PATIENCE)).kill()
+    spawn_essential("killed", lambda: gevent.sleep(PATIENCE)).kill()
     assert ended == [1]
 
 
@@ -233,7 +234,7 @@
 ) -> None:
     monkeypatch.setattr(clients_module, "WITHIN", 100 * MS)
     gevent.spawn(clients.sweep)
-    request = ClientRequest("GET", "/look", "1", expires="0.5")
+    request = ClientRequest("GET", "/look", "1", expires_in="0.5")
     intake = clients.intake
     assert isinstance(intake.arrival(request), RequestReceived)
     with pytest.raises(RejectedRequestError) as rejected:
@@ -249,7 +250,9 @@
 
 def test_what_the_module_is_told_of_a_request(clients: Listener) -> None:
     props = {"party": "3", "workUs": "12000", "update": "1", "other": "x"}
-    request = ClientRequest("GET", "/look/a/k7?q=1", "1", expires="0.5", again=True, props=props)
+    request = ClientRequest(
+        "GET", "/look/a/k7?q=1", "1", expires_in="0.5", is_client_retry=True, properties=props
+    )
     assert clients.intake.arrival(request) == RequestReceived(1, 0, SECOND // 2, 3, "k7", 12000, True, True)
-    odd = ClientRequest("GET", "/look", "2", expires="9e99", props={"party": "-1", "workUs": "x" * 99})
+    odd = ClientRequest("GET", "/look", "2", expires_in="9e99", properties={"party": "-1", "workUs": "x" * 99})
     assert clients.intake.arrival(odd) == RequestReceived(1, 0, 2 * SECOND)
