--- a/linetrack/control/policy_snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -1,137 +1,319 @@
 """What the policy has learnt, as plain values that another process of the same version can take over.
 
-Owns which figures go over, and their check: values that make no sense change nothing.  Must never decide, nor
-carry what only holds in one process: requests, attempts, connections, chance, or a budget saved up.
+This module holds the snapshot's keys and checks its values: a snapshot whose values make no sense changes
+nothing.  What only holds in one process is not part of it: requests, attempts, connections, random state and
+the retry budget.  The keys are those of snapshot version 1 and stay as they are while that version does.
 """
 
 from __future__ import annotations
 
 import math
-from collections import deque
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Callable, Iterable, Mapping
+from typing import Any, TypeVar
 
-from linetrack.policy.decaying_average import Evidence
-from linetrack.policy.records import Upstream
-from linetrack.policy.balancer import Balancer
+from linetrack.policy.admission import AdmissionState
+from linetrack.policy.balancer import Balancer, PolicyState
+from linetrack.policy.class_statistics import ClassState
+from linetrack.policy.decaying_average import DecayingAverage
+from linetrack.policy.endpoint import ClassErrorRatio, Ejection, EndpointState
+from linetrack.policy.idle_connections import IdleConnectionState
+from linetrack.policy.latency_model import LatencyState
+from linetrack.policy.load_reports import LoadState
+from linetrack.policy.retry_limits import RetryWindowState
+from linetrack.policy.success_model import SuccessState
+
+T = TypeVar("T")
 
 VERSION = 1
-FIGURES = ("calm", "mean_pace", "busy", "holds", "working", "rest", "rest_at", "heard_at", "usual_errors")
-COUNTS = ("answers",)
-SINGLE = ("work", "late", "refused")  # evidence
-OF_PLACES = ("zones", "kinds", "rates")  # evidence by number
-LEVELS = ("others", "nominal")  # figures by number
-OF_CLASSES = ("asked", "served", "shed", "patience")
-LEDGER = ("further", "taken")  # times, in order, as of the window that limits further attempts
-UPSTREAM = ("others", "errors", "faults", "heard_at", "load_at", "answered", "credit", "credit_at")
+
+VERSION_KEY = "version"
+ENDPOINTS = "upstreams"
+# latency model
+BASELINE = "calm"
+MEAN_ENDPOINT_FACTOR = "mean_pace"
+RESPONSE_COUNT = "answers"
+SERVICE_TIME = "work"
+ZONE_CONGESTION = "zones"
+HOST_CLASS_FACTORS = "kinds"
+CLASS_COSTS = "sizes"
+# load reports
+UTILIZATION = "busy"
+LOAD_PER_CORE = "holds"
+WORK_FRACTION = "working"
+ZONE_LOADS = "others"
+FULL_CAPACITIES = "nominal"
+REQUEST_RATES = "rates"
+# success model
+USUAL_ERROR_RATIO = "usual_errors"
+CONNECT_FAILURES = "refused"
+# class statistics and admission
+REQUEST_SHARES = "asked"
+SERVED_RATIOS = "served"
+SHED_AT = "shed"
+LONGEST_TIMEOUTS = "patience"
+MEAN_VALUE = "mean_worth"
+LAST_RESPONSE_AT = "heard_at"
+LATE_RATIO = "late"
+# idle connections
+MAX_IDLE = "rest"
+MAX_IDLE_LEARNT_AT = "rest_at"
+# retry window
+RETRIES = "further"
+REQUESTS = "taken"
+WINDOW = "window"
+# of each endpoint
+STARTED_AT = "started"
+REPORTED_LOAD = "others"
+LOAD_REPORTED_AT = "load_at"
+ERROR_RATIO = "errors"
+FAULT_RATIO = "faults"
+ENDPOINT_LAST_RESPONSE_AT = "heard_at"
+ANSWERED_SENT_AT = "answered"
+SEND_TOKENS = "credit"
+SEND_TOKENS_AT = "credit_at"
+WARMUP_SENDS = "cold_sent"
+LATENCY_FACTOR = "pace"
+CLASS_ERRORS = "own"
+EJECTIONS = "spells"
+
+INVALID = (KeyError, TypeError, ValueError, AttributeError, OverflowError, IndexError)
 
 
 def take(policy: Balancer) -> dict[str, Any]:
-    """All of it, ready for JSON."""
+    """Return all that the policy has learnt, ready for JSON."""
+    state = policy.export_state()
     return {
-        "version": VERSION,
-        **{name: getattr(policy, name) for name in (*FIGURES, *COUNTS, *LEVELS, *OF_CLASSES)},
-        **{name: _told(getattr(policy, name)) for name in SINGLE},
-        **{name: {n: _told(e) for n, e in getattr(policy, name).items()} for name in OF_PLACES},
-        "sizes": [_told(evidence) for evidence in policy.sizes],
-        "mean_worth": policy.mean_worth,
-        **{name: list(getattr(policy.ledger, name)) for name in LEDGER},
-        "window": policy.s.retry_window,
-        "upstreams": {name: _upstream(upstream) for name, upstream in policy.fleet.items()},
+        VERSION_KEY: VERSION,
+        **_latency_values(state.latency),
+        **_load_values(state.load),
+        USUAL_ERROR_RATIO: state.success.usual_error_ratio,
+        CONNECT_FAILURES: _average_values(state.success.connect_failures),
+        REQUEST_SHARES: state.classes.request_shares,
+        SERVED_RATIOS: state.classes.served_ratios,
+        SHED_AT: state.admission.shed_at,
+        LONGEST_TIMEOUTS: state.admission.longest_timeouts,
+        MEAN_VALUE: state.admission.mean_value,
+        LAST_RESPONSE_AT: state.admission.last_response_at,
+        LATE_RATIO: _average_values(state.admission.late_ratio),
+        MAX_IDLE: state.idle_connections.max_idle,
+        MAX_IDLE_LEARNT_AT: state.idle_connections.learnt_at,
+        RETRIES: state.retry_window.retries,
+        REQUESTS: state.retry_window.requests,
+        WINDOW: state.retry_window.window,
+        ENDPOINTS: {name: _endpoint_values(endpoint) for name, endpoint in state.endpoints.items()},
     }
 
 
 def restore(
-    policy: Balancer, values: Mapping[str, Any], now: int, same_classes: bool, same_places: bool
+    policy: Balancer, values: Mapping[str, Any], now: int, same_classes: bool, same_zones: bool
 ) -> bool:
-    """Whether a policy at its start, which has the list, has taken these values over; else it is as it was.
+    """Let a policy at its start, which has the endpoint list, take these values over.
 
-    What stands by numbers of classes or places is passed over where these mean something else here.
+    What stands by numbers of request classes, or of zones and host classes, is passed over where these mean
+    something else here.  Returns False, with the policy as it was, if the values make no sense.
     """
-    sets: list[tuple[object, str, Any]] = []
     try:
-        if values["version"] != VERSION:
+        if values[VERSION_KEY] != VERSION:
             return False
-        sets += [(policy, name, _figure(values[name], now)) for name in FIGURES]
-        sets += [(policy, name, int(values[name])) for name in COUNTS]
-        sets += [(policy, name, _evidence(values[name], now)) for name in SINGLE]
-        if same_classes:
-            for name in OF_CLASSES:
-                if len(values[name]) != len(policy.s.classes):
-                    return False
-                sets.append((policy, name, [_figure(value, now) for value in values[name]]))
-            if len(values["sizes"]) != len(policy.s.classes):
-                return False
-            sets.append((policy, "sizes", [_evidence(value, now) for value in values["sizes"]]))
-            sets.append((policy, "mean_worth", _figure(values["mean_worth"], now)))
-        if policy.s.retry_window > int(values["window"]):  # more was sent in it than was kept count of
-            sets.append((policy.ledger, "closed", now + policy.s.retry_window))
-        for name in LEDGER:
-            sets.append((policy.ledger, name, deque(sorted(min(now, int(at)) for at in values[name]))))
-        places: dict[str, dict[int, Any]] = {}
-        if same_places:
-            for name in OF_PLACES:
-                places[name] = {int(n): _evidence(value, now) for n, value in values[name].items()}
-            for name in LEVELS:
-                places[name] = {int(n): _figure(value, now) for n, value in values[name].items()}
-        for name, told in values["upstreams"].items():
-            if (upstream := policy.fleet.get(name)) is not None:
-                sets += _of_upstream(upstream, told, now, same_classes)
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError, IndexError):
+        state = _Reader(policy, values, now, same_classes, same_zones).policy_state()
+    except INVALID:
         return False
-    for owner, name, value in sets:
-        setattr(owner, name, value)
-    for name, table in places.items():
-        getattr(policy, name).update(table)
-    policy.calm = min(policy.calm, policy.calm_most)
+    policy.import_state(now, state)
     return True
 
 
-def _told(evidence: Evidence) -> list[float]:
-    return [evidence.value, evidence.weight, evidence.at]
+def _latency_values(state: LatencyState) -> dict[str, Any]:
+    return {
+        BASELINE: state.baseline,
+        MEAN_ENDPOINT_FACTOR: state.mean_endpoint_factor,
+        RESPONSE_COUNT: state.response_count,
+        SERVICE_TIME: _average_values(state.service_time),
+        ZONE_CONGESTION: _table_values(state.zone_congestion),
+        HOST_CLASS_FACTORS: _table_values(state.host_class_factors),
+        CLASS_COSTS: [_average_values(cost) for cost in state.class_costs or ()],
+    }
+
+
+def _load_values(state: LoadState) -> dict[str, Any]:
+    return {
+        UTILIZATION: state.utilization,
+        LOAD_PER_CORE: state.load_per_core,
+        WORK_FRACTION: state.work_fraction,
+        ZONE_LOADS: state.zone_loads,
+        FULL_CAPACITIES: state.full_capacities,
+        REQUEST_RATES: _table_values(state.request_rates),
+    }
 
 
-def _upstream(upstream: Upstream) -> dict[str, Any]:
+def _endpoint_values(state: EndpointState) -> dict[str, Any]:
+    class_errors = state.class_errors or {}
+    ejections = state.ejections or {}
     return {
-        **{name: getattr(upstream, name) for name in UPSTREAM},
-        "started": upstream.listed_start,
-        "pace": _told(upstream.pace),
-        "cold_sent": upstream.cold_sent,
-        "own": [[klass, *own] for klass, own in upstream.own.items()],
-        "spells": [[klass, *spell] for klass, spell in upstream.spells.items()],
+        STARTED_AT: state.started_at,
+        REPORTED_LOAD: state.reported_load,
+        LOAD_REPORTED_AT: state.load_reported_at,
+        ERROR_RATIO: state.error_ratio,
+        FAULT_RATIO: state.fault_ratio,
+        ENDPOINT_LAST_RESPONSE_AT: state.last_response_at,
+        ANSWERED_SENT_AT: state.answered_sent_at,
+        SEND_TOKENS: state.send_tokens,
+        SEND_TOKENS_AT: state.send_tokens_at,
+        WARMUP_SENDS: state.warmup_sends,
+        LATENCY_FACTOR: _average_values(state.latency_factor),
+        CLASS_ERRORS: [[index, own.ratio, own.updated_at] for index, own in class_errors.items()],
+        EJECTIONS: [[index, each.duration, each.until] for index, each in ejections.items()],
     }
 
 
-def _of_upstream(
-    upstream: Upstream, told: Mapping[str, Any], now: int, same_classes: bool
-) -> list[tuple[object, str, Any]]:
-    if told["started"] != upstream.listed_start:
-        return []  # another process: nothing learnt before holds
-    sets: list[tuple[object, str, Any]] = [(upstream, name, _figure(told[name], now)) for name in UPSTREAM]
-    sets.append((upstream, "pace", _evidence(told["pace"], now)))
-    sets.append((upstream, "cold_sent", [min(now, int(at)) for at in told["cold_sent"]]))
-    if same_classes:
-        sets.append(
-            (upstream, "own", {int(c): (float(share), min(now, int(at))) for c, share, at in told["own"]})
+def _average_values(average: DecayingAverage) -> list[float]:
+    return [average.value, average.weight, average.updated_at]
+
+
+def _table_values(table: Mapping[int, DecayingAverage] | None) -> dict[int, list[float]]:
+    return {number: _average_values(average) for number, average in (table or {}).items()}
+
+
+class _Reader:
+    """Reads a snapshot; raises one of `INVALID` for values that make no sense."""
+
+    def __init__(
+        self, policy: Balancer, values: Mapping[str, Any], now: int, same_classes: bool, same_zones: bool
+    ) -> None:
+        self._policy = policy
+        self._values = values
+        self._now = now
+        self._same_classes = same_classes
+        self._same_zones = same_zones
+
+    def policy_state(self) -> PolicyState:
+        values = self._values
+        return PolicyState(
+            latency=self._latency(),
+            load=self._load(),
+            success=SuccessState(
+                usual_error_ratio=self._number(values[USUAL_ERROR_RATIO]),
+                connect_failures=self._average(values[CONNECT_FAILURES]),
+            ),
+            classes=self._classes(),
+            admission=self._admission(),
+            idle_connections=IdleConnectionState(
+                max_idle=self._number(values[MAX_IDLE]),
+                learnt_at=self._number(values[MAX_IDLE_LEARNT_AT]),
+            ),
+            retry_window=RetryWindowState(
+                window=int(values[WINDOW]),
+                retries=sorted(self._moments(values[RETRIES])),
+                requests=sorted(self._moments(values[REQUESTS])),
+            ),
+            endpoints=self._endpoints(),
+        )
+
+    def _latency(self) -> LatencyState:
+        values = self._values
+        return LatencyState(
+            baseline=self._number(values[BASELINE]),
+            mean_endpoint_factor=self._number(values[MEAN_ENDPOINT_FACTOR]),
+            response_count=int(values[RESPONSE_COUNT]),
+            service_time=self._average(values[SERVICE_TIME]),
+            zone_congestion=self._by_zone(ZONE_CONGESTION, self._average),
+            host_class_factors=self._by_zone(HOST_CLASS_FACTORS, self._average),
+            class_costs=self._by_class(CLASS_COSTS, self._average) if self._same_classes else None,
+        )
+
+    def _load(self) -> LoadState:
+        values = self._values
+        return LoadState(
+            utilization=self._number(values[UTILIZATION]),
+            load_per_core=self._number(values[LOAD_PER_CORE]),
+            work_fraction=self._number(values[WORK_FRACTION]),
+            zone_loads=self._by_zone(ZONE_LOADS, self._number),
+            full_capacities=self._by_zone(FULL_CAPACITIES, self._number),
+            request_rates=self._by_zone(REQUEST_RATES, self._average),
+        )
+
+    def _classes(self) -> ClassState:
+        if not self._same_classes:
+            return ClassState(None, None)
+        return ClassState(
+            request_shares=self._by_class(REQUEST_SHARES, self._number),
+            served_ratios=self._by_class(SERVED_RATIOS, self._number),
         )
-        spells = {int(c): (int(length), int(until)) for c, length, until in told["spells"]}
-        sets.append(
-            (upstream, "spells", {c: (long, min(until, now + long)) for c, (long, until) in spells.items()})
+
+    def _admission(self) -> AdmissionState:
+        values = self._values
+        return AdmissionState(
+            last_response_at=self._number(values[LAST_RESPONSE_AT]),
+            late_ratio=self._average(values[LATE_RATIO]),
+            mean_value=self._number(values[MEAN_VALUE]) if self._same_classes else None,
+            shed_at=self._by_class(SHED_AT, self._number) if self._same_classes else None,
+            longest_timeouts=self._by_class(LONGEST_TIMEOUTS, self._number) if self._same_classes else None,
+        )
+
+    def _endpoints(self) -> dict[str, EndpointState]:
+        """Read what was learnt of the endpoints that are listed here, and have not started again since."""
+        states = {}
+        for name, values in self._values[ENDPOINTS].items():
+            endpoint = self._policy.endpoints.get(name)
+            if endpoint is not None and values[STARTED_AT] == endpoint.started_at:
+                states[name] = self._endpoint(values)
+        return states
+
+    def _endpoint(self, values: Mapping[str, Any]) -> EndpointState:
+        return EndpointState(
+            started_at=values[STARTED_AT],
+            reported_load=self._number(values[REPORTED_LOAD]),
+            load_reported_at=self._number(values[LOAD_REPORTED_AT]),
+            error_ratio=self._number(values[ERROR_RATIO]),
+            fault_ratio=self._number(values[FAULT_RATIO]),
+            last_response_at=self._number(values[ENDPOINT_LAST_RESPONSE_AT]),
+            answered_sent_at=self._number(values[ANSWERED_SENT_AT]),
+            send_tokens=self._number(values[SEND_TOKENS]),
+            send_tokens_at=self._number(values[SEND_TOKENS_AT]),
+            warmup_sends=self._moments(values[WARMUP_SENDS]),
+            latency_factor=self._average(values[LATENCY_FACTOR]),
+            class_errors=self._class_errors(values[CLASS_ERRORS]) if self._same_classes else None,
+            ejections=self._ejections(values[EJECTIONS]) if self._same_classes else None,
         )
-    return sets
 
+    def _class_errors(self, rows: Iterable[Any]) -> dict[int, ClassErrorRatio]:
+        return {
+            int(class_index): ClassErrorRatio(float(ratio), min(self._now, int(updated_at)))
+            for class_index, ratio, updated_at in rows
+        }
+
+    def _ejections(self, rows: Iterable[Any]) -> dict[int, Ejection]:
+        """Read ejections; none ends later than if it began now, as the clocks of two processes may differ."""
+        ejections = {}
+        for class_index, duration, until in rows:
+            latest = self._now + int(duration)
+            ejections[int(class_index)] = Ejection(int(duration), min(int(until), latest))
+        return ejections
+
+    def _by_zone(self, key: str, read: Callable[[Any], T]) -> dict[int, T] | None:
+        """Read a table by number of zone or host class; None where the numbers mean something else here."""
+        if not self._same_zones:
+            return None
+        return {int(number): read(value) for number, value in self._values[key].items()}
+
+    def _by_class(self, key: str, read: Callable[[Any], T]) -> list[T]:
+        """Read a list that has one value for each request class."""
+        values = self._values[key]
+        if len(values) != len(self._policy.settings.classes):
+            raise ValueError(f"{key} has {len(values)} values")
+        return [read(value) for value in values]
 
-def _figure(value: Any, now: int) -> float:
-    """A figure, or a moment, which is not to lie ahead: the clocks of two processes may differ a little."""
-    if isinstance(value, bool) or not isinstance(value, int | float) or math.isnan(value):
-        raise ValueError(f"{value!r} is no figure")
-    return min(value, now) if isinstance(value, int) else value
+    def _moments(self, values: Iterable[Any]) -> list[int]:
+        return [min(self._now, int(value)) for value in values]
 
+    def _number(self, value: Any) -> Any:
+        """Read a number, or a moment, which must not lie ahead: the clocks of two processes may differ."""
+        if isinstance(value, bool) or not isinstance(value, int | float) or math.isnan(value):
+            raise ValueError(f"{value!r} is no number")
+        return min(value, self._now) if isinstance(value, int) else value
 
-def _evidence(value: Any, now: int) -> Evidence:
-    evidence = Evidence()
-    mean, weight, at = value
-    evidence.value, evidence.weight, evidence.at = float(mean), float(weight), min(now, int(at))
-    if math.isnan(evidence.value) or not evidence.weight >= 0:
-        raise ValueError(f"{value!r} is no evidence")
-    return evidence
+    def _average(self, values: Any) -> DecayingAverage:
+        value, weight, updated_at = values
+        average = DecayingAverage(float(value), float(weight), min(self._now, int(updated_at)))
+        if math.isnan(average.value) or not average.weight >= 0:
+            raise ValueError(f"{values!r} is no average")
+        return average
--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -210,7 +210,7 @@
 
     def _take_over(self) -> None:
         if not self._has_restored_policy:
-            self._policy_switch.alone(clock())
+            self._policy_switch.resume(clock())
         self._open_socket()
         self._publish_socket()
         self.start_accepting()
@@ -225,7 +225,7 @@
             Handover(
                 socket_limit=self._budget.leave_to_successor(),
                 request_ids=self._listener.intake.marks(),
-                policy_snapshot=self._policy_switch.learnt(),
+                policy_snapshot=self._policy_switch.hand_over(),
                 settings_digest=self._current_config().digest,
             )
         )
@@ -246,7 +246,7 @@
         """Serve again until the end of this process: its successor has ended."""
         # first, so that there is room for the clients that come back
         self._budget.whole()
-        self._policy_switch.alone(clock())
+        self._policy_switch.resume(clock())
         self._listener.passes = None
         self.start_accepting()
 
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -232,7 +232,7 @@
         log.info("phase_changed", phase=phase.value, **self.metrics.totals())
 
     def _metrics_text(self) -> str:
-        return self.metrics.text(len(self.upstreams.known), self.policy_switch.avoided(clock()))
+        return self.metrics.text(len(self.upstreams.known), self.policy_switch.count_unavailable(clock()))
 
 
 def main(environ: Mapping[str, str]) -> int:
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -71,7 +71,7 @@
             return
         needs_restart = self.config.restart_for(read)
         switches_settings = not new.same_settings(self.config)
-        if switches_settings and not self._policy_switch.can:
+        if switches_settings and not self._policy_switch.is_supported:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
         self._metrics.files_accepted += 1
--- /dev/null
+++ b/tests/policy/test_endpoint_list.py
@@ -0,0 +1,180 @@
+"""Lists, drains, removals that are advisory, and the subscription."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+import pytest
+
+from linetrack.policy.actions import (
+    SetTimer,
+    WatchEndpoints,
+)
+from linetrack.policy.balancer import Balancer
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    EndpointStatus,
+    ListForm,
+    Outcome,
+    TimerFired,
+)
+from tests import helpers
+from tests.helpers import MS, SECOND, Driver, fleet, sends
+
+
+def sends_by_endpoint(driver: Driver, count: int = 300) -> Counter[str]:
+    return Counter(driver.serve() for _ in range(count))
+
+
+def test_draining_and_missing_endpoints_get_nothing() -> None:
+    driver = Driver()
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),)))
+    assert not set(sends_by_endpoint(driver, 100)) & {"h0", "h1"}
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(3, 0)[2:]))
+    assert set(sends_by_endpoint(driver, 50)) == {"h2"}
+
+
+def test_discovery_is_polled_again_with_backoff_and_jitter() -> None:
+    driver = Driver(must_subscribe=True, poll_interval=8 * SECOND, entries=())
+    waits = []
+    for _ in range(6):
+        timers = driver.feed(EndpointListUpdate(ListForm.REJECTED))
+        assert isinstance(timers[0], SetTimer)
+        waits.append(timers[0].delay)
+        assert driver.feed(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
+    assert waits[0] <= 1.5 * SECOND < 2 * SECOND <= waits[-1] <= 6 * SECOND
+
+
+@pytest.mark.parametrize("instances", [2, 500])
+def test_first_polls_are_spread_by_the_number_of_instances(instances: int) -> None:
+    """Hundreds that start together must not poll at one moment, and few must not wait for it."""
+    waits = []
+    for seed in range(60):
+        driver = Driver(
+            seed=seed, must_subscribe=True, poll_interval=10 * SECOND, instance_count=instances, entries=()
+        )
+        timers = Balancer(driver.balancer.settings, seed).handle(
+            0, EndpointListUpdate(ListForm.CACHED, fleet())
+        )
+        assert isinstance(timers[0], SetTimer) and timers[0].token == "ask"
+        waits.append(timers[0].delay)
+    assert max(waits) <= min(5 * SECOND, instances * 10 * MS)
+    assert max(waits) > 0.4 * min(5 * SECOND, instances * 10 * MS)
+
+
+def test_what_is_removed_is_forgotten_while_its_attempts_are_in_flight() -> None:
+    # records must not grow with every endpoint, zone and host class that ever was
+    driver = Driver()
+    request, actions = driver.ask()
+    old = sends(actions)[0]
+    for n in range(300):
+        entry = EndpointEntry(f"n{n}", zone=n % 7, host_class=n % 11, started_at=driver.now)
+        gone = [EndpointEntry(f"n{n - 1}", status=EndpointStatus.REMOVED)] if n else []
+        driver.feed(
+            EndpointListUpdate(
+                ListForm.DELTA, (entry, *gone, EndpointEntry(old, status=EndpointStatus.REMOVED))
+            ),
+            20 * MS,
+        )
+    balancer = driver.balancer
+    assert old not in balancer.endpoints and len(balancer.endpoints) == 7
+    # the rotation goes on although what was attempted last is no longer listed
+    assert sends(driver.end(request, old, Outcome.RESET)) != [old]
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(2, 0)))
+    assert set(balancer.endpoints) == {"h0", "h1"}
+    for _ in range(20):
+        driver.serve(report=(1.0,))
+    learnt = balancer.latency_model.export_state()
+    assert learnt.zone_congestion is not None and learnt.host_class_factors is not None
+    assert len(learnt.zone_congestion) == len(learnt.host_class_factors) == 1
+    assert not balancer.lifecycle.abandoned
+
+
+def list_status(driver: Driver, health: EndpointStatus, name: str = "h0", started: int = 0) -> None:
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=health, started_at=started),)))
+
+
+def count_sends_to(driver: Driver, name: str, down: bool = False) -> int:
+    """Return how many of 100 requests went there; it answers, or is down."""
+    went = 0
+    for _ in range(100):
+        driver.now += 50 * MS
+        request, actions = driver.ask()
+        attempt = 0
+        while endpoints := sends(actions):
+            went += endpoints[0] == name
+            fails = down and endpoints[0] == name
+            how = Outcome.CONNECT_FAILED if fails else Outcome.SUCCESS
+            actions = driver.end(request, endpoints[0], how, 50 * MS, attempt)
+            attempt += 1
+    return went
+
+
+@pytest.mark.parametrize("left_out", [False, True])
+def test_removal_is_advisory_where_the_settings_say_so(left_out: bool) -> None:
+    for advice in (False, True):
+        driver = Driver(removal_is_advisory=advice)
+        if left_out:
+            driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.fleet()[1:]))
+        else:
+            list_status(driver, EndpointStatus.REMOVED)
+        assert (count_sends_to(driver, "h0") > 10) is advice
+
+
+def test_an_endpoint_that_is_removed_indeed_costs_few_trials_and_is_forgotten() -> None:
+    driver = Driver(removal_is_advisory=True, entries=helpers.fleet(2, 0), max_attempts=1)
+    list_status(driver, EndpointStatus.REMOVED)
+    went = 0
+    for _ in range(100):
+        went += count_sends_to(driver, "h0", down=True)
+        if "h0" not in driver.balancer.endpoints:
+            break
+    assert 0 < went <= 5 and "h0" not in driver.balancer.endpoints
+
+
+def test_an_endpoint_that_drained_gets_nothing_until_it_has_started_again() -> None:
+    driver = Driver(removal_is_advisory=True, slow_start_duration=0)
+    list_status(driver, EndpointStatus.DRAINING)
+    list_status(driver, EndpointStatus.REMOVED)
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.fleet()[1:]))
+    assert not count_sends_to(driver, "h0")
+    list_status(driver, EndpointStatus.UP)
+    assert not count_sends_to(driver, "h0"), "the same process"
+    list_status(driver, EndpointStatus.UP, started=driver.now - 60 * SECOND)
+    assert count_sends_to(driver, "h0") > 10
+
+
+def test_records_of_unlisted_endpoints_are_bounded_and_hold_a_fleet_of_1024() -> None:
+    """Records must not be kept for ever, and the bound must not forget half of a large fleet at once."""
+    driver = Driver(removal_is_advisory=True, entries=())
+    for generation in range(4):
+        fleet = tuple(EndpointEntry(f"{generation}-{n}") for n in range(1024))
+        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet))
+        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, ()))
+        assert all(entry.endpoint in driver.balancer.endpoints for entry in fleet)
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, tuple(EndpointEntry(f"4-{n}") for n in range(1024))))
+    assert 2 * 1024 <= len(driver.balancer.endpoints) <= 3 * 1024
+
+
+def test_removal_that_binds_again_binds_from_the_settings_switch_on() -> None:
+    driver = Driver(removal_is_advisory=True)
+    list_status(driver, EndpointStatus.REMOVED)
+    driver.switch_settings()
+    assert not count_sends_to(driver, "h0")
+
+
+def test_what_is_open_at_a_settings_switch_sees_drains_that_its_successor_was_notified_of() -> None:
+    """With a list of its own, the old instance would choose one that drains, and give up."""
+    driver = Driver(slow_start_duration=0)
+    request, actions = driver.ask()
+    first, old = sends(actions)[0], driver.balancer
+    driver.switch_settings(slow_start_duration=0)
+    left = next(name for name in old.endpoints if name != first)
+    listed = tuple(entry for entry in helpers.fleet() if entry.endpoint in (first, left))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed))
+    list_status(driver, EndpointStatus.DRAINING, first)
+    ended = AttemptEnded(request, 0, first, Outcome.CONNECT_FAILED, MS)
+    assert sends(old.handle(driver.now, ended)) == [left]
--- /dev/null
+++ b/tests/policy/test_send_guard.py
@@ -0,0 +1,89 @@
+"""What no decision may do."""
+
+from __future__ import annotations
+
+import pytest
+
+from linetrack.policy.actions import (
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+)
+from linetrack.policy.events import (
+    Outcome,
+    TimerFired,
+)
+from tests.helpers import CELL, KEYED, KEYED_ALL, MS, SECOND, UNSAFE, Driver, sends
+
+
+def test_non_idempotent_request_is_never_hedged_and_fails_after_a_timeout() -> None:
+    driver = Driver()
+    for _ in range(30):
+        driver.serve()
+    request, actions = driver.ask(UNSAFE)
+    assert not [a for a in actions if isinstance(a, SetTimer)]
+    assert driver.feed(TimerFired(f"copy:{request}"), SECOND) == []
+    assert driver.end(request, sends(actions)[0], Outcome.TIMEOUT) == [FailRequest(request)]
+
+
+def test_non_idempotent_request_is_retried_after_proof_that_it_was_never_executed() -> None:
+    driver = Driver()
+    request, actions = driver.ask(UNSAFE)
+    assert sends(driver.end(request, sends(actions)[0], Outcome.OVERLOADED, MS))
+
+
+@pytest.mark.parametrize(("class_index", "outside"), [(KEYED, "zone"), (CELL, "cell"), (KEYED_ALL, "")])
+def test_request_with_a_key_stays_in_its_deduplication_scope_and_window(
+    class_index: int, outside: str
+) -> None:
+    for seed in range(20):
+        driver = Driver(seed=seed)
+        request, actions = driver.ask(class_index)
+        first = driver.balancer.endpoints[sends(actions)[0]]
+        for name in sends(driver.end(request, first.name, Outcome.RESET, MS)):
+            record = driver.balancer.endpoints[name]
+            assert outside != "zone" or record.zone == first.zone
+            assert outside != "cell" or (record.zone, record.cell) == (first.zone, first.cell)
+        driver = Driver(seed=seed)
+        request, actions = driver.ask(class_index)
+        assert not sends(driver.end(request, sends(actions)[0], Outcome.RESET, SECOND))
+
+
+def test_never_two_at_once_where_not_allowed() -> None:
+    driver = Driver(may_run_parallel_attempts=False)
+    for _ in range(30):
+        driver.serve()
+    request, _ = driver.ask()
+    assert sends(driver.feed(TimerFired(f"copy:{request}"), SECOND)) == []
+
+
+def test_attempts_never_exceed_the_allowed_number() -> None:
+    driver = Driver(max_attempts=2)
+    request, actions = driver.ask()
+    tries = 0
+    while endpoints := sends(actions):
+        actions = driver.end(request, endpoints[0], Outcome.OVERLOADED, MS, tries)
+        tries += 1
+    assert tries == 2
+    assert isinstance(actions[0], RejectRequest)
+
+
+def test_the_guard_gives_one_final_response_and_no_attempt_after_it() -> None:
+    driver = Driver()
+    request_id, _ = driver.ask()
+    balancer = driver.balancer
+    request = balancer.lifecycle.requests[request_id]
+    endpoint = balancer.endpoints["h1"]
+    assert balancer.guard.send(driver.now, request, endpoint) is not None, "a hedged attempt"
+    balancer.guard.respond(driver.now, request)
+    balancer.guard.respond(driver.now, request)
+    assert balancer.guard.send(driver.now, request, endpoint) is None
+
+
+def test_the_guard_sends_nothing_to_an_endpoint_that_drains_whoever_asks() -> None:
+    driver = Driver()
+    request_id, _ = driver.ask()
+    balancer = driver.balancer
+    balancer.endpoints["h1"].is_routable = False
+    request = balancer.lifecycle.requests[request_id]
+    assert balancer.guard.send(driver.now, request, balancer.endpoints["h1"]) is None
--- /dev/null
+++ b/tests/policy/test_slow_start.py
@@ -0,0 +1,119 @@
+"""What a warming endpoint is sent; `test_slow_start_fleet.py` plays whole fleets."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, strategies
+
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    ListForm,
+    Outcome,
+)
+from tests.helpers import MS, SECOND, Driver, fleet, sends
+
+
+@pytest.mark.parametrize("instances", [1, 3, 9])
+def test_warming_endpoint_is_not_overloaded_by_all_instances_together(instances: int) -> None:
+    start, service = 1000 * SECOND, 50 * MS
+    drivers = []
+    for n in range(instances):
+        driver = Driver(seed=n, instance=n, instance_count=instances, entries=fleet(2, 0))
+        for _ in range(20):
+            driver.serve(latency=service)
+        driver.now = start + 10 * SECOND
+        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),)))
+        drivers.append(driver)
+    sent: list[int] = []
+    for step in range(1000):
+        for driver in drivers:
+            driver.now = start + 10 * SECOND + step * 10 * MS
+            request, actions = driver.ask()
+            if sends(actions):
+                sent.append(driver.now)
+                driver.feed(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service, True))
+    assert sent
+    for at in sent:
+        share = 0.2 + 0.8 * (at - start - 10 * SECOND) / (10 * SECOND)
+        work = service * sum(1 for t in sent if at <= t < at + SECOND)
+        assert work <= 3.0 * share * SECOND
+
+
+def test_restarted_endpoint_warms_up_again_and_nothing_learnt_holds() -> None:
+    driver = Driver(entries=fleet(2, 0))
+    for _ in range(20):
+        driver.serve()
+    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
+    record = driver.balancer.endpoints["h0"]
+    assert record.latency_factor.weight == 0
+    assert record.warm_fraction_at(driver.now, driver.balancer.settings) == pytest.approx(0.2)
+
+
+def test_warm_and_warming_endpoints_side_by_side() -> None:
+    """A warm endpoint with a stated start beside a warming one: the warm one has no limit."""
+    driver = Driver(entries=fleet(2, 0))
+    driver.now += 30 * SECOND
+    old, new = (
+        EndpointEntry("old", started_at=driver.now - 20 * SECOND),
+        EndpointEntry("new", started_at=driver.now),
+    )
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (old, new)))
+    assert {driver.serve(latency=10 * MS) for _ in range(20)} >= {"old"}
+
+
+def test_hundreds_of_instances_use_a_warming_endpoint_and_do_not_overload_it() -> None:
+    """Each one's part is far under a send: turns would leave it unused, so sends are chosen at random."""
+    count, service, start = 300, 50 * MS, 1010 * SECOND
+    drivers = []
+    for n in range(count):
+        driver = Driver(seed=n, instance=n, instance_count=count, entries=fleet(4, 0))
+        for _ in range(5):
+            driver.serve(latency=service)
+        driver.now = start
+        driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
+        drivers.append(driver)
+    sent: list[int] = []
+    for step in range(20):
+        for n, driver in enumerate(drivers):
+            driver.now = start + step * 500 * MS + n * MS
+            request, actions = driver.ask()
+            sent += [driver.now for name in sends(actions) if name == "cold"]
+            for name in sends(actions):
+                driver.feed(AttemptEnded(request, 0, name, Outcome.SUCCESS, service, True))
+    assert len(sent) > 10
+    for at in sent:
+        share = 0.2 + 0.8 * (at - start) / (10 * SECOND)
+        assert service * sum(1 for t in sent if at <= t < at + SECOND) <= 3.0 * share * SECOND
+
+
+@given(
+    strategies.lists(
+        strategies.tuples(strategies.floats(0, 100), strategies.floats(0, 1) | strategies.none()),
+        min_size=1,
+        max_size=8,
+    )
+)
+def test_shares_of_warming_endpoints_keep_to_their_tokens_and_warm_ones_have_the_rest(
+    parts: list[tuple[float, float | None]],
+) -> None:
+    entries = tuple(
+        EndpointEntry(f"h{n}", started_at=0 if tokens is None else 1000 * SECOND)
+        for n, (_, tokens) in enumerate(parts)
+    )
+    driver = Driver(entries=entries, instance_count=10_000)
+    balancer, odds = driver.balancer, [share for share, _ in parts]
+    endpoints = list(balancer.endpoints.values())
+    for endpoint, (_, tokens) in zip(endpoints, parts, strict=True):
+        endpoint.send_tokens = tokens or 0.0
+        endpoint.send_tokens_at = driver.now
+    clipped = balancer.slow_start.clip_weights(driver.now, endpoints, odds)
+    total, whole = sum(clipped) or 1.0, sum(odds) or 1.0
+    caps = [0.0 if c is None else min(o / whole, c) for o, c in parts]
+    warm = [o if c is None else 0.0 for o, c in parts]
+    if sum(caps) >= 1 - 1e-9 or 0 < sum(warm) <= 1e-6 * whole:
+        return
+    for at, (_, tokens) in enumerate(parts):
+        wanted = caps[at] if tokens is not None else (1 - sum(caps)) * warm[at] / (sum(warm) or 1.0)
+        assert clipped[at] / total == pytest.approx(wanted, abs=1e-6)
--- /dev/null
+++ b/tests/policy/test_traffic_share.py
@@ -0,0 +1,129 @@
+"""The estimate of the share of the fleet's traffic that one instance carries."""
+
+from __future__ import annotations
+
+import pytest
+
+from linetrack.policy.actions import StartAttempt
+from linetrack.policy.balancer import Balancer
+from linetrack.policy.decaying_average import SECOND, DecayingAverage
+from linetrack.policy.endpoint import Endpoint
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointEntry,
+    EndpointListUpdate,
+    ListForm,
+    Outcome,
+    RequestReceived,
+)
+from linetrack.policy.settings import LoadField
+from linetrack.policy.traffic_share import ESTIMATE_LIFETIME, EVEN_WEIGHT, SEND_DECAY_TIME, TrafficShare
+from tests.helpers import MS, SAFE, settings
+
+BEGIN = 1000 * SECOND
+ENDPOINTS = [Endpoint(EndpointEntry(f"u{n}", host_class=n % 2)) for n in range(10)]
+
+
+def reported(rate: float) -> dict[int, DecayingAverage]:
+    """Return the rates where both host classes report this one, in requests a second, for each endpoint."""
+    rates = {0: DecayingAverage(), 1: DecayingAverage()}
+    for average in rates.values():
+        average.add(BEGIN, rate / SECOND)
+    return rates
+
+
+def estimate_after(instances: int, sends: int, rate: float) -> float:
+    """Return the estimate after so many evenly spaced sends, rates reported all along."""
+    share, span = TrafficShare(instances), 4 * SEND_DECAY_TIME
+    for n in range(sends):
+        share.record_send(BEGIN + n * span // sends)
+    return share.estimate(BEGIN + span, ENDPOINTS, reported(rate))
+
+
+def test_an_instance_with_more_traffic_has_the_larger_share() -> None:
+    even, measured = 1 / 40, 0.2
+    # a fifth of the 100 requests a second that ten endpoints report together, for 20 s
+    assert estimate_after(40, 400, 10.0) == pytest.approx(
+        EVEN_WEIGHT * even + (1 - EVEN_WEIGHT) * measured, rel=0.1
+    )
+
+
+@pytest.mark.parametrize("rates", [(1.0, 2.0, 3.0, 14.0), (5.0, 5.0, 5.0, 5.0), (0.1, 0.1, 0.1, 19.7)])
+def test_the_shares_of_all_instances_add_up_to_about_one(rates: tuple[float, ...]) -> None:
+    shares = [
+        estimate_after(len(rates), int(rate * 4 * SEND_DECAY_TIME / SECOND), sum(rates) / len(ENDPOINTS))
+        for rate in rates
+    ]
+    assert sum(shares) == pytest.approx(1.0, abs=0.1)
+
+
+def test_the_share_is_even_until_every_host_class_of_warm_endpoints_has_reported() -> None:
+    """A share of nothing, or of a part of the fleet taken for all of it, would be far too large."""
+    share = TrafficShare(8)
+    share.record_send(BEGIN)
+    assert share.estimate(BEGIN, ENDPOINTS, {}) == 1 / 8
+    only = {0: reported(10.0)[0]}
+    assert share.estimate(BEGIN + ESTIMATE_LIFETIME, ENDPOINTS, only) == 1 / 8
+    assert share.estimate(BEGIN + 2 * ESTIMATE_LIFETIME, [], reported(10.0)) == 1 / 8
+
+
+def test_a_fleet_that_loses_instances_does_not_hand_out_their_shares_at_once() -> None:
+    """Those that are left would take all, while those that start again claim the even share."""
+    share = TrafficShare(10)
+    for n in range(100):
+        share.record_send(BEGIN + n * 200 * MS)
+    now = BEGIN + 20 * SECOND
+    before = share.estimate(now, ENDPOINTS, reported(10.0))
+    # nine in ten have ended, with their traffic: what is served falls to this instance's own
+    assert share.estimate(now + ESTIMATE_LIFETIME, ENDPOINTS, reported(0.5)) < 1.3 * before
+
+
+def test_the_estimate_is_renewed_once_in_a_while_alone() -> None:
+    """A look at every endpoint for each decision about a warming one would take too long."""
+    share = TrafficShare(4)
+    first = share.estimate(BEGIN, ENDPOINTS, reported(10.0))
+    for _ in range(100):
+        share.record_send(BEGIN)
+    assert share.estimate(BEGIN + ESTIMATE_LIFETIME - 1, ENDPOINTS, reported(10.0)) == first
+    assert share.estimate(BEGIN + ESTIMATE_LIFETIME, ENDPOINTS, reported(10.0)) > first
+
+
+def warming_sends(share_of_traffic: float) -> int:
+    """Return sends to one warming endpoint beside nine warm ones, by one of 40 instances with this share."""
+    fleet_rate, arrivals = 270.0, 1500
+    balancer = Balancer(
+        settings(
+            instance_count=40,
+            load_report_fields=(LoadField.REQUEST_RATE,),
+            slow_start_initial_fraction=0.3,
+            slow_start_duration=60 * SECOND,
+            overload_multiple=3.0,
+            overload_window=SECOND,
+        ),
+        7,
+    )
+    warm = tuple(EndpointEntry(f"warm{n}") for n in range(9))
+    balancer.handle(BEGIN, EndpointListUpdate(ListForm.CACHED, warm))
+    now, sent, starts_at = BEGIN, 0, BEGIN + 5 * SECOND
+    for number in range(1, arrivals + 1):
+        now += int(SECOND / (fleet_rate * share_of_traffic))
+        if balancer.endpoints.get("warming") is None and now > starts_at:
+            balancer.handle(
+                now, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("warming", started_at=now),))
+            )
+        for action in balancer.handle(now, RequestReceived(number, SAFE, 2 * SECOND)):
+            if isinstance(action, StartAttempt):
+                sent += action.endpoint == "warming"
+                took = 40 * MS if action.endpoint == "warming" else 20 * MS
+                report = (fleet_rate / 9,)
+                ended = AttemptEnded(number, 0, action.endpoint, Outcome.SUCCESS, took, True, report)
+                balancer.handle(now + took, ended)
+        if now > starts_at + 10 * SECOND:
+            break
+    return sent
+
+
+def test_a_warming_endpoint_is_sent_to_by_an_instance_in_proportion_to_its_traffic() -> None:
+    """With equal parts, light instances would leave theirs unused, and the heaviest, with a fifth of all
+    traffic, would reject requests while warming endpoints are idle."""
+    assert warming_sends(0.2) > 3 * warming_sends(0.02) > 0
--- /dev/null
+++ b/tests/test_large_fleets.py
@@ -0,0 +1,61 @@
+"""Lists of 1,024 endpoints, and fleets of 1,024 sidecars: listed, drained, replaced, removed, handed over."""
+
+import json
+
+from linetrack.control import policy_snapshot
+from linetrack.policy.balancer import Balancer
+from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
+from linetrack.server.endpoint_list import MAX_ENDPOINT_LIST_BYTES, decode_endpoint_list
+from linetrack.server.hot_restart_messages import MAX_FRAME_BYTES
+from linetrack.server.http1.responses import ResponseReader
+from tests.helpers import Driver
+from tests.stand_ins import entry
+
+ENDPOINT_COUNT = 1024
+
+
+def endpoints(generation: str = "a", status: EndpointStatus = EndpointStatus.UP) -> tuple[EndpointEntry, ...]:
+    return tuple(
+        EndpointEntry(f"{generation}-{n}", zone=n % 2, cell=n % 8, status=status)
+        for n in range(ENDPOINT_COUNT)
+    )
+
+
+def endpoints_used(driver: Driver) -> set[str]:
+    """Return where 200 requests go; all are served."""
+    return {driver.serve() for _ in range(200)}
+
+
+def test_all_of_a_large_fleet_is_used_but_what_drains_or_is_removed() -> None:
+    driver = Driver(entries=endpoints(), instance_count=ENDPOINT_COUNT)
+    assert len(endpoints_used(driver)) > 100
+    leaving = endpoints(status=EndpointStatus.DRAINING)[: ENDPOINT_COUNT - 2]
+    driver.feed(EndpointListUpdate(ListForm.DELTA, leaving))
+    assert not endpoints_used(driver) & {e.endpoint for e in leaving}
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, endpoints("b")))
+    assert endpoints_used(driver) <= {e.endpoint for e in endpoints("b")}
+    assert len(driver.balancer.endpoints) == ENDPOINT_COUNT
+
+
+def test_a_snapshot_of_a_large_fleet_fits_into_one_frame() -> None:
+    old = Driver(entries=endpoints())
+    endpoints_used(old)
+    snapshot = json.dumps(policy_snapshot.take(old.balancer))
+    listed = json.dumps([entry(e.endpoint) for e in endpoints()])
+    assert len(snapshot) + len(listed) < MAX_FRAME_BYTES / 8
+    new = Balancer(old.balancer.settings, 2)
+    new.handle(old.now, EndpointListUpdate(ListForm.CACHED, endpoints()))
+    assert policy_snapshot.restore(new, json.loads(snapshot), old.now, True, True)
+    assert {name: each.answered_sent_at for name, each in new.endpoints.items()} == {
+        name: each.answered_sent_at for name, each in old.balancer.endpoints.items()
+    }
+
+
+def test_a_large_list_is_read_completely_however_it_is_laid_out_or_cut() -> None:
+    value = {"version": 7, "full": True, "servers": [entry(f"u{n}") for n in range(ENDPOINT_COUNT)]}
+    for indent in (None, 4):
+        body = json.dumps(value, indent=indent).encode()
+        reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
+        whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        got = [reader.feed(whole[at : at + 1000]) for at in range(0, len(whole), 1000)][-1]
+        assert got is not None and len(decode_endpoint_list(got.body).endpoints) == ENDPOINT_COUNT
