--- /dev/null
+++ b/tests/server/hot_restart_world.py
@@ -0,0 +1,108 @@
+"""A program that can be started again beside itself."""
+
+from __future__ import annotations
+
+import threading
+import time
+from pathlib import Path
+from typing import Any
+
+from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, request, until
+from tests.test_admin import admin, ask
+
+MAX_REQUESTS = 100_000  # of one client
+
+
+class RestartableWorld:
+    """A world whose sidecar can be started again beside itself, with one folder for both."""
+
+    def __init__(self, folder: Path, *upstreams: Upstream) -> None:
+        self.folder = folder
+        (folder / "t").mkdir()
+        self.world = World(folder, *upstreams)
+        self.old = self.world.sidecar
+        self.old.environ["TMPDIR"] = str(folder / "t")
+        admin(self.old)
+        self.successors: list[Sidecar] = []
+
+    def __enter__(self) -> RestartableWorld:
+        self.world.__enter__()
+        return self
+
+    def __exit__(self, *fault: Any) -> None:
+        for successor in self.successors:
+            successor.__exit__(None, None, None)
+        self.world.__exit__(*fault)
+
+    def start_successor(self, ready: bool = True, **changes: Any) -> Sidecar:
+        """Start the program again, with an admin address of its own, and wait for it unless `ready` is false."""
+        number = len(self.successors)
+        folder = self.folder / f"successor-{number}"
+        folder.mkdir()
+        config = {**self.old.config, "admin_addr": free_address(), **changes}
+        successor = Sidecar(folder, config, self.old.address, environ=dict(self.old.environ))
+        self.successors.append(successor)
+        successor.launch()
+        if ready:
+            until(lambda: is_running_and_ready(successor), "ready")
+        return successor
+
+
+class KeptConnectionLoad:
+    """Clients that send one request after the other, each on one connection that is never to be closed."""
+
+    def __init__(self, sidecar: Sidecar, clients: int) -> None:
+        self.sidecar = sidecar
+        self.faults: list[str] = []
+        self.stopping = threading.Event()
+        self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(clients)]
+
+    def start(self) -> None:
+        for thread in self.threads:
+            thread.start()
+
+    def stop(self) -> None:
+        """Stop sending, once each client has its last response."""
+        self.stopping.set()
+        for thread in self.threads:
+            thread.join()
+
+    def _run(self, number: int) -> None:
+        wire = self.sidecar.connect()
+        with wire.sock:
+            for turn in range(MAX_REQUESTS):
+                if self.stopping.is_set() or not self._ask(wire, f"{number}-{turn}"):
+                    return
+
+    def _ask(self, wire: Wire, request_id: str) -> bool:
+        """Send one request; return whether it was answered and the connection kept."""
+        try:
+            wire.sock.sendall(request("/pay/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0"))
+            reply = wire.read()
+        except OSError as fault:
+            self.faults.append(f"{request_id}: {fault}")
+            return False
+        if reply is None or reply.status != 200 or "connection" in reply.headers:
+            self.faults.append(f"{request_id}: {reply}")
+            return False
+        return True
+
+
+def is_running_and_ready(sidecar: Sidecar) -> bool:
+    """Whether its admin address reports that it is ready; fails where the process has ended."""
+    assert sidecar.process and sidecar.process.poll() is None, sidecar.log()
+    return is_ready(sidecar)
+
+
+def is_ready(sidecar: Sidecar) -> bool:
+    """Whether its admin address reports that it is ready."""
+    try:
+        return ask(sidecar.config["admin_addr"], "/admin/health").status == 200
+    except (OSError, AssertionError):
+        return False
+
+
+def respond_slowly(message: Message, wire: Wire) -> bytes:
+    """A script of an upstream that takes 20 ms."""
+    time.sleep(0.02)
+    return answer(b"ok")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,7 +13,7 @@
 from linetrack.control.metrics import Metrics, RequestOutcome
 from linetrack.policy.events import Outcome
 from tests.helpers import SAFE, SECOND, Driver
-from tests.server.test_settings_switch import moved, reload
+from tests.server.reloading import reload, reshaped
 from tests.stand_ins import (
     Message,
     Sidecar,
@@ -95,7 +95,7 @@
         wire.sock.close()
         until(lambda: figures(address)["app_open_requests"] == 0)
         reload(sidecar, json.dumps(sidecar.config)[:-9])
-        reload(sidecar, moved(sidecar.config))
+        reload(sidecar, reshaped(sidecar.config))
         told = until(lambda: (f := figures(address))["app_cfg_accepted_total"] and f)
         assert (told["app_cfg_accepted_total"], told["app_cfg_invalid_total"]) == (1, 1)
         assert told[row("pay", "throttled")] == 1 and told[row("quote", "fulfilled")] == 0
@@ -146,7 +146,9 @@
 LINE = re.compile(r'app_[a-z_]+(\{priority="(\\.|[^"\\\n])*",status="[a-z]+"\})? \d+')
 
 
-@given(st.lists(st.tuples(st.text(max_size=5), st.sampled_from(RequestOutcome)), max_size=30), st.integers(0, 9))
+@given(
+    st.lists(st.tuples(st.text(max_size=5), st.sampled_from(RequestOutcome)), max_size=30), st.integers(0, 9)
+)
 def test_totals_agree_and_whatever_a_class_is_called_the_text_can_be_read(
     ends: list[tuple[str, RequestOutcome]], left: int
 ) -> None:
