--- a/linetrack/policy/admission.py
+++ b/linetrack/policy/admission.py
@@ -13,17 +13,15 @@
 from dataclasses import dataclass
 from random import Random
 
-from linetrack.policy.class_statistics import FAILING_RATIO, ClassStatistics
+from linetrack.policy.class_statistics import FAILING_RATIO
 from linetrack.policy.decaying_average import DECAY_TIME, SECOND, SLOW_EWMA_WEIGHT, DecayingAverage, decayed
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.endpoint_weights import WeightedEndpoints
 from linetrack.policy.events import RequestReceived
-from linetrack.policy.latency_model import LatencyModel
-from linetrack.policy.load_reports import LoadReports
+from linetrack.policy.models import Models
 from linetrack.policy.protocols import OverloadController
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Settings
-from linetrack.policy.success_model import SuccessModel
 from linetrack.policy.tenant_quotas import TenantQuotas
 
 ON_TIME_STEEPNESS = 2.5  # chance to meet the objective: 1 / (1 + (expected latency / objective) ** this)
@@ -57,20 +55,17 @@
         settings: Settings,
         random: Random,
         endpoints: Mapping[str, Endpoint],
-        latency_model: LatencyModel,
-        success_model: SuccessModel,
-        load_reports: LoadReports,
-        classes: ClassStatistics,
+        models: Models,
         overload_controller: OverloadController | None,
     ) -> None:
         """Start with nothing late and nothing shed; `endpoints` are the listed ones, by name."""
         self._settings = settings
         self._random = random
         self._endpoints = endpoints
-        self._latency_model = latency_model
-        self._success_model = success_model
-        self._load_reports = load_reports
-        self._classes = classes
+        self._latency_model = models.latency
+        self._success_model = models.success
+        self._load_reports = models.load_reports
+        self._classes = models.classes
         self._overload_controller = overload_controller
         self._quotas = TenantQuotas(settings)
         self._mean_value = 0.0  # of a request, in priority weights; 0 before the first
--- a/linetrack/policy/attempt_outcomes.py
+++ b/linetrack/policy/attempt_outcomes.py
@@ -4,17 +4,13 @@
 
 from linetrack.policy.actions import Action, CloseIdleConnections
 from linetrack.policy.admission import Admission
-from linetrack.policy.class_statistics import ClassStatistics
 from linetrack.policy.endpoint import Attempt, Endpoint
 from linetrack.policy.endpoint_list import EndpointList
 from linetrack.policy.events import AttemptEnded, Outcome
-from linetrack.policy.idle_connections import IdleConnections
-from linetrack.policy.latency_model import LatencyModel
-from linetrack.policy.load_reports import LoadReports
+from linetrack.policy.models import Models
 from linetrack.policy.outlier_detection import OutlierDetector
 from linetrack.policy.protocols import OverloadController
 from linetrack.policy.settings import Settings
-from linetrack.policy.success_model import SuccessModel
 
 BROKEN_CONNECTION = (Outcome.CONNECT_FAILED, Outcome.RESET)
 SILENCE = (Outcome.TIMEOUT, Outcome.CANCELLED)
@@ -26,12 +22,8 @@
     def __init__(
         self,
         settings: Settings,
-        load_reports: LoadReports,
-        classes: ClassStatistics,
-        latency_model: LatencyModel,
-        success_model: SuccessModel,
+        models: Models,
         outlier_detector: OutlierDetector,
-        idle_connections: IdleConnections,
         endpoint_list: EndpointList,
         admission: Admission,
         overload_controller: OverloadController | None,
@@ -39,12 +31,8 @@
     ) -> None:
         """Hand outcomes to these parts; append to `actions` what is to be done."""
         self._settings = settings
-        self._load_reports = load_reports
-        self._classes = classes
-        self._latency_model = latency_model
-        self._success_model = success_model
+        self._models = models
         self._outlier_detector = outlier_detector
-        self._idle_connections = idle_connections
         self._endpoint_list = endpoint_list
         self._admission = admission
         self._overload_controller = overload_controller
@@ -62,13 +50,13 @@
         if self._is_retired:
             return
         if event.load_report:
-            self._load_reports.record_report(now, endpoint, event.load_report)
+            self._models.load_reports.record_report(now, endpoint, event.load_report)
         if event.outcome is Outcome.NOT_SENT:
             return
         is_idle_reset = self._record_connection(now, attempt, event)
         if is_idle_reset:
             return
-        self._success_model.record_acceptance(now, endpoint.zone, event.outcome is Outcome.OVERLOADED)
+        self._models.success.record_acceptance(now, endpoint.zone, event.outcome is Outcome.OVERLOADED)
         self._record_time(now, attempt, event)
         if event.outcome is Outcome.CANCELLED:
             return
@@ -78,7 +66,7 @@
         if event.outcome is not Outcome.TIMEOUT:
             endpoint.last_response_at = now
             self._admission.record_response(now)
-        self._success_model.record_outcome(now, endpoint, attempt.class_index, event.outcome)
+        self._models.success.record_outcome(now, endpoint, attempt.class_index, event.outcome)
         self._detect_outlier(now, endpoint, attempt.class_index, event.outcome)
 
     def _record_connection(self, now: int, attempt: Attempt, event: AttemptEnded) -> bool:
@@ -88,12 +76,12 @@
         is_broken = event.outcome in BROKEN_CONNECTION
         endpoint.connected_until = 0 if is_broken else now + self._settings.keep_alive_timeout
         if attempt.opens_connection:
-            self._success_model.record_connect(now, event.outcome is Outcome.CONNECT_FAILED)
+            self._models.success.record_connect(now, event.outcome is Outcome.CONNECT_FAILED)
         if event.outcome is not Outcome.RESET:
             return False
-        if not self._idle_connections.is_idle_reset(attempt, event.latency):
+        if not self._models.idle_connections.is_idle_reset(attempt, event.latency):
             return False
-        self._idle_connections.record_reset(now, attempt)
+        self._models.idle_connections.record_reset(now, attempt)
         self._actions.append(CloseIdleConnections(endpoint.name))
         return True
 
@@ -108,8 +96,8 @@
         if not is_success and not (is_silence and attempt.sent_at >= endpoint.answered_sent_at):
             return
         is_late = event.latency > self._objective(attempt)
-        self._classes.record_response(now, attempt.class_index, is_success and not is_late, is_late)
-        self._latency_model.record_latency(now, attempt, event.latency)
+        self._models.classes.record_response(now, attempt.class_index, is_success and not is_late, is_late)
+        self._models.latency.record_latency(now, attempt, event.latency)
 
     def _record_load(self, now: int, attempt: Attempt, event: AttemptEnded) -> None:
         """Tell the overload controller whether the response was in time, and in half of that time."""
--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -13,12 +13,10 @@
 from linetrack.policy.attempt_outcomes import OutcomeRecorder
 from linetrack.policy.candidate_selection import CandidateSelector
 from linetrack.policy.endpoint import Attempt, Endpoint
-from linetrack.policy.endpoint_weights import EndpointWeights
 from linetrack.policy.events import NEVER_EXECUTED, AttemptEnded, Outcome, RequestReceived
 from linetrack.policy.latency_model import HEDGE_DELAY_RATIO, LatencyModel
-from linetrack.policy.protocols import OverloadController
 from linetrack.policy.request import Request
-from linetrack.policy.retry_limits import HEDGE_PRICE, RETRY_PRICE, RetryBudget, RetryWindow
+from linetrack.policy.retry_limits import HEDGE_PRICE, RETRY_PRICE, RetryLimits
 from linetrack.policy.send_guard import SendGuard
 from linetrack.policy.settings import Idempotency, Settings
 
@@ -37,26 +35,20 @@
         settings: Settings,
         admission: Admission,
         selector: CandidateSelector,
-        weights: EndpointWeights,
         latency_model: LatencyModel,
         guard: SendGuard,
         outcomes: OutcomeRecorder,
-        retry_budget: RetryBudget,
-        retry_window: RetryWindow,
-        overload_controller: OverloadController | None,
+        retry_limits: RetryLimits,
         actions: list[Action],
     ) -> None:
         """Start without requests; append to `actions` what is to be done."""
         self._settings = settings
         self._admission = admission
         self._selector = selector
-        self._weights = weights
         self._latency_model = latency_model
         self._guard = guard
         self._outcomes = outcomes
-        self._retry_budget = retry_budget
-        self._retry_window = retry_window
-        self._overload_controller = overload_controller
+        self._retry_limits = retry_limits
         self._actions = actions
         self.requests: dict[int, Request] = {}  # without their final response, by request id
         self.abandoned: dict[tuple[int, int], Attempt] = {}  # in flight although their request is over
@@ -66,8 +58,7 @@
         request = Request(received, self._settings.classes[received.class_index], now)
         self.requests[request.request_id] = request
         self._admission.record_request(now, request)
-        self._retry_budget.record_request()
-        self._retry_window.record_request(now)
+        self._retry_limits.record_request(now)
         self._admission.record_class(now, request.class_index)
         if self._admission.admits(now, received) and self._guard.scope(now, request) is not None:
             self._start(now, request)
@@ -119,13 +110,13 @@
         if attempt is not None:
             attempt.endpoint.in_flight.pop(key, None)
             self._outcomes.record(now, attempt, event)
-            self._weights.refresh(now, attempt.endpoint, event.outcome is Outcome.SUCCESS)
+            self._selector.refresh(now, attempt.endpoint, event.outcome is Outcome.SUCCESS)
         if request is None:
             return
         if event.request_completed:
             is_served = event.outcome is Outcome.SUCCESS
             if is_served and attempt is not None and attempt.is_hedge:
-                self._retry_budget.refund(HEDGE_PRICE)
+                self._retry_limits.record_hedge_served()
             self._close(now, request, is_served)
         elif attempt is not None:
             self._attempt_failed(now, request, attempt, event.outcome)
@@ -160,7 +151,7 @@
         attempt = self._guard.send(now, request, endpoint)
         if attempt is None:
             return False
-        self._weights.refresh(now, endpoint, True)
+        self._selector.refresh(now, endpoint, True)
         may_hedge = request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if self._settings.may_run_parallel_attempts and may_hedge and attempt.expected_latency:
             delay = self._hedge_delay(now, request, attempt)
@@ -198,13 +189,11 @@
         key_expires_at = self._guard.stored_key_expires_at(now, request)
         if not self._admission.is_retry_worthwhile(now, request, endpoint, key_expires_at):
             return False
-        if not self._retry_budget.can_pay(price):
-            return False
-        if price and self._overload_controller and not self._overload_controller.allow_retry(now):
+        if not self._retry_limits.allows(now, price):
             return False
         if not self._send(now, request, endpoint):
             return False
-        self._retry_budget.pay(price)
+        self._retry_limits.record_retry(price)
         return True
 
     def _give_up(self, now: int, request: Request) -> None:
--- a/linetrack/policy/balancer.py
+++ b/linetrack/policy/balancer.py
@@ -17,7 +17,7 @@
 from linetrack.policy.attempt_outcomes import OutcomeRecorder
 from linetrack.policy.attempts import RequestLifecycle
 from linetrack.policy.candidate_selection import CandidateSelector
-from linetrack.policy.class_statistics import ClassState, ClassStatistics
+from linetrack.policy.class_statistics import ClassState
 from linetrack.policy.endpoint import Endpoint, EndpointState
 from linetrack.policy.endpoint_list import POLL_TOKEN, EndpointList
 from linetrack.policy.endpoint_weights import EndpointWeights
@@ -32,16 +32,17 @@
     ResponseStarted,
     TimerFired,
 )
-from linetrack.policy.idle_connections import IdleConnections, IdleConnectionState
-from linetrack.policy.latency_model import LatencyModel, LatencyState
-from linetrack.policy.load_reports import LoadReports, LoadState
+from linetrack.policy.idle_connections import IdleConnectionState
+from linetrack.policy.latency_model import LatencyState
+from linetrack.policy.load_reports import LoadState
+from linetrack.policy.models import Models
 from linetrack.policy.outlier_detection import OutlierDetector
 from linetrack.policy.protocols import IdempotencyKeyStore, OverloadController
-from linetrack.policy.retry_limits import RetryBudget, RetryWindow, RetryWindowState
+from linetrack.policy.retry_limits import RetryBudget, RetryLimits, RetryWindow, RetryWindowState
 from linetrack.policy.send_guard import SendGuard
 from linetrack.policy.settings import Settings
 from linetrack.policy.slow_start import SlowStart
-from linetrack.policy.success_model import SuccessModel, SuccessState
+from linetrack.policy.success_model import SuccessState
 
 SEED_BITS = 64
 
@@ -96,41 +97,23 @@
         self.endpoints = self._shared.endpoints
         self.retry_window = self._shared.retry_window
         self.retry_budget = RetryBudget()
-        self.idle_connections = IdleConnections()
-        self._make_models()
+        self.models = Models(settings, self.endpoints)
+        self.outlier_detector = OutlierDetector(settings, self.models.success)
+        self.slow_start = SlowStart(settings, self.endpoints, self.models)
         self._make_selection()
         self._make_lifecycle()
 
-    def _make_models(self) -> None:
-        """Make the parts that learn about endpoints and request classes."""
+    def _make_selection(self) -> None:
+        """Make the parts that value requests and choose among endpoints."""
         settings = self.settings
-        self.classes = ClassStatistics(settings)
-        self.load_reports = LoadReports(settings)
-        self.latency_model = LatencyModel(settings, self.load_reports, self.classes)
-        self.success_model = SuccessModel(settings, self.endpoints)
-        self.outlier_detector = OutlierDetector(settings, self.success_model)
-        self.slow_start = SlowStart(settings, self.endpoints, self.latency_model, self.load_reports)
         self.admission = Admission(
-            settings,
-            self.random,
-            self.endpoints,
-            self.latency_model,
-            self.success_model,
-            self.load_reports,
-            self.classes,
-            self._overload_controller,
+            settings, self.random, self.endpoints, self.models, self._overload_controller
         )
-
-    def _make_selection(self) -> None:
-        """Make the parts that choose among endpoints."""
-        settings = self.settings
         self.endpoint_list = EndpointList(
             settings,
             self.endpoints,
             self.random,
-            self.load_reports,
-            self.latency_model,
-            self.success_model,
+            self.models,
             self.outlier_detector,
             self.slow_start,
             self._actions,
@@ -139,13 +122,12 @@
             settings,
             self.retry_window,
             self.slow_start,
-            self.latency_model,
-            self.idle_connections,
+            self.models,
             self._overload_controller,
             self._key_store,
             self._actions,
         )
-        self.weights = EndpointWeights(settings, self.latency_model, self.success_model)
+        self.weights = EndpointWeights(settings, self.models)
         self.selector = CandidateSelector(
             settings,
             self.random,
@@ -161,12 +143,8 @@
         """Make the parts that lead requests from their arrival to their final response."""
         self.outcomes = OutcomeRecorder(
             self.settings,
-            self.load_reports,
-            self.classes,
-            self.latency_model,
-            self.success_model,
+            self.models,
             self.outlier_detector,
-            self.idle_connections,
             self.endpoint_list,
             self.admission,
             self._overload_controller,
@@ -176,13 +154,10 @@
             self.settings,
             self.admission,
             self.selector,
-            self.weights,
-            self.latency_model,
+            self.models.latency,
             self.guard,
             self.outcomes,
-            self.retry_budget,
-            self.retry_window,
-            self._overload_controller,
+            RetryLimits(self.retry_budget, self.retry_window, self._overload_controller),
             self._actions,
         )
 
@@ -193,8 +168,7 @@
         """
         self.now = now
         self._actions.clear()
-        self.latency_model.start_event()
-        self.success_model.start_event()
+        self.models.start_event()
         match event:
             case RequestReceived():
                 self.lifecycle.receive(now, event)
@@ -242,10 +216,7 @@
         new = Balancer(settings, seed, self._overload_controller, self._key_store, self._shared)
         new.retry_window.apply(settings, self.now)
         new.retry_budget.take_over(self.retry_budget)
-        new.latency_model.take_over(self.latency_model)
-        new.load_reports.take_over(self.load_reports)
-        new.success_model.take_over(self.success_model)
-        new.idle_connections.import_state(self.idle_connections.export_state())
+        new.models.take_over(self.models)
         new.admission.take_over(self.admission)
         self.outcomes.retire()
         self.weights.stop_caching()
@@ -257,24 +228,24 @@
     def export_state(self) -> PolicyState:
         """Return what was learnt, for another process."""
         return PolicyState(
-            latency=self.latency_model.export_state(),
-            load=self.load_reports.export_state(),
-            success=self.success_model.export_state(),
-            classes=self.classes.export_state(),
+            latency=self.models.latency.export_state(),
+            load=self.models.load_reports.export_state(),
+            success=self.models.success.export_state(),
+            classes=self.models.classes.export_state(),
             admission=self.admission.export_state(),
-            idle_connections=self.idle_connections.export_state(),
+            idle_connections=self.models.idle_connections.export_state(),
             retry_window=self.retry_window.export_state(),
             endpoints={name: endpoint.export_state() for name, endpoint in self.endpoints.items()},
         )
 
     def import_state(self, now: int, state: PolicyState) -> None:
         """Take over what another process learnt, at the start, when the endpoints are listed."""
-        self.latency_model.import_state(state.latency)
-        self.load_reports.import_state(state.load)
-        self.success_model.import_state(state.success)
-        self.classes.import_state(state.classes)
+        self.models.latency.import_state(state.latency)
+        self.models.load_reports.import_state(state.load)
+        self.models.success.import_state(state.success)
+        self.models.classes.import_state(state.classes)
         self.admission.import_state(state.admission)
-        self.idle_connections.import_state(state.idle_connections)
+        self.models.idle_connections.import_state(state.idle_connections)
         self.retry_window.import_state(now, state.retry_window)
         for name, endpoint in self.endpoints.items():
             if name in state.endpoints:
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -66,6 +66,10 @@
         if request.net_value >= 0:  # else it is shed
             self._select_second(now, request, home, home_weights, away, away_weights)
 
+    def refresh(self, now: int, endpoint: Endpoint, is_this_alone: bool) -> None:
+        """Renew what is cached of an endpoint that was sent to or heard of; of all, unless told otherwise."""
+        self._weights.refresh(now, endpoint, is_this_alone)
+
     def next_endpoint(self, now: int, request: Request) -> Endpoint | None:
         """Return where the next retry or hedged attempt goes: the second candidate, then the rotation."""
         untried = {
--- a/linetrack/policy/endpoint_list.py
+++ b/linetrack/policy/endpoint_list.py
@@ -12,12 +12,10 @@
 from linetrack.policy.decaying_average import SECOND
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
-from linetrack.policy.latency_model import LatencyModel
-from linetrack.policy.load_reports import LoadReports
+from linetrack.policy.models import Models
 from linetrack.policy.outlier_detection import OutlierDetector
 from linetrack.policy.settings import Settings
 from linetrack.policy.slow_start import SlowStart
-from linetrack.policy.success_model import SuccessModel
 
 POLL_TOKEN = "ask"  # of the timer after which to subscribe
 START_SPACING = 10_000  # time between first polls, over all instances that start together
@@ -33,9 +31,7 @@
         settings: Settings,
         endpoints: dict[str, Endpoint],
         random: Random,
-        load_reports: LoadReports,
-        latency_model: LatencyModel,
-        success_model: SuccessModel,
+        models: Models,
         outlier_detector: OutlierDetector,
         slow_start: SlowStart,
         actions: list[Action],
@@ -44,9 +40,7 @@
         self._settings = settings
         self._endpoints = endpoints
         self._random = random
-        self._load_reports = load_reports
-        self._latency_model = latency_model
-        self._success_model = success_model
+        self._models = models
         self._outlier_detector = outlier_detector
         self._slow_start = slow_start
         self._actions = actions
@@ -139,7 +133,7 @@
         endpoint.capacity = entry.capacity if 0 < entry.capacity < math.inf else 1.0
         endpoint.estimate_expires_at = 0
         if self._settings.capacity_varies_with_load:
-            self._load_reports.record_listed_capacity(now, endpoint, endpoint.capacity)
+            self._models.load_reports.record_listed_capacity(now, endpoint, endpoint.capacity)
 
     def _keep_unlisted(self, now: int, removed: set[str]) -> set[str]:
         """Keep endpoints that were removed, as the list may be wrong about it; return which to forget.
@@ -161,9 +155,7 @@
         """Forget what is known of zones and host classes that nothing in the list has any more."""
         zones = {endpoint.zone for endpoint in self._endpoints.values()}
         host_classes = {endpoint.host_class for endpoint in self._endpoints.values()}
-        self._latency_model.keep_only(zones, host_classes)
-        self._load_reports.keep_only(zones, host_classes)
-        self._success_model.keep_only(zones)
+        self._models.keep_only(zones, host_classes)
 
     def _subscribe(self) -> None:
         """Subscribe after a random delay: many instances that start together must not poll at one moment."""
--- a/linetrack/policy/endpoint_weights.py
+++ b/linetrack/policy/endpoint_weights.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass
 
 from linetrack.policy.endpoint import ESTIMATE_LIFETIME, Endpoint
-from linetrack.policy.latency_model import SHARPNESS, LatencyModel
+from linetrack.policy.latency_model import SHARPNESS
+from linetrack.policy.models import Models
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Settings
-from linetrack.policy.success_model import SuccessModel
 
 ERROR_EXPONENT = 4.0  # a success probability p weighs an endpoint's odds by p ** this
 AFFINITY_EXPONENT = 2.0  # the odds of the n-th endpoint in an affinity key's order are divided by n ** this
@@ -35,11 +35,11 @@
 class EndpointWeights:
     """Works weights out; those of the other zones' endpoints are cached, by request class."""
 
-    def __init__(self, settings: Settings, latency_model: LatencyModel, success_model: SuccessModel) -> None:
+    def __init__(self, settings: Settings, models: Models) -> None:
         """Weigh by these models."""
         self._settings = settings
-        self._latency_model = latency_model
-        self._success_model = success_model
+        self._latency_model = models.latency
+        self._success_model = models.success
         self._is_caching = True
         self._cache: dict[int, WeightedEndpoints] = {}
         self._cache_expires_at: dict[int, int] = {}
--- a/linetrack/policy/retry_limits.py
+++ b/linetrack/policy/retry_limits.py
@@ -10,6 +10,7 @@
 from collections import deque
 from dataclasses import dataclass
 
+from linetrack.policy.protocols import OverloadController
 from linetrack.policy.settings import Settings
 
 FOREVER = 1 << 62
@@ -122,3 +123,34 @@
         if self._settings.retry_window:
             times.append(now)
             self.is_exhausted(now)  # drops what has left the window
+
+
+class RetryLimits:
+    """All that has to allow a retry or hedged attempt, but for the rules that the guard holds."""
+
+    def __init__(
+        self, budget: RetryBudget, window: RetryWindow, overload_controller: OverloadController | None
+    ) -> None:
+        """Pay from this budget; the window is only told of requests, the guard asks it."""
+        self._budget = budget
+        self._window = window
+        self._overload_controller = overload_controller
+
+    def record_request(self, now: int) -> None:
+        """Count a new request."""
+        self._budget.record_request()
+        self._window.record_request(now)
+
+    def allows(self, now: int, price: float) -> bool:
+        """Return whether an attempt at this price is paid for, and there is capacity unless it is free."""
+        if not self._budget.can_pay(price):
+            return False
+        return not price or not self._overload_controller or self._overload_controller.allow_retry(now)
+
+    def record_retry(self, price: float) -> None:
+        """Take the price of an attempt that was started."""
+        self._budget.pay(price)
+
+    def record_hedge_served(self) -> None:
+        """Give the price back of a hedged attempt that served its request."""
+        self._budget.refund(HEDGE_PRICE)
--- a/linetrack/policy/send_guard.py
+++ b/linetrack/policy/send_guard.py
@@ -17,8 +17,7 @@
 from linetrack.policy.actions import Action, CloseIdleConnections, FailRequest, RejectRequest, StartAttempt
 from linetrack.policy.endpoint import Attempt, Endpoint
 from linetrack.policy.events import NEVER_EXECUTED, Outcome
-from linetrack.policy.idle_connections import IdleConnections
-from linetrack.policy.latency_model import LatencyModel
+from linetrack.policy.models import Models
 from linetrack.policy.protocols import IdempotencyKeyStore, OverloadController, PossibleExecution
 from linetrack.policy.request import Request
 from linetrack.policy.retry_limits import RetryWindow
@@ -44,8 +43,7 @@
         settings: Settings,
         retry_window: RetryWindow,
         slow_start: SlowStart,
-        latency_model: LatencyModel,
-        idle_connections: IdleConnections,
+        models: Models,
         overload_controller: OverloadController | None,
         key_store: IdempotencyKeyStore | None,
         actions: list[Action],
@@ -54,8 +52,8 @@
         self._settings = settings
         self._retry_window = retry_window
         self._slow_start = slow_start
-        self._latency_model = latency_model
-        self._idle_connections = idle_connections
+        self._latency_model = models.latency
+        self._idle_connections = models.idle_connections
         self._overload_controller = overload_controller
         self._key_store = key_store
         self._actions = actions
--- a/linetrack/policy/slow_start.py
+++ b/linetrack/policy/slow_start.py
@@ -18,8 +18,7 @@
 from collections.abc import Mapping
 
 from linetrack.policy.endpoint import ESTIMATE_LIFETIME, Endpoint
-from linetrack.policy.latency_model import LatencyModel
-from linetrack.policy.load_reports import LoadReports
+from linetrack.policy.models import Models
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Settings
 from linetrack.policy.traffic_share import TrafficShare
@@ -39,14 +38,13 @@
         self,
         settings: Settings,
         endpoints: Mapping[str, Endpoint],
-        latency_model: LatencyModel,
-        load_reports: LoadReports,
+        models: Models,
     ) -> None:
         """Start with an even share of the traffic; `endpoints` are the listed ones, by name."""
         self._settings = settings
         self._endpoints = endpoints
-        self._latency_model = latency_model
-        self._load_reports = load_reports
+        self._latency_model = models.latency
+        self._load_reports = models.load_reports
         self._traffic_share = TrafficShare(settings.instance_count)
         self._warming_until = 0  # when the last of all endpoints is warm
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -56,7 +56,7 @@
     latencies = []
     for congestion in (0.0, 1.0):
         balancer, request, endpoint = one_received()
-        model = balancer.latency_model
+        model = balancer.models.latency
         endpoint.in_flight.clear()
         endpoint.latency_factor = DecayingAverage()
         # the same latency is expected both times, once as baseline and once as congestion
@@ -156,6 +156,6 @@
             late += 1
             driver.end(request, endpoints[0], latency=900 * MS)
     assert late > 20
-    classes = driver.balancer.classes
+    classes = driver.balancer.models.classes
     assert classes.relative_on_time_ratio(driver.now, SAFE) > 0.5
     assert classes.relative_on_time_ratio(driver.now, KEYED_ALL) > 0.5
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -34,7 +34,8 @@
     request, actions = driver.ask()
     driver.feed(EndpointListUpdate(ListForm.DELTA, fleet(1, 0)))
     assert sends(driver.feed(TimerFired(f"hold:{request}"), 20 * MS)) == ["h0"]
-    assert actions and isinstance(actions[0], SetTimer)
+    assert actions
+    assert isinstance(actions[0], SetTimer)
 
 
 def test_hedged_attempt_goes_to_the_second_candidate_after_the_timer() -> None:
@@ -43,10 +44,12 @@
         driver.serve()
     request, actions = driver.ask()
     timers = [a for a in actions if isinstance(a, SetTimer)]
-    assert timers and timers[0].token == f"copy:{request}"
+    assert timers
+    assert timers[0].token == f"copy:{request}"
     second = driver.balancer.lifecycle.requests[request].second_candidate
     hedged = sends(driver.feed(TimerFired(timers[0].token), timers[0].delay))
-    assert second is not None and hedged == [second.name]
+    assert second is not None
+    assert hedged == [second.name]
 
 
 def test_a_hedged_attempt_waits_while_it_would_still_be_in_time_itself() -> None:
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -117,7 +117,7 @@
         driver.serve(latency=60 * MS)
     balancer = driver.balancer
 
-    def weigh(now: int, part: list[Endpoint], class_index: int) -> WeightedEndpoints:
+    def weigh(_now: int, part: list[Endpoint], _class_index: int) -> WeightedEndpoints:
         latencies = [float(50 * MS if u.name in ("h0", "a0") else others) for u in part]
         return WeightedEndpoints(part, latencies, [1.0] * len(part), [1.0] * len(part))
 
@@ -139,7 +139,8 @@
             further.update(sends(driver.end(request, first, Outcome.CONNECT_FAILED, MS)))
         elif first:
             driver.end(request, first)
-    assert further and further <= served
+    assert further
+    assert further <= served
 
 
 def test_no_attempt_crosses_into_a_zone_as_full_as_the_own_one() -> None:
@@ -147,7 +148,7 @@
     driver = Driver(entries=fleet(3, 6), cross_zone_cost=0.1, max_attempts=6, may_run_parallel_attempts=False)
     crossed = []
     for _ in range(100):
-        went = driver.finish(lambda u: (Outcome.OVERLOADED, MS), KEYED_ALL)
+        went = driver.finish(lambda _: (Outcome.OVERLOADED, MS), KEYED_ALL)
         crossed.append(sum(u[0] == "a" for u in went))
         driver.now += 100 * MS
     assert sum(crossed[40:]) < 60
@@ -167,4 +168,6 @@
         else:
             endpoint.connected_until = driver.now + 9 * SECOND
     retried = sends(driver.end(request, first, Outcome.RESET, 20 * MS))
-    assert retried and retried[0][0] == "h" and retried[0] != first
+    assert retried
+    assert retried[0][0] == "h"
+    assert retried[0] != first
--- a/tests/policy/test_class_statistics.py
+++ b/tests/policy/test_class_statistics.py
@@ -35,5 +35,6 @@
     now += 9 * SECOND
     assert not classes.is_failing(now, 0), "nothing was heard of the others"
     classes.record_response(now, 1, in_time=True, is_late=False)
-    assert classes.is_failing(now, 0) and not classes.is_failing(now, 1)
+    assert classes.is_failing(now, 0)
+    assert not classes.is_failing(now, 1)
     assert not classes.is_failing(now + 60 * SECOND, 0), "that was long ago"
--- a/tests/policy/test_endpoint.py
+++ b/tests/policy/test_endpoint.py
@@ -39,6 +39,7 @@
     assert Attempt(0, 0, endpoint, False, 5 * SECOND).idle_time == 0, "it was never used"
     endpoint.last_used_at = 2 * SECOND
     first = Attempt(0, 0, endpoint, False, 5 * SECOND)
-    assert first.idle_time == 3 * SECOND and first.opens_connection
+    assert first.idle_time == 3 * SECOND
+    assert first.opens_connection
     endpoint.in_flight[(1, 0)] = first
     assert Attempt(0, 0, endpoint, False, 5 * SECOND).idle_time == 0
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -59,7 +59,8 @@
         timers = Balancer(driver.balancer.settings, seed).handle(
             0, EndpointListUpdate(ListForm.CACHED, fleet())
         )
-        assert isinstance(timers[0], SetTimer) and timers[0].token == "ask"
+        assert isinstance(timers[0], SetTimer)
+        assert timers[0].token == "ask"
         waits.append(timers[0].delay)
     assert max(waits) <= min(5 * SECOND, instances * 10 * MS)
     assert max(waits) > 0.4 * min(5 * SECOND, instances * 10 * MS)
@@ -80,15 +81,17 @@
             20 * MS,
         )
     balancer = driver.balancer
-    assert old not in balancer.endpoints and len(balancer.endpoints) == 7
+    assert old not in balancer.endpoints
+    assert len(balancer.endpoints) == 7
     # the rotation goes on although what was attempted last is no longer listed
     assert sends(driver.end(request, old, Outcome.RESET)) != [old]
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(2, 0)))
     assert set(balancer.endpoints) == {"h0", "h1"}
     for _ in range(20):
         driver.serve(report=(1.0,))
-    learnt = balancer.latency_model.export_state()
-    assert learnt.zone_congestion is not None and learnt.host_class_factors is not None
+    learnt = balancer.models.latency.export_state()
+    assert learnt.zone_congestion is not None
+    assert learnt.host_class_factors is not None
     assert len(learnt.zone_congestion) == len(learnt.host_class_factors) == 1
     assert not balancer.lifecycle.abandoned
 
@@ -132,7 +135,8 @@
         went += count_sends_to(driver, "h0", down=True)
         if "h0" not in driver.balancer.endpoints:
             break
-    assert 0 < went <= 5 and "h0" not in driver.balancer.endpoints
+    assert 0 < went <= 5
+    assert "h0" not in driver.balancer.endpoints
 
 
 def test_an_endpoint_that_drained_gets_nothing_until_it_has_started_again() -> None:
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -22,9 +22,8 @@
     assert not any(isinstance(action, CloseIdleConnections) for action in actions)
     actions = driver.end(request, "h0", Outcome.RESET, MS)
     assert CloseIdleConnections("h0") in actions
-    assert (
-        driver.balancer.endpoints["h0"].error_ratio == 0.0 and not driver.balancer.endpoints["h0"].ejections
-    )
+    assert driver.balancer.endpoints["h0"].error_ratio == 0.0
+    assert not driver.balancer.endpoints["h0"].ejections
     # a later rest as long is ended before the next use; a short one is not
     _, actions = driver.ask(after=3 * SECOND)
     assert actions.index(CloseIdleConnections("h0")) < [sends([a]) != [] for a in actions].index(True)
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -51,7 +51,7 @@
         name = sends(actions)[0]
         driver.end(request, name, latency=200 * MS if name[0] == "s" else 40 * MS)
     unobserved = {
-        u.host_class: driver.balancer.latency_model.expected_latency(driver.now, u)
+        u.host_class: driver.balancer.models.latency.expected_latency(driver.now, u)
         for u in driver.balancer.endpoints.values()
         if not u.latency_factor.weight
     }
@@ -64,7 +64,7 @@
     for _ in range(30):
         driver.serve()
     endpoint = driver.balancer.endpoints["h0"]
-    model = driver.balancer.latency_model
+    model = driver.balancer.models.latency
     before = model.expected_latency(driver.now, endpoint)
     (lost, _), (other, _) = driver.ask(), driver.ask(after=1 * MS)
     driver.feed(TimerFired("none"), 400 * MS)
@@ -83,8 +83,8 @@
     for n in range(4000):
         driver.serve(class_index=n % 2, latency=round(40 * MS * math.exp(random.gauss(0, 0.7))))
     balancer = driver.balancer
-    assert 15 * MS < balancer.latency_model.baseline_latency() < 50 * MS
-    scales = [balancer.latency_model.class_cost(driver.now, n) for n in range(2)]
+    assert 15 * MS < balancer.models.latency.baseline_latency() < 50 * MS
+    scales = [balancer.models.latency.class_cost(driver.now, n) for n in range(2)]
     assert sum(
-        share * math.log(s) for share, s in zip(balancer.classes.request_shares, scales, strict=False)
+        share * math.log(s) for share, s in zip(balancer.models.classes.request_shares, scales, strict=False)
     ) == pytest.approx(0.0, abs=0.1)
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -31,7 +31,9 @@
         driver.serve()
     for name in ("h0", "h1", "h2", "h3"):
         record = driver.balancer.endpoints[name]
-        driver.balancer.load_reports.record_report(driver.now, record, (30.0 if name == "h2" else 0.0,))
+        driver.balancer.models.load_reports.record_report(
+            driver.now, record, (30.0 if name == "h2" else 0.0,)
+        )
     odds = home_weights(driver)
     assert odds[2] == min(odds)
 
@@ -77,7 +79,8 @@
     driver.feed(list_update({"a": 0.5, "b": 0.5}, kinds), SECOND)
     a, b = (driver.balancer.endpoints[name] for name in "ab")
     assert (a.capacity, b.capacity) == (2.0, 0.5)
-    assert 0 < a.reported_load <= 3.0 and b.reported_load == 0.0
+    assert 0 < a.reported_load <= 3.0
+    assert b.reported_load == 0.0
 
 
 def test_one_late_list_does_not_turn_all_traffic() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -46,7 +46,7 @@
     driver, random = Driver(), Random(4)
     ejections = 0
 
-    def answer(endpoint: str) -> tuple[Outcome, int]:
+    def answer(_: str) -> tuple[Outcome, int]:
         return (Outcome.ERROR if random.random() < 0.06 else Outcome.SUCCESS), 5 * MS
 
     for _ in range(1500):
@@ -62,7 +62,8 @@
         for _ in range(300)
         for endpoint in driver.finish(lambda u: (Outcome.ERROR, 2 * MS) if u == "h0" else answer(u))
     )
-    assert seen["h0"] < 30 and seen["h1"] > 60
+    assert seen["h0"] < 30
+    assert seen["h1"] > 60
 
 
 def test_an_endpoint_that_fails_one_class_still_serves_the_others() -> None:
@@ -76,7 +77,8 @@
             class_index,
         ):
             went[class_index, endpoint] += 1
-    assert went[SAFE, "h0"] < 30 and went[KEYED_ALL, "h0"] > 50
+    assert went[SAFE, "h0"] < 30
+    assert went[KEYED_ALL, "h0"] > 50
 
 
 def test_an_endpoint_that_was_full_once_is_not_lost_to_non_idempotent_requests() -> None:
@@ -103,9 +105,9 @@
     # ejections would double for ever if full queues of the zone were taken for the endpoint's errors
     driver = Driver(entries=fleet(4, 0), max_attempts=1)
     for _ in range(6):
-        driver.finish(lambda u: (Outcome.OVERLOADED, MS))
+        driver.finish(lambda _: (Outcome.OVERLOADED, MS))
     driver.now += 2 * SECOND
-    assert driver.balancer.success_model.zone_acceptance(driver.now, 0) < 0.55
+    assert driver.balancer.models.success.zone_acceptance(driver.now, 0) < 0.55
     there = driver.serve()
     assert SAFE not in driver.balancer.endpoints[there].ejections
 
@@ -120,7 +122,7 @@
             lambda u: (Outcome.CONNECT_FAILED, MS) if u < "h5" else (Outcome.SUCCESS, 20 * MS)
         )
         refused.append(sum(u < "h5" for u in went))
-    assert driver.balancer.success_model.export_state().usual_error_ratio == 0.0
+    assert driver.balancer.models.success.export_state().usual_error_ratio == 0.0
     assert sum(refused[100:]) < 60, "trials alone"
 
 
@@ -173,4 +175,5 @@
         now = endpoint.ejections[SAFE].until
     assert durations == [1, 2, 4, 8, 8, 8]
     assert not detector.record_outcome(now, endpoint, SAFE, Outcome.SUCCESS)
-    assert SAFE not in endpoint.ejections and UNSAFE in endpoint.ejections, "by class"
+    assert SAFE not in endpoint.ejections
+    assert UNSAFE in endpoint.ejections, "by class"
--- a/tests/policy/test_retry_limits.py
+++ b/tests/policy/test_retry_limits.py
@@ -124,9 +124,8 @@
     values = json.loads(json.dumps(first.hand_over()))
     assert second.restore(values, new.now, True, True)
     assert retries_of_unreachable(old, 30) == 0, "what is still open there is answered without retries"
-    assert retries_of_unreachable(new, 9) == 0 and retries_of_unreachable(new, 1) == 1, (
-        "20 requests in all allow four"
-    )
+    assert retries_of_unreachable(new, 9) == 0
+    assert retries_of_unreachable(new, 1) == 1, "20 requests in all allow four"
     first.resume(old.now)  # the new one has ended: what it made is not known here
     assert retries_of_unreachable(old, 30) == 0
     old.now += WINDOW
@@ -205,7 +204,8 @@
 
 def test_limits_are_off_where_settings_are_absent() -> None:
     read = read_settings({"classes": [{"deadlineUs": 1}]})
-    assert not read.retry_window and not read.removal_is_advisory
+    assert not read.retry_window
+    assert not read.removal_is_advisory
     rules = {"freeResends": "3", "furtherRatio": "0.25", "extraWindowUs": "5000", "goneIsAdvice": "true"}
     read = read_settings({"classes": [{"deadlineUs": 1}], "rules": rules})
     assert (read.retry_window_allowance, read.retry_window_ratio, read.retry_window) == (3.0, 0.25, 5000)
@@ -235,4 +235,5 @@
     window.block_forever()
     assert window.is_exhausted(1000 * SECOND)
     window.block(1000 * SECOND)
-    assert window.is_exhausted(1000 * SECOND + WINDOW - 1) and not window.is_exhausted(1000 * SECOND + WINDOW)
+    assert window.is_exhausted(1000 * SECOND + WINDOW - 1)
+    assert not window.is_exhausted(1000 * SECOND + WINDOW)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -216,14 +216,18 @@
 ) -> None:
     """No instance sees what others send, so each must keep to its part, retries included."""
     simulation = Simulation(fleet, 1).run()
-    assert simulation.sent and simulation.excess() <= 0
+    assert simulation.sent
+    assert simulation.excess() <= 0
 
 
 def test_without_the_limit_the_budget_would_be_exceeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The test above must not hold because too little is sent: instances without the limit overload the
-    warming endpoint, and those with it have retries and hedged attempts to send as well."""
+    """The test above must not hold because too little is sent.
+
+    Instances without the limit overload the warming endpoint, and those with it have retries and hedged
+    attempts to send as well.
+    """
     assert sum(Simulation(fleet, 1).run().retries for fleet in (FLEETS[0], FLEETS[3])) > 0
-    monkeypatch.setattr(SlowStart, "permits", lambda *args: True)
-    monkeypatch.setattr(SlowStart, "_uses_tokens", lambda *args: False)
+    monkeypatch.setattr(SlowStart, "permits", lambda *_: True)
+    monkeypatch.setattr(SlowStart, "_uses_tokens", lambda *_: False)
     assert Simulation(FLEETS[4], 1).run().excess() > 10
     assert Simulation(FLEETS[7], 1).run().excess() > 10
--- a/tests/policy/test_streamed_messages.py
+++ b/tests/policy/test_streamed_messages.py
@@ -26,7 +26,8 @@
     late = driver.balancer.admission.export_state().late_ratio.value
     driver.now += 20 * SECOND
     driver.end(number, first)
-    assert number not in driver.balancer.lifecycle.requests and not driver.balancer.lifecycle.abandoned
+    assert number not in driver.balancer.lifecycle.requests
+    assert not driver.balancer.lifecycle.abandoned
     assert driver.balancer.admission.export_state().late_ratio.value <= late, "its first bytes were in time"
 
 
@@ -43,9 +44,7 @@
     for timer in [a for a in actions if isinstance(a, SetTimer)]:
         assert not sends(driver.feed(TimerFired(timer.token), timer.delay))
     driver.feed(RequestBodySent(number, 0), 20 * SECOND)
-    assert (
-        len(endpoint.in_flight) == 1
-        and driver.balancer.lifecycle.requests[number].deadline == driver.now + 2 * SECOND
-    )
+    assert len(endpoint.in_flight) == 1
+    assert driver.balancer.lifecycle.requests[number].deadline == driver.now + 2 * SECOND
     ended = driver.end(number, first, Outcome.CONNECT_FAILED)
     assert [type(action) for action in ended] == [RejectRequest]
--- a/tests/policy/test_traffic_share.py
+++ b/tests/policy/test_traffic_share.py
@@ -124,6 +124,8 @@
 
 
 def test_a_warming_endpoint_is_sent_to_by_an_instance_in_proportion_to_its_traffic() -> None:
-    """With equal parts, light instances would leave theirs unused, and the heaviest, with a fifth of all
-    traffic, would reject requests while warming endpoints are idle."""
+    """Equal parts would be too large for light instances and too small for the heaviest.
+
+    The heaviest one, with a fifth of all traffic, would reject requests while warming endpoints are idle.
+    """
     assert warming_sends(0.2) > 3 * warming_sends(0.02) > 0
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -58,4 +58,5 @@
         reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         got = [reader.feed(whole[at : at + 1000]) for at in range(0, len(whole), 1000)][-1]
-        assert got is not None and len(decode_endpoint_list(got.body).endpoints) == ENDPOINT_COUNT
+        assert got is not None
+        assert len(decode_endpoint_list(got.body).endpoints) == ENDPOINT_COUNT
--- a/tests/tools/test_lint_exceptions.py
+++ b/tests/tools/test_lint_exceptions.py
@@ -13,9 +13,9 @@
 )
 
 #: Pairs of a file and a rule in `pyproject.toml`.  Lower it with each entry that goes; it is never raised.
-RECORDED_PAIRS = 239
+RECORDED_PAIRS = 208
 #: Packages whose every file keeps every rule.
-FINISHED: tuple[str, ...] = ()
+FINISHED: tuple[str, ...] = ("linetrack/policy/", "tests/policy/")
 
 
 @pytest.fixture(scope="module")
