--- a/linetrack/control/discovery_schedule.py
+++ b/linetrack/control/discovery_schedule.py
@@ -2,9 +2,11 @@
 
 A change of the endpoint list is binding for an instance from a moment that the protocol names, whether or
 not the instance has received it.  Every decision here follows from that moment, `binding_deadline`;
-`docs/list.md` has the table of all cases.  The schedule keeps that moment, the count of consecutive failures and the jitter
-that spreads polls over the fleet.  It makes no poll itself and reads no clock: `server/discovery_client.py`
-makes the polls.  All times are in microseconds.
+`docs/list.md` has the table of all cases.
+
+The schedule keeps that moment, the count of consecutive failures and the jitter that spreads polls over the
+fleet.  It makes no poll itself and reads no clock: `server/discovery_client.py` makes the polls.  All times
+are in microseconds.
 """
 
 from __future__ import annotations
@@ -118,8 +120,10 @@
         self._reset_backoff(now)
 
     def next_poll(self, now: int) -> Poll:
-        """Return the poll to make next; it is to be followed by `record_success`, `record_failure` or
-        `switch_server`."""
+        """Return the poll to make next.
+
+        It is to be followed by `record_success`, `record_failure` or `switch_server`.
+        """
         due_at = max(now, self.next_poll_at)
         self.poll_started_at = due_at
         return self._long_poll(due_at) if self.is_list_current else self._immediate_poll(due_at)
