--- a/linetrack/server/logging_setup.py
+++ b/linetrack/server/logging_setup.py
@@ -26,7 +26,7 @@
         self._last_line_at: dict[str, int] = {}
         self._suppressed: dict[str, int] = {}
 
-    def __call__(self, logger: object, method: str, line: EventDict) -> EventDict:
+    def __call__(self, _logger: object, method: str, line: EventDict) -> EventDict:
         """Pass a line on with the number that was suppressed before it, or raise structlog.DropEvent."""
         if method == "info":
             return line
