--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -1,112 +1,49 @@
-"""What a sidecar is told: EDGE_* and the JSON file, read, checked and defaulted here only, at a reload as
-well.
+"""The sidecar's configuration: EDGE_* variables and the JSON file, read, checked and given defaults.
 
-Must never open a socket or hold anything that changes.  Every fault names the key that is to blame.
+The only reader of both, at the start and at each reload.  It opens no socket and holds nothing that changes.
+Every error names the key at fault.
 """
 
 from __future__ import annotations
 
 import json
 import resource
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, replace
 from typing import Any
 
 from linetrack.control.settings_digest import settings_digest
+from linetrack.errors import LinetrackError
 from linetrack.policy.settings import Settings
 from linetrack.server import messages
 from linetrack.server.messages import EndpointRecords
-from linetrack.settings import Node, SettingsError, read_settings
+from linetrack.settings import SettingsError, SettingsNode, describe_invalid_key, read_settings
 
-EMPTY_LIST = EndpointRecords(0, True, ())
-STREAMS = 1  # requests that a connection of HTTP/1.1 carries at once, whatever is told
-SOCKETS, MEMORY_MB = 1024, 192  # where no limit is told: what binds on the days that count
+EMPTY_ENDPOINT_LIST = EndpointRecords(0, True, ())
+HTTP1_STREAMS_PER_CONNECTION = 1  # whatever is configured
+# defaults of the limits: those that bind on the days that count
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+MIN_SOCKETS = 64
+DEFAULT_DIAL_TIMEOUT_US = 250_000
+DEFAULT_KEEP_ALIVE_TIMEOUT_US = 30_000_000
 
+CONFIG_FILE_VARIABLE = "EDGE_CONFIG"
 
-class ConfigError(Exception):
-    """The configuration is missing or makes no sense; the message names the key."""
-
-
-@dataclass(slots=True, frozen=True)
-class Config:
-    name: str
-    listen: tuple[str, int]
-    admin: tuple[str, int] | None  # the operators' address; None: nothing listens there
-    discovery: tuple[str, int]
-    seed: int
-    sockets: int
-    memory_mb: int
-    known: EndpointRecords
-    settings: Settings
-    told_streams: int  # requests a connection carries at once, as told; HTTP/1.1 carries STREAMS
-    class_names: tuple[str, ...]
-    zone_names: tuple[str, ...]
-    kind_names: tuple[str, ...]
-    report_fields: tuple[str, ...]
-    dial_timeout: int  # microseconds, as below
-    keep_alive: int
-    storms: bool  # retry storms are damped, and keys of callers' own repeats remembered
-    whole_seconds: bool  # Retry-After in whole seconds
-    said: frozenset[str] = frozenset()  # which keys of ALWAYS the file says
-
-    def restart_for(self, new: Config) -> list[str]:
-        """The keys in which another configuration differs that only a restart can bring into force."""
-        return sorted(key for name, key in AT_START.items() if getattr(self, name) != getattr(new, name))
-
-    def after(self, old: Config) -> Config:
-        """This configuration as a running program takes it: what only a restart can bring stays as it was,
-        and a place or kind that had a number keeps it.  A ConfigError where it is short of a key.
-
-        Guards against a file that lost a part taking effect with defaults, and against two names that had
-        one number after one another: what may have run in a place would be repeated in another.
-        """
-        if short := old.said - self.said:
-            raise ConfigError(f"{min(short)} is missing, and the file in force says it")
-        zones, kinds = _longer(old.zone_names, self.zone_names), _longer(old.kind_names, self.kind_names)
-        own = self.settings.zone
-        zone = zones.index(self.zone_names[own]) if own < len(self.zone_names) else own
-        kept = {name: getattr(old, name) for name in AT_START}
-        settings = replace(self.settings, zone=zone)
-        return replace(self, settings=settings, zone_names=zones, kind_names=kinds, **kept)
-
-    def same_settings(self, other: Config) -> bool:
-        """Whether nothing differs that a running program takes."""
-        same = replace(self, discovery=other.discovery, seed=other.seed, known=other.known, said=other.said)
-        return same == other
-
-    @property
-    def digest(self) -> str:
-        """Stands for all that decisions go by, names with their numbers: the same in two processes of one
-        sidecar under the same settings, whatever else their files say."""
-        return settings_digest(
-            self.settings, self.class_names, self.zone_names, self.kind_names, self.report_fields
-        )
-
-    @property
-    def deadlines(self) -> tuple[int, ...]:
-        return tuple(klass.timeout for klass in self.settings.classes)
-
-    @property
-    def longest(self) -> int:
-        """The longest deadline of any class."""
-        return max(self.deadlines)
-
-
-#: What only a start can bring into force, and the keys that say it.
-AT_START = {
+#: Fields that only a restart can change, and the keys that set them.
+RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
     "admin": "admin_addr",
     "sockets": "limits.sockets",
     "memory_mb": "limits.memory_mb",
-    "storms": "storms.damp",
-    "whole_seconds": "storms.wholeSeconds",
+    "overload_control_enabled": "storms.damp",
+    "retry_after_in_whole_seconds": "storms.wholeSeconds",
 }
 
-
-#: What a file that follows one that says it has to say too, by the part that it stands in; not what turns
-#: something on, so that an older file can follow a newer one, nor what only a start can bring into force.
-ALWAYS: dict[str, tuple[str, ...]] = {
+#: Keys that a reloaded file must have if the file in force has them, by the object that holds them.  Left out
+#: are keys that turn something on, so that an older file can follow a newer one, and `RESTART_KEYS`.
+PERMANENT_KEYS: dict[str, tuple[str, ...]] = {
     "": ("name", "listen", "discovery", "limits", "settings"),
     "settings": ("classes", "azs", "zone", "me", "balancers", "registryMode", "rules", "stats", "allowed"),
     "settings.rules": (
@@ -127,121 +64,258 @@
         "dialTimeoutUs",
     ),
 }
-ALWAYS_OF_A_CLASS = ("name", "repeat", "aimUs", "deadlineUs", "worth")
+#: The same for keys that each class of the file in force has.
+PERMANENT_CLASS_KEYS = ("name", "repeat", "aimUs", "deadlineUs", "worth")
 
 
-def _said(root: Node) -> frozenset[str]:
-    said = set()
-    for path, names in ALWAYS.items():
-        node = root
-        for step in path.split(".") if path else ():
-            node = node.part(step)
-        said |= {node.at(name) for name in names if name in node.values}
-    classes = root.part("settings").parts("classes")
-    said |= {
-        f"settings.classes.*.{name}" for name in ALWAYS_OF_A_CLASS if all(name in c.values for c in classes)
-    }
-    return frozenset(said)
+class ConfigError(LinetrackError):
+    """A key of the configuration is missing or invalid.
 
+    Attributes:
+        key: the full path of the key, or the name of an environment variable.
+        reason: what is wrong with it.
+        value: the value as shown to the operator; None where it is missing.
+    """
 
-def _longer(old: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
-    return old + tuple(name for name in new if name not in old)
+    def __init__(self, key: str, reason: str, value: str | None = None, *, line: str | None = None) -> None:
+        """`line` is what an operator reads, where it says more than the other arguments do."""
+        self.key = key
+        self.reason = reason
+        self.value = value
+        super().__init__(line or describe_invalid_key(key, reason, value))
 
 
-def _address(value: str, key: str) -> tuple[str, int]:
-    try:
-        return messages.address(value)
-    except ValueError as fault:
-        raise ConfigError(f"{key}: {fault}") from None
+@dataclass(slots=True, frozen=True)
+class Config:
+    """Everything that one sidecar is configured with; durations in microseconds."""
 
+    name: str
+    listen: tuple[str, int]
+    admin: tuple[str, int] | None  # the operators' address; None: nothing listens there
+    discovery: tuple[str, int]
+    seed: int
+    sockets: int
+    memory_mb: int
+    initial_endpoints: EndpointRecords
+    settings: Settings
+    configured_streams: int  # a connection, as configured; HTTP/1.1 carries HTTP1_STREAMS_PER_CONNECTION
+    class_names: tuple[str, ...]
+    zone_names: tuple[str, ...]
+    host_class_names: tuple[str, ...]
+    load_report_fields: tuple[str, ...]
+    dial_timeout: int
+    keep_alive_timeout: int
+    overload_control_enabled: bool  # retry storms are damped, keys of the callers' own retries remembered
+    retry_after_in_whole_seconds: bool
+    permanent_keys: frozenset[str] = frozenset()  # which of PERMANENT_KEYS the file has
+
+    def keys_needing_restart(self, new: Config) -> list[str]:
+        """The keys in which a new configuration differs that only a restart can change."""
+        return sorted(
+            key for field, key in RESTART_KEYS.items() if getattr(self, field) != getattr(new, field)
+        )
 
-def _seed(value: Any) -> int:
-    """Hexadecimal text or a whole number."""
-    try:
-        return value if isinstance(value, int) else int(value, 16)
-    except (TypeError, ValueError):
-        raise ConfigError(f"seed: {value!r} is no hexadecimal number") from None
+    def for_reload_of(self, running: Config) -> Config:
+        """This configuration as a sidecar that runs with another one takes it.
 
+        What only a restart can change stays as it was, and each zone and host class keeps its number: were
+        two zones to have one number after one another, a request that may have been executed in the first
+        would be retried in the second.
 
-def _known(value: Any) -> EndpointRecords:
-    if value is None:
-        return EMPTY_LIST
+        Raises:
+            ConfigError: a key is missing that the running configuration has.  A file that lost a part would
+                otherwise take effect with defaults.
+        """
+        if missing := running.permanent_keys - self.permanent_keys:
+            raise ConfigError(min(missing), "is missing, and the file in force says it")
+        zone_names = _extended(running.zone_names, self.zone_names)
+        zone = self.settings.zone
+        if zone < len(self.zone_names):
+            zone = zone_names.index(self.zone_names[zone])
+        unchanged = {field: getattr(running, field) for field in RESTART_KEYS}
+        return replace(
+            self,
+            settings=replace(self.settings, zone=zone),
+            zone_names=zone_names,
+            host_class_names=_extended(running.host_class_names, self.host_class_names),
+            **unchanged,
+        )
+
+    def has_same_settings(self, other: Config) -> bool:
+        """Whether nothing differs that needs a settings switch in a running sidecar."""
+        same = replace(
+            self,
+            discovery=other.discovery,
+            seed=other.seed,
+            initial_endpoints=other.initial_endpoints,
+            permanent_keys=other.permanent_keys,
+        )
+        return same == other
+
+    @property
+    def digest(self) -> str:
+        """Stands for all that decisions depend on, names with their numbers included: equal in two processes
+        of one sidecar with the same settings, whatever else their files hold."""
+        return settings_digest(
+            self.settings, self.class_names, self.zone_names, self.host_class_names, self.load_report_fields
+        )
+
+    @property
+    def class_timeouts(self) -> tuple[int, ...]:
+        """The timeout of each request class."""
+        return tuple(request_class.timeout for request_class in self.settings.classes)
+
+    @property
+    def max_class_timeout(self) -> int:
+        """The longest timeout of any request class."""
+        return max(self.class_timeouts)
+
+
+def read_config(environ: Mapping[str, str]) -> Config:
+    """The platform's configuration, from the file that EDGE_CONFIG names.
+
+    Raises:
+        ConfigError: a key is missing or invalid.
+    """
+    path = environ.get(CONFIG_FILE_VARIABLE)
+    if not path:
+        raise ConfigError(CONFIG_FILE_VARIABLE, "is missing")
+    return parse_config(_read_file(path), environ)
+
+
+def parse_config(values: Any, environ: Mapping[str, str]) -> Config:
+    """The configuration that these values, in the platform's form, give.
+
+    Raises:
+        ConfigError: a key is missing or invalid.
+    """
     try:
-        return messages.parse_endpoint_list(value)
-    except messages.MalformedError as fault:
-        raise ConfigError(f"known: {fault}") from None
+        return _parse(SettingsNode(values, ""), environ)
+    except SettingsError as error:
+        raise ConfigError(error.key, error.reason, error.value) from None
 
 
-def _file(path: str) -> Any:
+def _read_file(path: str) -> Any:
     try:
         with open(path, encoding="utf-8") as file:
-            value = json.load(file)
-    except OSError as fault:
-        raise ConfigError(f"EDGE_CONFIG: {path}: {fault.strerror}") from None
-    except (ValueError, RecursionError) as fault:
-        raise ConfigError(f"EDGE_CONFIG: {path} is not JSON: {fault}") from None
-    return value
-
-
-def _read(root: Node, environ: Mapping[str, str]) -> Config:
-    told = {}
-    for key in ("name", "listen", "discovery"):
-        from_file, from_environ = root.text(key, ""), environ.get(f"EDGE_{key.upper()}", "")
-        # the environment stays as it was at the start, so it must not hide a discovery that a new file names
-        told[key] = from_file or from_environ if key == "discovery" else from_environ or from_file
-        if not told[key]:
-            raise ConfigError(f"{key} (EDGE_{key.upper()}) is missing")
+            return json.load(file)
+    except OSError as error:
+        reason = str(error.strerror)
+        line = f"{CONFIG_FILE_VARIABLE}: {path}: {reason}"
+        raise ConfigError(CONFIG_FILE_VARIABLE, reason, path, line=line) from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(CONFIG_FILE_VARIABLE, f"is not JSON: {error}", path) from None
+
+
+def _parse(root: SettingsNode, environ: Mapping[str, str]) -> Config:
+    name = _required_text(root, "name", environ)
+    listen = _required_text(root, "listen", environ)
+    discovery = _required_text(root, "discovery", environ)
     admin = environ.get("EDGE_ADMIN_ADDR", "") or root.text("admin_addr", "")
     if "settings" not in root.values:
-        raise ConfigError("settings is missing")
-    node = root.part("settings")
-    settings = read_settings(node.values, "settings")
-    told_streams = settings.max_streams_per_connection
-    settings = replace(settings, max_streams_per_connection=STREAMS)
-    allowed, classes = node.part("allowed"), node.parts("classes")
-    names = tuple(item.text("name", str(n)) for n, item in enumerate(classes))
-    for n, name in enumerate(names):
-        if name in names[:n]:
-            raise ConfigError(f"{classes[n].at('name')}: {name!r} is there twice")
-    limits = root.part("limits")
-    # the process's own limit binds too, whatever was told
-    sockets = min(limits.whole("sockets", SOCKETS), resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-    if sockets < 64:
-        raise ConfigError(f"limits.sockets: {sockets} is too few to serve with")
-    stats = node.part("stats")
+        raise ConfigError("settings", "is missing")
+    node = root.child("settings")
+    configured = read_settings(node.values, "settings")
+    allowed = node.child("allowed")
+    class_names = _class_names(node.children("classes"))
+    report_fields = node.child("stats").names("fields") if configured.load_report_fields else []
+    limits = root.child("limits")
     return Config(
-        name=told["name"],
-        listen=_address(told["listen"], "listen (EDGE_LISTEN)"),
-        admin=_address(admin, "admin_addr (EDGE_ADMIN_ADDR)") if admin else None,
-        discovery=_address(told["discovery"], "discovery (EDGE_DISCOVERY)"),
+        name=name,
+        sockets=_socket_limit(limits),
+        listen=_address(listen, "listen", "EDGE_LISTEN"),
+        admin=_address(admin, "admin_addr", "EDGE_ADMIN_ADDR") if admin else None,
+        discovery=_address(discovery, "discovery", "EDGE_DISCOVERY"),
         seed=_seed(root.values.get("seed", "0")),
-        sockets=sockets,
-        memory_mb=int(limits.number("memory_mb", MEMORY_MB)),
-        known=_known(root.values.get("known")),
-        settings=settings,
-        told_streams=told_streams,
-        class_names=names,
+        memory_mb=int(limits.number("memory_mb", DEFAULT_MEMORY_MB)),
+        initial_endpoints=_initial_endpoints(root.values.get("known")),
+        settings=replace(configured, max_streams_per_connection=HTTP1_STREAMS_PER_CONNECTION),
+        configured_streams=configured.max_streams_per_connection,
+        class_names=class_names,
         zone_names=tuple(node.names("azs")),
-        kind_names=tuple(node.names("skus")),
-        report_fields=tuple(stats.names("fields")) if settings.load_report_fields else (),
-        dial_timeout=allowed.above("dialTimeoutUs", 1, 250_000),
-        keep_alive=allowed.above("keepaliveUs", 0, 30_000_000),
-        storms=root.part("storms").flag("damp"),
-        whole_seconds=root.part("storms").flag("wholeSeconds"),
-        said=_said(root),
+        host_class_names=tuple(node.names("skus")),
+        load_report_fields=tuple(report_fields),
+        dial_timeout=allowed.integer_at_least("dialTimeoutUs", 1, DEFAULT_DIAL_TIMEOUT_US),
+        keep_alive_timeout=allowed.integer_at_least("keepaliveUs", 0, DEFAULT_KEEP_ALIVE_TIMEOUT_US),
+        overload_control_enabled=root.child("storms").boolean("damp"),
+        retry_after_in_whole_seconds=root.child("storms").boolean("wholeSeconds"),
+        permanent_keys=_permanent_keys(root),
     )
 
 
-def read_config(environ: Mapping[str, str]) -> Config:
-    """The platform's configuration, or a `ConfigError`."""
-    if not environ.get("EDGE_CONFIG"):
-        raise ConfigError("EDGE_CONFIG is missing")
-    return config_of(_file(environ["EDGE_CONFIG"]), environ)
+def _required_text(root: SettingsNode, key: str, environ: Mapping[str, str]) -> str:
+    """From the environment or else the file; the other way round for discovery.
 
+    The environment stays as it was at the start, so it must not hide a discovery that a new file names.
+    """
+    variable = f"EDGE_{key.upper()}"
+    from_file = root.text(key, "")
+    from_environ = environ.get(variable, "")
+    text = from_file or from_environ if key == "discovery" else from_environ or from_file
+    if not text:
+        raise ConfigError(key, "is missing", line=f"{key} ({variable}) is missing")
+    return text
 
-def config_of(values: Mapping[str, Any], environ: Mapping[str, str]) -> Config:
-    """What these values, in the platform's form, say; or a `ConfigError`."""
+
+def _class_names(classes: Iterable[SettingsNode]) -> tuple[str, ...]:
+    names: list[str] = []
+    for index, node in enumerate(classes):
+        name = node.text("name", str(index))
+        if name in names:
+            raise ConfigError(node.path_of("name"), "is there twice", repr(name))
+        names.append(name)
+    return tuple(names)
+
+
+def _socket_limit(limits: SettingsNode) -> int:
+    """The configured limit, or the process's own where that is lower."""
+    process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    sockets = min(limits.integer("sockets", DEFAULT_SOCKETS), process_limit)
+    if sockets < MIN_SOCKETS:
+        raise ConfigError("limits.sockets", "is too few to serve with", str(sockets))
+    return sockets
+
+
+def _address(text: str, key: str, variable: str) -> tuple[str, int]:
+    try:
+        return messages.address(text)
+    except ValueError as error:
+        raise ConfigError(key, str(error), repr(text), line=f"{key} ({variable}): {error}") from None
+
+
+def _seed(value: Any) -> int:
+    """Hexadecimal text or a whole number."""
+    try:
+        return value if isinstance(value, int) else int(value, 16)
+    except (TypeError, ValueError):
+        raise ConfigError("seed", "is no hexadecimal number", repr(value)) from None
+
+
+def _initial_endpoints(value: Any) -> EndpointRecords:
+    if value is None:
+        return EMPTY_ENDPOINT_LIST
     try:
-        return _read(Node(values, ""), environ)
-    except SettingsError as fault:
-        raise ConfigError(str(fault)) from None
+        return messages.parse_endpoint_list(value)
+    except messages.MalformedError as error:
+        raise ConfigError("known", str(error), line=f"known: {error}") from None
+
+
+def _permanent_keys(root: SettingsNode) -> frozenset[str]:
+    found: set[str] = set()
+    for path, names in PERMANENT_KEYS.items():
+        node = root
+        for name in path.split(".") if path else ():
+            node = node.child(name)
+        found |= {node.path_of(name) for name in names if name in node.values}
+    classes = root.child("settings").children("classes")
+    found |= {
+        f"settings.classes.*.{name}"
+        for name in PERMANENT_CLASS_KEYS
+        if all(name in request_class.values for request_class in classes)
+    }
+    return frozenset(found)
+
+
+def _extended(old: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
+    """The old names in their order, then those that are new."""
+    return old + tuple(name for name in new if name not in old)
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -29,7 +29,7 @@
 from linetrack.server.budget import Budget
 from linetrack.server.listener import Listener
 from linetrack.server.clock import clock
-from linetrack.server.config import STREAMS, Config, ConfigError, read_config
+from linetrack.server.config import HTTP1_STREAMS_PER_CONNECTION, Config, ConfigError, read_config
 from linetrack.server.discovery_client import DiscoveryClient
 from linetrack.server.hot_restart_channel import Predecessor, Successor, socket_path
 from linetrack.server.messages import MalformedError, EndpointRecords
@@ -68,8 +68,8 @@
         self.upstreams = UpstreamPool(
             budget,
             config.dial_timeout,
-            config.keep_alive,
-            config.report_fields,
+            config.keep_alive_timeout,
+            config.load_report_fields,
             lambda done, seen: self.owner.put(done, seen),
             self.figures,
         )
@@ -78,11 +78,11 @@
             self.upstreams,
             lambda news, seen: self.owner.put(news, seen),
             config.zone_names,
-            config.kind_names,
+            config.host_class_names,
             config.settings,
             config.seed,
         )
-        if config.storms:
+        if config.overload_control_enabled:
             policy = _damping(policy)
         self.handover = SettingsSwitch(policy(config.settings, config.seed))
         self.owner = Dispatcher(
@@ -93,9 +93,14 @@
             self.upstreams.close_idle,
             self.figures,
         )
-        self.longest = config.longest
+        self.longest = config.max_class_timeout
         self.clients = Listener(
-            self.owner, budget, config.class_names, config.deadlines, self.serving, config.whole_seconds
+            self.owner,
+            budget,
+            config.class_names,
+            config.class_timeouts,
+            self.serving,
+            config.retry_after_in_whole_seconds,
         )
         self.leave, self.again = Event(), Event()
         self.budget = budget
@@ -183,7 +188,7 @@
         path = socket_path(os.environ.get("TMPDIR", ""), config.name, config.listen)
         if path is None:
             self.clients.listen(config.listen)
-            return None, config.known
+            return None, config.initial_endpoints
         self.predecessor = Predecessor(path, self._identity, self._grant, self._act)
         successor = Successor(path, self._identity(), self._act, self._told)
         while (granted := successor.call()) is None:
@@ -204,7 +209,7 @@
                     raise
             else:
                 self._be_found()
-                return None, config.known
+                return None, config.initial_endpoints
         fd, values = granted
         self.clients.listener = socket.socket(fileno=fd)
         return successor, self._list(values)
@@ -242,12 +247,12 @@
         of another discovery, whose versions are its own."""
         if values.get("discovery", list(self.config.discovery)) != list(self.config.discovery):
             log.warning("hot_restart_list_left", discovery=values["discovery"])
-            return self.config.known
+            return self.config.initial_endpoints
         try:
             return messages.parse_endpoint_list(values.get("list"))
         except MalformedError as fault:
             log.warning("hot_restart_list_faulty", fault=str(fault))
-            return self.config.known
+            return self.config.initial_endpoints
 
     def _accept(self) -> None:
         self.accepting = must_live("listener", self.clients.accept)
@@ -331,13 +336,13 @@
             self.again.clear()
             try:
                 told = self.read()
-                new = told.after(self.config)
+                new = told.for_reload_of(self.config)
             except ConfigError as fault:
                 self.figures.files_invalid += 1
                 log.error("reload_faulty", fault=str(fault))
                 continue
-            needs_restart = self.config.restart_for(told)
-            same = new.same_settings(self.config)
+            needs_restart = self.config.keys_needing_restart(told)
+            same = new.has_same_settings(self.config)
             if not same and not self.handover.can:
                 needs_restart, same = [*needs_restart, "settings"], True
             self.figures.files_accepted += 1
@@ -350,12 +355,12 @@
     def _switch(self, new: Config) -> None:
         """Other settings, whole and at one moment: nothing waits in here, and the owner takes what was read
         before it under the old ones, what is read after it under the new."""
-        self.upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
-        self.discovery.set(new.zone_names, new.kind_names, new.settings)
+        self.upstreams.set(new.dial_timeout, new.keep_alive_timeout, new.load_report_fields)
+        self.discovery.set(new.zone_names, new.host_class_names, new.settings)
         self.figures.declare(new.class_names)
-        self.clients.intake.set(new.class_names, new.deadlines)
+        self.clients.intake.set(new.class_names, new.class_timeouts)
         self.owner.put(SerializedCallback(partial(self._succeed, new)), clock())
-        self.config, self.longest = new, max(self.longest, new.longest)
+        self.config, self.longest = new, max(self.longest, new.max_class_timeout)
 
     def _succeed(self, new: Config) -> None:
         still = self.handover.switch(new.settings)
@@ -363,8 +368,8 @@
 
 
 def _say_streams(config: Config) -> None:
-    if config.told_streams > STREAMS:
-        log.warning("multiplex_unused", told=config.told_streams, used=STREAMS)
+    if config.configured_streams > HTTP1_STREAMS_PER_CONNECTION:
+        log.warning("multiplex_unused", told=config.configured_streams, used=HTTP1_STREAMS_PER_CONNECTION)
 
 
 def _damping(policy: MakePolicy) -> MakePolicy:
--- a/linetrack/settings.py
+++ b/linetrack/settings.py
@@ -1,20 +1,30 @@
-"""The settings object, nested and with the wire's names, to the decision module's `Settings`.
+"""Reads the nested settings object of the platform into the policy's `Settings`.
 
-Used by both hosts.  Owns the names and defaults of every setting; must never know which host reads it.
-Values may be typed (JSON) or text (the simulator's pairs).  Unknown keys are passed over.
+The only module that knows the names and defaults of the policy's settings.  Both hosts use it: the sidecar
+with typed values (JSON), the simulator's adapter with text.  Unknown keys are ignored.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
+from dataclasses import replace
 from typing import Any
 
+from linetrack.errors import LinetrackError
 from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField, RequestClass, Settings
 
-EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.IDEMPOTENCY_KEY, "single_shot": Idempotency.NON_IDEMPOTENT}
-GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
-LOADS = {
+IDEMPOTENCY_BY_NAME = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.IDEMPOTENCY_KEY,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
+DEDUPLICATION_SCOPE_BY_NAME = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+LOAD_FIELD_BY_NAME = {
     "concurrent": LoadField.IN_FLIGHT,
     "depth": LoadField.QUEUE_DEPTH,
     "load_share": LoadField.UTILIZATION,
@@ -22,154 +32,263 @@
     "tps": LoadField.REQUEST_RATE,
     "err_ps": LoadField.ERROR_RATE,
 }
-SIZES = {"off": False, "nominal": False, "rough": False, "live": True}  # whether they move with load
-FLAGS = {"true": True, "1": True, "false": False, "0": False}
+#: Values of `weights`, and whether the listed capacities vary with load.
+CAPACITY_VARIES_BY_NAME = {"off": False, "nominal": False, "rough": False, "live": True}
+BOOLEAN_BY_TEXT = {"true": True, "1": True, "false": False, "0": False}
+#: Keys of `rules` that limit retries; the window is required as soon as one of them is present.
+RETRY_WINDOW_KEYS = ("freeResends", "furtherRatio", "extraWindowUs")
+
+
+def describe_invalid_key(key: str, reason: str, value: str | None) -> str:
+    """The line that an operator reads about a key; `value` is None where it is missing."""
+    return f"{key} {reason}" if value is None else f"{key}: {value} {reason}"
+
 
+class SettingsError(LinetrackError):
+    """A setting is missing or invalid.
 
-class SettingsError(Exception):
-    """A setting that is missing or makes no sense; the message names its key."""
+    Attributes:
+        key: the full path of the setting.
+        reason: what is wrong with it.
+        value: the value as shown to the operator; None where it is missing.
+    """
 
+    def __init__(self, key: str, reason: str, value: str | None = None) -> None:
+        self.key = key
+        self.reason = reason
+        self.value = value
+        super().__init__(describe_invalid_key(key, reason, value))
 
-class Node:
-    """One object of the settings, and the path that leads to it."""
 
-    def __init__(self, value: Any, path: str) -> None:
-        if not isinstance(value, Mapping):
-            raise SettingsError(f"{path}: {value!r} is no object")
-        self.values, self.path = value, path
+class SettingsNode:
+    """One object within the settings, with the path that leads to it.
 
-    def at(self, name: str) -> str:
+    Every method that reads a value raises a `SettingsError` with the full path of a key that is wrong.
+    """
+
+    def __init__(self, values: Any, path: str) -> None:
+        if not isinstance(values, Mapping):
+            raise SettingsError(path, "is no object", repr(values))
+        self.values = values
+        self.path = path
+
+    def path_of(self, name: str) -> str:
+        """The full path of a key of this object."""
         return f"{self.path}.{name}" if self.path else name
 
-    def part(self, name: str) -> Node:
-        """A part that may be left out."""
-        return Node(self.values.get(name) or {}, self.at(name))
+    def _error(self, name: str, reason: str, value: Any) -> SettingsError:
+        return SettingsError(self.path_of(name), reason, repr(value))
+
+    def child(self, name: str) -> SettingsNode:
+        """The object under this key, or an empty one where it is absent."""
+        return SettingsNode(self.values.get(name) or {}, self.path_of(name))
 
-    def parts(self, name: str) -> list[Node]:
+    def children(self, name: str) -> list[SettingsNode]:
+        """The objects of the list under this key; none where it is absent."""
         value = self.values.get(name) or []
         if not isinstance(value, list):
-            raise SettingsError(f"{self.at(name)}: {value!r} is no list")
-        return [Node(item, f"{self.at(name)}.{n}") for n, item in enumerate(value)]
+            raise self._error(name, "is no list", value)
+        return [SettingsNode(item, f"{self.path_of(name)}.{n}") for n, item in enumerate(value)]
 
     def names(self, name: str) -> list[str]:
+        """A list of names, which text separates with commas; none where it is absent."""
         value = self.values.get(name) or []
         if isinstance(value, str):
             value = [part for part in value.split(",") if part]
         if not isinstance(value, list) or not all(isinstance(part, str) for part in value):
-            raise SettingsError(f"{self.at(name)}: {value!r} is no list of names")
+            raise self._error(name, "is no list of names", value)
         return value
 
     def text(self, name: str, default: str) -> str:
+        """A text."""
         value = self.values.get(name, default)
         if not isinstance(value, str):
-            raise SettingsError(f"{self.at(name)}: {value!r} is no text")
+            raise self._error(name, "is no text", value)
         return value
 
-    def one_of(self, name: str, choices: dict[str, Any], default: str) -> Any:
+    def one_of(self, name: str, choices: Mapping[str, Any], default: str) -> Any:
+        """What `choices` maps the text under this key to."""
         value = self.text(name, default)
         if value not in choices:
-            raise SettingsError(f"{self.at(name)}: {value!r} is none of {', '.join(choices)}")
+            raise self._error(name, f"is none of {', '.join(choices)}", value)
         return choices[value]
 
     def number(self, name: str, default: float | None = None) -> float:
+        """A finite number; required where there is no default."""
         value = self.values.get(name, default)
         if value is None:
-            raise SettingsError(f"{self.at(name)} is missing")
+            raise SettingsError(self.path_of(name), "is missing")
         try:
-            number = float("nan") if isinstance(value, bool) else float(value)
+            number = math.nan if isinstance(value, bool) else float(value)
         except (TypeError, ValueError, OverflowError):
             number = math.nan
         if not math.isfinite(number):
-            raise SettingsError(f"{self.at(name)}: {value!r} is not a number")
+            raise self._error(name, "is not a number", value)
         return number
 
-    def whole(self, name: str, default: int | None = None) -> int:
+    def integer(self, name: str, default: int | None = None) -> int:
+        """A whole number; required where there is no default."""
         number = self.number(name, default)
         if number != int(number):
-            raise SettingsError(f"{self.at(name)}: {self.values.get(name)!r} is not a whole number")
+            raise self._error(name, "is not a whole number", self.values.get(name))
         return int(number)
 
-    def least(self, name: str, least: float, default: float | None = None) -> float:
-        """A number that is no less."""
+    def number_at_least(self, name: str, minimum: float, default: float | None = None) -> float:
+        """A number that is not below the minimum."""
         number = self.number(name, default)
-        if number < least:
-            raise SettingsError(f"{self.at(name)}: {number:g} is under {least:g}")
+        if number < minimum:
+            raise SettingsError(self.path_of(name), f"is under {minimum:g}", f"{number:g}")
         return number
 
-    def above(self, name: str, least: int, default: int | None = None) -> int:
-        """A whole number that is no less."""
-        number = self.whole(name, default)
-        if number < least:
-            raise SettingsError(f"{self.at(name)}: {number} is under {least}")
+    def integer_at_least(self, name: str, minimum: int, default: int | None = None) -> int:
+        """A whole number that is not below the minimum."""
+        number = self.integer(name, default)
+        if number < minimum:
+            raise SettingsError(self.path_of(name), f"is under {minimum}", str(number))
         return number
 
-    def flag(self, name: str) -> bool:
+    def boolean(self, name: str) -> bool:
+        """True or false, also as text; false where it is absent."""
         value = self.values.get(name, False)
-        flag = FLAGS.get(str(value).lower())
-        if flag is None:
-            raise SettingsError(f"{self.at(name)}: {value!r} is not true or false")
-        return flag
+        boolean = BOOLEAN_BY_TEXT.get(str(value).lower())
+        if boolean is None:
+            raise self._error(name, "is not true or false", value)
+        return boolean
 
 
-def _class(node: Node) -> RequestClass:
-    deadline = node.above("deadlineUs", 1)
+def read_settings(values: Mapping[str, Any], path: str = "") -> Settings:
+    """The policy's settings.
+
+    Args:
+        values: the settings object as the platform gives it.
+        path: where it stands in its file, for error messages.
+
+    Raises:
+        SettingsError: a setting is missing or invalid.
+    """
+    root = SettingsNode(values, path)
+    settings = Settings(classes=_read_classes(root))
+    load_reports = root.child("stats")
+    rules = root.child("rules")
+    allowed = root.child("allowed")
+    costs = root.child("deductions")
+    goal = root.child("goal")
+    settings = _with_deployment(settings, root, load_reports)
+    settings = _with_endpoint_rules(settings, rules)
+    settings = _with_permissions(settings, allowed)
+    settings = _with_goal(settings, root, costs, goal)
+    settings = _with_capacity(settings, root)
+    settings = _with_connections(settings, allowed)
+    return _with_retry_window(settings, rules)
+
+
+def _read_classes(root: SettingsNode) -> tuple[RequestClass, ...]:
+    classes = tuple(_read_class(node) for node in root.children("classes"))
+    if not classes:
+        raise SettingsError(root.path_of("classes"), "is missing or empty")
+    return classes
+
+
+def _read_class(node: SettingsNode) -> RequestClass:
+    timeout = node.integer_at_least("deadlineUs", 1)
     return RequestClass(
-        idempotency=node.one_of("repeat", EFFECTS, "single_shot"),
-        latency_objective=node.above("aimUs", 1, deadline),
-        timeout=deadline,
+        idempotency=node.one_of("repeat", IDEMPOTENCY_BY_NAME, "single_shot"),
+        latency_objective=node.integer_at_least("aimUs", 1, timeout),
+        timeout=timeout,
         latency_objective_stretch=node.number("aimStretch", 0.0),
         priority_weight=node.number("worth", 1.0),
         late_weight=node.number("lateWorth", 0.0),
-        deduplication_scope=node.one_of("dedupScope", GROUPS, "all"),
-        deduplication_window=node.whole("dedupWindowUs", 0),
-        streams_response=node.flag("stream"),
+        deduplication_scope=node.one_of("dedupScope", DEDUPLICATION_SCOPE_BY_NAME, "all"),
+        deduplication_window=node.integer("dedupWindowUs", 0),
+        streams_response=node.boolean("stream"),
     )
 
 
-def read_settings(values: Mapping[str, Any], path: str = "") -> Settings:
-    root = Node(values, path)
-    classes = tuple(_class(node) for node in root.parts("classes"))
-    if not classes:
-        raise SettingsError(f"{root.at('classes')} is missing or empty")
-    stats, rules, allowed = root.part("stats"), root.part("rules"), root.part("allowed")
-    prices, goal = root.part("deductions"), root.part("goal")
-    inline = stats.text("how", "off") != "off"
-    limited = any(name in rules.values for name in ("freeResends", "furtherRatio", "extraWindowUs"))
-    return Settings(
-        classes=classes,
-        instance=root.whole("me", 0),
-        instance_count=root.above("balancers", 1, 1),
-        zone=root.whole("zone", 0),
+def _with_deployment(settings: Settings, root: SettingsNode, load_reports: SettingsNode) -> Settings:
+    """Which instance this is, and what it is notified of."""
+    reports_inline = load_reports.text("how", "off") != "off"
+    return replace(
+        settings,
+        instance=root.integer("me", 0),
+        instance_count=root.integer_at_least("balancers", 1, 1),
+        zone=root.integer("zone", 0),
         zone_count=max(1, len(root.names("azs"))),
-        load_report_fields=tuple(LOADS.get(f, LoadField.OTHER) for f in (stats.names("fields") if inline else [])),
+        load_report_fields=_load_fields(load_reports) if reports_inline else (),
         must_subscribe=root.text("registryMode", "automatic") == "subscribe",
-        poll_interval=rules.whole("askEveryUs", 0),
-        drain_grace=rules.whole("drainGraceUs", 0),
+    )
+
+
+def _load_fields(load_reports: SettingsNode) -> tuple[LoadField, ...]:
+    return tuple(LOAD_FIELD_BY_NAME.get(name, LoadField.OTHER) for name in load_reports.names("fields"))
+
+
+def _with_endpoint_rules(settings: Settings, rules: SettingsNode) -> Settings:
+    """Draining, slow start and overload of endpoints."""
+    return replace(
+        settings,
+        poll_interval=rules.integer("askEveryUs", 0),
+        drain_grace=rules.integer("drainGraceUs", 0),
         slow_start_initial_fraction=rules.number("coldFrom", 1.0),
-        slow_start_duration=rules.whole("warmUpUs", 0),
+        slow_start_duration=rules.integer("warmUpUs", 0),
         overload_multiple=rules.number("fallMultiple", 0.0),
-        overload_window=rules.whole("overloadForUs", 0),
-        may_cancel=allowed.flag("mayCancel"),
-        may_send_health_checks=allowed.flag("mayProbe"),
-        may_run_parallel_attempts=allowed.flag("parallelTries"),
-        may_send_retry_after=allowed.flag("retryAfter"),
-        max_retry_after=allowed.whole("maxRetryAfterUs", 0),
-        max_attempts=allowed.above("maxAttempts", 1, 1),
-        cross_zone_cost=prices.number("crossZone", 0.0),
-        wasted_work_cost=prices.number("waste", 0.0),
-        late_failure_cost=prices.number("lateFail", 0.0),
+        overload_window=rules.integer("overloadForUs", 0),
+    )
+
+
+def _with_permissions(settings: Settings, allowed: SettingsNode) -> Settings:
+    """What an instance may do on its own account."""
+    return replace(
+        settings,
+        may_cancel=allowed.boolean("mayCancel"),
+        may_send_health_checks=allowed.boolean("mayProbe"),
+        may_run_parallel_attempts=allowed.boolean("parallelTries"),
+        may_send_retry_after=allowed.boolean("retryAfter"),
+        max_retry_after=allowed.integer("maxRetryAfterUs", 0),
+        max_attempts=allowed.integer_at_least("maxAttempts", 1, 1),
+    )
+
+
+def _with_goal(settings: Settings, root: SettingsNode, costs: SettingsNode, goal: SettingsNode) -> Settings:
+    """What the deployment's score counts, deducts and weighs."""
+    return replace(
+        settings,
+        cross_zone_cost=costs.number("crossZone", 0.0),
+        wasted_work_cost=costs.number("waste", 0.0),
+        late_failure_cost=costs.number("lateFail", 0.0),
         weighs_by_work=root.text("worthBy", "request") == "work",
         goal_weight_of_total=goal.number("whole", 1.0),
         goal_weight_of_worst_class=goal.number("worstClass", 0.0),
-        tenant_quotas=tuple(node.number("quotaRps", 0.0) for node in root.parts("customers")),
+        tenant_quotas=tuple(tenant.number("quotaRps", 0.0) for tenant in root.children("customers")),
         over_quota_weight=root.number("overShareWorth", 1.0),
-        has_affinity_keys=root.part("extra").flag("warmKeys"),
-        capacity_varies_with_load=root.one_of("weights", SIZES, "off"),
-        max_streams_per_connection=allowed.above("multiplex", 1, 1),
-        keep_alive_timeout=allowed.above("keepaliveUs", 0, 0),
-        # one of them said without the window would be a limit that never binds
-        retry_window=rules.above("extraWindowUs", 1) if limited else 0,
-        retry_window_allowance=rules.least("freeResends", 0.0, 0.0),
-        retry_window_ratio=rules.least("furtherRatio", 0.0, 0.0),
-        removal_is_advisory=rules.flag("goneIsAdvice"),
+    )
+
+
+def _with_capacity(settings: Settings, root: SettingsNode) -> Settings:
+    """What is known of the endpoints' capacity."""
+    return replace(
+        settings,
+        has_affinity_keys=root.child("extra").boolean("warmKeys"),
+        capacity_varies_with_load=root.one_of("weights", CAPACITY_VARIES_BY_NAME, "off"),
+    )
+
+
+def _with_connections(settings: Settings, allowed: SettingsNode) -> Settings:
+    """Connections to endpoints."""
+    return replace(
+        settings,
+        max_streams_per_connection=allowed.integer_at_least("multiplex", 1, 1),
+        keep_alive_timeout=allowed.integer_at_least("keepaliveUs", 0, 0),
+    )
+
+
+def _with_retry_window(settings: Settings, rules: SettingsNode) -> Settings:
+    """The limit of retries over a sliding window, and what a removal means."""
+    # an allowance or ratio without the window would be a limit that never binds
+    is_limited = any(key in rules.values for key in RETRY_WINDOW_KEYS)
+    return replace(
+        settings,
+        retry_window=rules.integer_at_least("extraWindowUs", 1) if is_limited else 0,
+        retry_window_allowance=rules.number_at_least("freeResends", 0.0, 0.0),
+        retry_window_ratio=rules.number_at_least("furtherRatio", 0.0, 0.0),
+        removal_is_advisory=rules.boolean("goneIsAdvice"),
     )
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,7 +32,7 @@
 from linetrack.server.budget import RESERVE, Budget
 from linetrack.server.listener import Listener
 from linetrack.server.clock import clock
-from linetrack.server.config import config_of
+from linetrack.server.config import parse_config
 from linetrack.server.connection import Connection, readable
 from linetrack.server.hot_restart_channel import Predecessor, Successor
 from linetrack.server.messages import EndpointRecord, address
@@ -508,7 +508,7 @@
 def test_one_whose_successor_has_ended_has_all_places_again() -> None:
     """Guards against an old process that accepts again and has no room for who comes back to it."""
     values = config("127.0.0.1:9", [])
-    sidecar = Sidecar(lambda: config_of({**values, "listen": "127.0.0.1:1"}, {}))
+    sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.clients.listen(("127.0.0.1", 0))
     whole = sidecar.budget.most
     sidecar.budget.leave_to_successor()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -245,18 +245,19 @@
 
 
 @pytest.mark.parametrize(
-    ("rules", "said"),
+    ("rules", "key", "line"),
     [
-        ({"freeResends": 2}, "extraWindowUs is missing"),
-        ({"furtherRatio": 0.1, "extraWindowUs": 0}, "extraWindowUs: 0 is under 1"),
-        ({"freeResends": -1, "extraWindowUs": 1}, "freeResends: -1 is under 0"),
-        ({"furtherRatio": "many", "extraWindowUs": 1}, "furtherRatio: 'many' is not a number"),
-        ({"goneIsAdvice": 3}, "goneIsAdvice: 3 is not true or false"),
+        ({"freeResends": 2}, "extraWindowUs", "extraWindowUs is missing"),
+        ({"furtherRatio": 0.1, "extraWindowUs": 0}, "extraWindowUs", "extraWindowUs: 0 is under 1"),
+        ({"freeResends": -1, "extraWindowUs": 1}, "freeResends", "freeResends: -1 is under 0"),
+        ({"furtherRatio": "many", "extraWindowUs": 1}, "furtherRatio", "furtherRatio: 'many' is not a number"),
+        ({"goneIsAdvice": 3}, "goneIsAdvice", "goneIsAdvice: 3 is not true or false"),
     ],
 )
-def test_faulty_settings_name_their_key(rules: dict[str, Any], said: str) -> None:
-    with pytest.raises(SettingsError, match=said):
+def test_invalid_settings_name_their_key(rules: dict[str, Any], key: str, line: str) -> None:
+    with pytest.raises(SettingsError, match=line) as raised:
         read_settings({"classes": [{"deadlineUs": 1}], "rules": rules})
+    assert raised.value.key == f"rules.{key}"
 
 
 def test_settings_are_neutral_when_absent() -> None:
--- a/tests/test_switch.py
+++ b/tests/test_switch.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from linetrack.server.config import ConfigError, config_of
+from linetrack.server.config import ConfigError, parse_config
 from tests import test_sidecar
 from tests.stand_ins import (
     MS,
@@ -213,28 +213,29 @@
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     for key, text in faulty(values).items():
         if key != "EDGE_CONFIG":
-            with pytest.raises(ConfigError, match=key.replace(".", r"\.")):
-                config_of(json.loads(text), {})
+            with pytest.raises(ConfigError, match=key.replace(".", r"\.")) as raised:
+                parse_config(json.loads(text), {})
+            assert raised.value.key == key
 
 
 def test_places_keep_their_numbers_and_what_needs_a_start_stays() -> None:
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
-    old = config_of(values, {})
-    new = config_of({**moved(values), "name": "other", "limits": {"sockets": 100}}, {})
-    assert old.restart_for(new) == ["limits.sockets", "name"]
-    after = new.after(old)
+    old = parse_config(values, {})
+    new = parse_config({**moved(values), "name": "other", "limits": {"sockets": 100}}, {})
+    assert old.keys_needing_restart(new) == ["limits.sockets", "name"]
+    after = new.for_reload_of(old)
     assert after.zone_names == ("north", "south", "west") and after.settings.zone == 0
     assert (after.name, after.sockets) == (old.name, old.sockets)
-    assert (after.told_streams, after.settings.max_streams_per_connection) == (100, 1)
-    back = old.after(after)
+    assert (after.configured_streams, after.settings.max_streams_per_connection) == (100, 1)
+    back = old.for_reload_of(after)
     assert back.zone_names == after.zone_names and back.settings == old.settings
-    assert back.same_settings(config_of(values, {}).after(after))
-    assert not back.same_settings(after)
+    assert back.has_same_settings(parse_config(values, {}).for_reload_of(after))
+    assert not back.has_same_settings(after)
 
 
 def test_the_keys_of_the_new_shape_reach_the_policy_and_stay_neutral_where_absent() -> None:
     values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
-    plain, new = config_of(values, {}).settings, config_of(moved(values), {}).settings
+    plain, new = parse_config(values, {}).settings, parse_config(moved(values), {}).settings
     assert (plain.capacity_varies_with_load, new.capacity_varies_with_load) == (False, True)
     assert plain.keep_alive_timeout == new.keep_alive_timeout == 30 * SECOND
 
