--- a/linetrack/simhost/__init__.py
+++ b/linetrack/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that hosts balancer instances on the simulator's wire."""
+"""The adapter that hosts instances of the policy on the simulator's wire."""
--- a/linetrack/simhost/__main__.py
+++ b/linetrack/simhost/__main__.py
@@ -1,12 +1,13 @@
-"""Run with `python -m linetrack.simhost`: the wire on standard input and output."""
+"""Run with `python -m linetrack.simhost`: the simulator's wire on standard input and output."""
 
 import gc
 import sys
 
 from linetrack.simhost.host import Host
 
-GC_THRESHOLD = 200_000  # hundreds of instances hold much that lives on: seldom worth looking through
+# hundreds of instances hold many objects that live long: collections seldom find anything
+GC_THRESHOLDS = (200_000, 50, 100)
 
 if __name__ == "__main__":
-    gc.set_threshold(GC_THRESHOLD, 50, 100)
+    gc.set_threshold(*GC_THRESHOLDS)
     sys.exit(Host(sys.stdin, sys.stdout).run())
--- a/linetrack/simhost/host.py
+++ b/linetrack/simhost/host.py
@@ -1,4 +1,4 @@
-"""Many balancer instances behind one pair of streams."""
+"""Many instances of the policy behind one pair of streams."""
 
 from __future__ import annotations
 
@@ -6,15 +6,18 @@
 import traceback
 from typing import TextIO
 
-from linetrack.policy.events import EndpointEntry, EndpointListUpdate, ListForm
 from linetrack.policy.balancer import Balancer
+from linetrack.policy.events import EndpointEntry, EndpointListUpdate, Event, ListForm
 from linetrack.simhost import wire
-from linetrack.simhost.settings import from_pairs
-from linetrack.simhost.wire import EVENTS, FORMS, Fields, WireError
+from linetrack.simhost.fields import Fields, InvalidFieldError, WireError, split_line
+from linetrack.simhost.settings import parse_settings
+
+EXIT_INVALID_INPUT = 2
+MAX_SHOWN_LINE_LENGTH = 200
 
 
 class Host:
-    """Feeds each instance its own events and collects the reply lines, in order."""
+    """Feeds each instance its own events and collects the lines of the reply, in order."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
@@ -22,24 +25,24 @@
         self.lines_read = 0
         self.now = 0
         self.instances: dict[str, Balancer] = {}
-        self.lists: dict[int, tuple[EndpointEntry, ...]] = {}
+        self.entries_by_slot: dict[int, tuple[EndpointEntry, ...]] = {}
         self.reply: list[str] = []
 
     def run(self) -> int:
         """Serve until the input ends; returns the exit status."""
         line = ""
         try:
-            while line := self._line():
-                self._batch(line)
-                self.sink.write("".join(text + "\n" for text in self.reply) + "END\n")
+            while line := self._next_line():
+                self._handle_batch(line)
+                self.sink.write("".join(text + "\n" for text in self.reply) + f"{wire.REPLY_END}\n")
                 self.sink.flush()
-        except WireError as fault:
-            shown = line if len(line) < 200 else line[:200] + "..."
-            print(f"simhost: line {self.lines_read}: {fault} (batch: {shown})", file=sys.stderr)
-            return 2
+        except WireError as error:
+            shown = line if len(line) < MAX_SHOWN_LINE_LENGTH else line[:MAX_SHOWN_LINE_LENGTH] + "..."
+            print(f"simhost: line {self.lines_read}: {error} (batch: {shown})", file=sys.stderr)
+            return EXIT_INVALID_INPUT
         return 0
 
-    def _line(self) -> str:
+    def _next_line(self) -> str:
         """The next line that is not blank, or '' at the end of input."""
         for line in self.source:
             self.lines_read += 1
@@ -48,75 +51,60 @@
                 return line
         return ""
 
-    def _batch(self, line: str) -> None:
-        name, fields = wire.split(line)
-        if name != "TICK":
-            raise WireError(f"a batch opens with TICK, not {name!r}")
-        self.now = wire.whole(fields, "clockUs")
+    def _handle_batch(self, first_line: str) -> None:
+        self.now = wire.parse_batch_start(first_line)
         self.reply = []
-        while True:
-            line = self._line()
+        while (line := self._next_line()) != wire.BATCH_END:
             if not line:
                 raise WireError("the input ends inside a batch")
-            if line == "YOUR_TURN":
-                return
-            self._message(line)
+            self._handle_message(line)
 
-    def _message(self, line: str) -> None:
-        if line.startswith("ENLIST "):
-            self._enlist(line)
+    def _handle_message(self, line: str) -> None:
+        if wire.is_instance_start(line):
+            self._start_instance(line)
             return
-        name, fields = wire.split(line)
-        if name == "INVENTORY":
-            self._inventory(fields)
+        name, fields = split_line(line)
+        if name == wire.ENDPOINT_ENTRIES:
+            self._store_entries(fields)
             return
-        instance = wire.text(fields, "i")
-        if name == "EXIT":
+        instance = wire.instance_of(fields)
+        if name == wire.INSTANCE_EXIT:
             self.instances.pop(instance, None)
             return
         if instance not in self.instances:
             raise WireError(f"{name} for {instance!r}, which was not enlisted")
-        if name == "MEMBERSHIP":
-            self._deliver(instance, self._news(fields))
-        elif name in EVENTS:
-            self._deliver(instance, EVENTS[name](fields))
+        if name == wire.ENDPOINT_LIST_UPDATE:
+            self._deliver(instance, self._endpoint_list_update(fields))
+        elif parse := wire.EVENT_PARSERS.get(name):
+            self._deliver(instance, parse(fields))
         else:
             raise WireError(f"{name!r} is no known message")
 
-    def _enlist(self, line: str) -> None:
-        """`bootInfo` has no name and fills the line, so its paths stand among the fields."""
-        _, fields = wire.split(line.replace(" bootInfo=", " ", 1))
-        instance = wire.text(fields, "i")
-        seed = wire.whole(fields, "entropy")
-        self.instances[instance] = Balancer(from_pairs(fields), seed)
+    def _start_instance(self, line: str) -> None:
+        instance, seed, settings = wire.parse_instance_start(line)
+        self.instances[instance] = Balancer(parse_settings(settings), seed)
 
-    def _inventory(self, fields: Fields) -> None:
-        entries = []
-        for _ in range(wire.whole(fields, "lines")):
-            name, entry = wire.split(self._line() or "?")
-            if name != "M":
-                raise WireError(f"an inventory entry starts with M, not {name!r}")
-            entries.append(wire.entry(entry))
-        self.lists[wire.whole(fields, "slot")] = tuple(entries)
+    def _store_entries(self, fields: Fields) -> None:
+        """Entries come before the updates of those instances that are to get them."""
+        count = wire.parse_entry_count(fields)
+        entries = tuple(wire.parse_entry(self._next_line()) for _ in range(count))
+        self.entries_by_slot[wire.parse_slot(fields)] = entries
 
-    def _news(self, fields: Fields) -> EndpointListUpdate:
-        form = wire.text(fields, "form")
-        if form not in FORMS:
-            raise WireError(f"form={form!r} is no known form")
-        if FORMS[form] is ListForm.REJECTED:
-            return EndpointListUpdate(ListForm.REJECTED)
-        slot = wire.whole(fields, "slot")
-        if slot not in self.lists:
-            raise WireError(f"slot={slot} holds no inventory")
-        return EndpointListUpdate(FORMS[form], self.lists[slot])
+    def _endpoint_list_update(self, fields: Fields) -> EndpointListUpdate:
+        form = wire.parse_list_form(fields)
+        if form is ListForm.REJECTED:
+            return EndpointListUpdate(form)
+        slot = wire.parse_slot(fields)
+        if slot not in self.entries_by_slot:
+            raise InvalidFieldError("slot", slot, "holds no inventory")
+        return EndpointListUpdate(form, self.entries_by_slot[slot])
 
-    def _deliver(self, instance: str, event: object) -> None:
+    def _deliver(self, instance: str, event: Event) -> None:
         try:
-            actions = self.instances[instance].handle(self.now, event)  # type: ignore[arg-type]
-        except Exception as fault:  # the decisions failed: say so on the wire, as it asks
+            actions = self.instances[instance].handle(self.now, event)
+        except Exception as error:  # the wire has a message for a policy that failed
             traceback.print_exc(file=sys.stderr)
-            what = " ".join(f"{type(fault).__name__}: {fault}".split())
-            self.reply.append(f"GIVE_IN i={instance} what={what}")
+            self.reply.append(wire.format_failure(instance, error))
             return
         for action in actions:
             self.reply.append(wire.format_action(instance, action))
--- a/linetrack/simhost/settings.py
+++ b/linetrack/simhost/settings.py
@@ -1,6 +1,6 @@
-"""The settings pairs of the wire, path=value, to the nested object that both hosts read.
+"""The settings of the simulator's wire, pairs of path and value, as the nested object that both hosts read.
 
-Translation only: what a setting means and its default is `linetrack/settings.py`'s.
+What a setting means and its default stand in `linetrack/settings.py`.
 """
 
 from __future__ import annotations
@@ -9,39 +9,50 @@
 
 from linetrack.policy.settings import Settings
 from linetrack.settings import SettingsError, read_settings
-from linetrack.simhost.wire import Fields, WireError
+from linetrack.simhost.fields import Fields, InvalidFieldError, WireError
 
+LENGTH_KEY = "count"  # an object with this key is a list of so many items, under the keys 0, 1 and so on
 
-def nested(pairs: Fields) -> dict[str, Any]:
-    """Paths become objects; where a path has a .count, its items .0, .1 and so on become a list."""
-    tree: dict[str, Any] = {}
-    for path, value in pairs.items():
-        node = tree
-        *above, last = path.split(".")
-        for name in above:
-            below = node.get(name)
-            if not isinstance(below, dict):
-                below = node[name] = {}
-            node = below
-        if not isinstance(node.get(last), dict):
-            node[last] = value
-    return {name: _listed(value, name) for name, value in tree.items()}
-
-
-def _listed(value: Any, path: str) -> Any:
-    if not isinstance(value, dict):
-        return value
-    below = {name: _listed(part, f"{path}.{name}") for name, part in value.items()}
-    if "count" not in below:
-        return below
-    count = str(below["count"])
-    if not count.isdigit():
-        raise WireError(f"{path}.count={count!r} is not a whole number")
-    return [below.get(str(n), {}) for n in range(int(count))]
 
+def parse_settings(pairs: Fields) -> Settings:
+    """The policy's settings.
 
-def from_pairs(pairs: Fields) -> Settings:
+    Raises:
+        WireError: a setting is missing or invalid.
+    """
     try:
-        return read_settings(nested(pairs))
-    except SettingsError as fault:
-        raise WireError(str(fault)) from None
+        return read_settings(nest(pairs))
+    except SettingsError as error:
+        raise WireError(str(error)) from None
+
+
+def nest(pairs: Fields) -> dict[str, Any]:
+    """Paths as objects, and as lists those that have a length."""
+    root: dict[str, Any] = {}
+    for path, value in pairs.items():
+        *parents, name = path.split(".")
+        node = root
+        for parent in parents:
+            node = _child(node, parent)
+        if not isinstance(node.get(name), dict):
+            node[name] = value
+    return {name: _with_lists(value, name) for name, value in root.items()}
+
+
+def _child(node: dict[str, Any], name: str) -> dict[str, Any]:
+    child = node.get(name)
+    if not isinstance(child, dict):
+        child = node[name] = {}
+    return child
+
+
+def _with_lists(value: Any, path: str) -> Any:
+    if not isinstance(value, dict):
+        return value
+    children = {name: _with_lists(child, f"{path}.{name}") for name, child in value.items()}
+    if LENGTH_KEY not in children:
+        return children
+    length = str(children[LENGTH_KEY])
+    if not length.isdigit():
+        raise InvalidFieldError(f"{path}.{LENGTH_KEY}", length, "is not a whole number")
+    return [children.get(str(n), {}) for n in range(int(length))]
--- a/linetrack/simhost/wire.py
+++ b/linetrack/simhost/wire.py
@@ -1,8 +1,11 @@
-"""Lines of the simulator's wire to events, and actions to lines.  Translation only."""
+"""The simulator's wire: its lines parsed into events, and actions formatted as its lines.
+
+The only module that knows the names of messages, fields and values on that wire.  It translates and decides
+nothing.
+"""
 
 from __future__ import annotations
 
-import base64
 from collections.abc import Callable
 from typing import Any
 
@@ -34,15 +37,30 @@
     ResponseStarted,
     TimerFired,
 )
+from linetrack.simhost.fields import (
+    Fields,
+    InvalidFieldError,
+    WireError,
+    body_field,
+    flag_field,
+    format_body,
+    integer_field,
+    number_field,
+    numbers_field,
+    split_line,
+    text_field,
+)
 
+BATCH_START = "TICK"
+BATCH_END = "YOUR_TURN"
+REPLY_END = "END"
+INSTANCE_START_PREFIX = "ENLIST "
+INSTANCE_EXIT = "EXIT"
+ENDPOINT_ENTRIES = "INVENTORY"
+ENDPOINT_LIST_UPDATE = "MEMBERSHIP"
+ENDPOINT_ENTRY = "M"
 
-class WireError(Exception):
-    """A line that cannot be read."""
-
-
-Fields = dict[str, str]
-
-OUTCOMES = {
+OUTCOME_BY_NAME = {
     "done": Outcome.SUCCESS,
     "err": Outcome.ERROR,
     "busy": Outcome.OVERLOADED,
@@ -52,8 +70,8 @@
     "ecanceled": Outcome.CANCELLED,
     "skipped": Outcome.NOT_SENT,
 }
-HEALTH = {"U": EndpointStatus.UP, "L": EndpointStatus.DRAINING, "D": EndpointStatus.REMOVED}
-FORMS = {
+STATUS_BY_NAME = {"U": EndpointStatus.UP, "L": EndpointStatus.DRAINING, "D": EndpointStatus.REMOVED}
+LIST_FORM_BY_NAME = {
     "changes": ListForm.DELTA,
     "all": ListForm.SNAPSHOT,
     "remembered": ListForm.CACHED,
@@ -61,161 +79,229 @@
 }
 
 
-def split(line: str) -> tuple[str, Fields]:
-    """The message's name and its name=value pairs; bare words are left to `bootInfo`."""
-    name, *parts = line.split(" ")
-    if not name:
-        raise WireError("the line has no message name")
-    fields: Fields = {}
-    for part in parts:
-        key, sign, value = part.partition("=")
-        if not sign or not key:
-            raise WireError(f"{part!r} is not a name=value pair")
-        fields[key] = value
-    return name, fields
-
+# --- Messages that the host handles itself -----------------------------------------------------------------
 
-def text(fields: Fields, name: str) -> str:
-    try:
-        return fields[name]
-    except KeyError:
-        raise WireError(f"the field {name!r} is missing") from None
 
+def parse_batch_start(line: str) -> int:
+    """The time at which a batch begins, in microseconds."""
+    name, fields = split_line(line)
+    if name != BATCH_START:
+        raise WireError(f"a batch opens with {BATCH_START}, not {name!r}")
+    return integer_field(fields, "clockUs")
 
-def whole(fields: Fields, name: str, default: int | None = None) -> int:
-    if default is not None and name not in fields:
-        return default
-    value = text(fields, name)
-    try:
-        return int(value)
-    except ValueError:
-        raise WireError(f"{name}={value!r} is not a whole number") from None
 
+def is_instance_start(line: str) -> bool:
+    """Whether a line starts an instance; only `parse_instance_start` can read it."""
+    return line.startswith(INSTANCE_START_PREFIX)
 
-def number(fields: Fields, name: str, default: float) -> float:
-    try:
-        return float(fields.get(name, default))
-    except ValueError:
-        raise WireError(f"{name}={fields[name]!r} is not a number") from None
 
+def parse_instance_start(line: str) -> tuple[str, int, Fields]:
+    """The instance, its seed, and the settings among the fields.
 
-def flag(fields: Fields, name: str) -> bool:
-    value = fields.get(name, "0")
-    if value not in ("0", "1"):
-        raise WireError(f"{name}={value!r} is not 1 or 0")
-    return value == "1"
+    `bootInfo` has no name and fills the rest of the line, so the settings stand among the fields.
+    """
+    _, fields = split_line(line.replace(" bootInfo=", " ", 1))
+    return instance_of(fields), integer_field(fields, "entropy"), fields
 
 
-def report(fields: Fields) -> tuple[float, ...]:
-    """The load report; a value that is no number becomes NaN, which the decisions pass over."""
-    row = fields.get("pressure", "")
-    values = []
-    for part in row.split(",") if row else ():
-        try:
-            values.append(float(part))
-        except ValueError:
-            values.append(float("nan"))
-    return tuple(values)
+def instance_of(fields: Fields) -> str:
+    """The instance that a message is for."""
+    return text_field(fields, "i")
 
 
-def _outcome(fields: Fields) -> Outcome:
-    how = text(fields, "how")
-    if how not in OUTCOMES:
-        raise WireError(f"how={how!r} is no known outcome")
-    return OUTCOMES[how]
+def parse_entry_count(fields: Fields) -> int:
+    """How many lines of endpoint entries follow."""
+    return integer_field(fields, "lines")
 
 
-def _body(fields: Fields) -> bytes:
-    value = text(fields, "body")
-    try:
-        return b"" if value == "-" else base64.b64decode(value, validate=True)
-    except ValueError:
-        raise WireError(f"body={value!r} is not base64") from None
+def parse_slot(fields: Fields) -> int:
+    """The slot in which endpoint entries are stored for later updates."""
+    return integer_field(fields, "slot")
 
 
-def entry(fields: Fields) -> EndpointEntry:
-    health = fields.get("health", "U")
-    if health not in HEALTH:
-        raise WireError(f"health={health!r} is no known state")
+def parse_entry(line: str) -> EndpointEntry:
+    """One endpoint entry."""
+    name, fields = split_line(line or "?")
+    if name != ENDPOINT_ENTRY:
+        raise WireError(f"an inventory entry starts with {ENDPOINT_ENTRY}, not {name!r}")
+    status = fields.get("health", "U")
+    if status not in STATUS_BY_NAME:
+        raise InvalidFieldError("health", status, "is no known state")
     return EndpointEntry(
-        text(fields, "upstream"),
-        whole(fields, "rackZone", 0),
-        whole(fields, "classOfHost", 0),
-        whole(fields, "pod", 0),
-        HEALTH[health],
-        number(fields, "size", 1.0),
-        whole(fields, "bootTimeUs", 0),
+        endpoint=text_field(fields, "upstream"),
+        zone=integer_field(fields, "rackZone", 0),
+        host_class=integer_field(fields, "classOfHost", 0),
+        cell=integer_field(fields, "pod", 0),
+        status=STATUS_BY_NAME[status],
+        capacity=number_field(fields, "size", 1.0),
+        started_at=integer_field(fields, "bootTimeUs", 0),
     )
 
 
-def _request(f: Fields) -> Event:
+def parse_list_form(fields: Fields) -> ListForm:
+    """What an endpoint list update holds."""
+    form = text_field(fields, "form")
+    if form not in LIST_FORM_BY_NAME:
+        raise InvalidFieldError("form", form, "is no known form")
+    return LIST_FORM_BY_NAME[form]
+
+
+# --- Events ------------------------------------------------------------------------------------------------
+
+
+def _outcome(fields: Fields) -> Outcome:
+    outcome = text_field(fields, "how")
+    if outcome not in OUTCOME_BY_NAME:
+        raise InvalidFieldError("how", outcome, "is no known outcome")
+    return OUTCOME_BY_NAME[outcome]
+
+
+def _load_report(fields: Fields) -> tuple[float, ...]:
+    """A value that is no number becomes NaN, which the policy ignores."""
+    return numbers_field(fields, "pressure")
+
+
+def _parse_request(fields: Fields) -> Event:
     return RequestReceived(
-        whole(f, "ref"),
-        whole(f, "kind"),
-        whole(f, "patienceLeftUs"),
-        whole(f, "party", 0),
-        f.get("targetKey", ""),
-        whole(f, "workUs", 0),
-        flag(f, "repeat"),
-        flag(f, "update"),
+        request_id=integer_field(fields, "ref"),
+        class_index=integer_field(fields, "kind"),
+        timeout=integer_field(fields, "patienceLeftUs"),
+        tenant=integer_field(fields, "party", 0),
+        affinity_key=fields.get("targetKey", ""),
+        work=integer_field(fields, "workUs", 0),
+        is_retry=flag_field(fields, "repeat"),
+        is_write=flag_field(fields, "update"),
     )
 
 
-def _established(f: Fields) -> Event:
-    return ResponseStarted(whole(f, "ref"), whole(f, "trial"), text(f, "upstream"), whole(f, "rttUs"))
+def _parse_response_start(fields: Fields) -> Event:
+    return ResponseStarted(
+        request_id=integer_field(fields, "ref"),
+        attempt=integer_field(fields, "trial"),
+        endpoint=text_field(fields, "upstream"),
+        latency=integer_field(fields, "rttUs"),
+    )
 
 
-def _finished(f: Fields) -> Event:
+def _parse_attempt_end(fields: Fields) -> Event:
     return AttemptEnded(
-        whole(f, "ref"),
-        whole(f, "trial"),
-        text(f, "upstream"),
-        _outcome(f),
-        whole(f, "rttUs"),
-        flag(f, "final"),
-        report(f),
+        request_id=integer_field(fields, "ref"),
+        attempt=integer_field(fields, "trial"),
+        endpoint=text_field(fields, "upstream"),
+        outcome=_outcome(fields),
+        latency=integer_field(fields, "rttUs"),
+        request_completed=flag_field(fields, "final"),
+        load_report=_load_report(fields),
+    )
+
+
+def _parse_client_disconnect(fields: Fields) -> Event:
+    return ClientDisconnected(request_id=integer_field(fields, "ref"))
+
+
+def _parse_timer(fields: Fields) -> Event:
+    return TimerFired(token=text_field(fields, "nonce"))
+
+
+def _parse_health_check_end(fields: Fields) -> Event:
+    return HealthCheckEnded(
+        endpoint=text_field(fields, "upstream"),
+        outcome=_outcome(fields),
+        latency=integer_field(fields, "rttUs"),
+        load_report=_load_report(fields),
     )
 
 
-EVENTS: dict[str, Callable[[Fields], Event]] = {
-    "REQ": _request,
-    "ESTABLISHED": _established,
-    "FINISHED": _finished,
-    "CLIENT_LEFT": lambda f: ClientDisconnected(whole(f, "ref")),
-    "ALARM": lambda f: TimerFired(text(f, "nonce")),
-    "CHECKED": lambda f: HealthCheckEnded(text(f, "upstream"), _outcome(f), whole(f, "rttUs"), report(f)),
-    "MEMO": lambda f: PeerMessageReceived(whole(f, "originPeer"), _body(f)),
+def _parse_peer_message(fields: Fields) -> Event:
+    return PeerMessageReceived(sender=integer_field(fields, "originPeer"), body=body_field(fields, "body"))
+
+
+#: The parser of each message that becomes an event by itself.
+EVENT_PARSERS: dict[str, Callable[[Fields], Event]] = {
+    "REQ": _parse_request,
+    "ESTABLISHED": _parse_response_start,
+    "FINISHED": _parse_attempt_end,
+    "CLIENT_LEFT": _parse_client_disconnect,
+    "ALARM": _parse_timer,
+    "CHECKED": _parse_health_check_end,
+    "MEMO": _parse_peer_message,
 }
 
 
-def _send(name: str, action: StartAttempt) -> str:
-    within = f" withinUs={action.timeout}" if action.timeout else ""
-    return f"SUBMIT_TO i={name} ref={action.request_id} upstream={action.endpoint}{within}"
+# --- Replies -----------------------------------------------------------------------------------------------
+
+
+def _format_start_attempt(instance: str, action: StartAttempt) -> str:
+    timeout = f" withinUs={action.timeout}" if action.timeout else ""
+    return f"SUBMIT_TO i={instance} ref={action.request_id} upstream={action.endpoint}{timeout}"
+
+
+def _format_reject_request(instance: str, action: RejectRequest) -> str:
+    retry_after = f" backoffUs={action.retry_after}" if action.retry_after else ""
+    return f"OVERLOAD_REPLY i={instance} ref={action.request_id}{retry_after}"
+
+
+def _format_fail_request(instance: str, action: FailRequest) -> str:
+    return f"GIVE_UP i={instance} ref={action.request_id}"
+
+
+def _format_cancel_attempt(instance: str, action: CancelAttempt) -> str:
+    return f"UNDO_SEND i={instance} ref={action.request_id} trial={action.attempt}"
+
+
+def _format_set_timer(instance: str, action: SetTimer) -> str:
+    return f"REMIND i={instance} offsetUs={action.delay} nonce={action.token}"
+
+
+def _format_watch_endpoints(instance: str, action: WatchEndpoints) -> str:
+    return f"FOLLOW i={instance} want={int(action.enabled)}"
 
 
-def _refuse(name: str, action: RejectRequest) -> str:
-    advice = f" backoffUs={action.retry_after}" if action.retry_after else ""
-    return f"OVERLOAD_REPLY i={name} ref={action.request_id}{advice}"
+def _format_fetch_endpoints(instance: str, action: FetchEndpoints) -> str:
+    return f"FETCH i={instance}"
 
 
-# by type: a row of patterns took a twentieth of a busy day
-ACTIONS: dict[type, Callable[[str, Any], str]] = {
-    StartAttempt: _send,
-    RejectRequest: _refuse,
-    SetTimer: lambda name, a: f"REMIND i={name} offsetUs={a.delay} nonce={a.token}",
-    CancelAttempt: lambda name, a: f"UNDO_SEND i={name} ref={a.request_id} trial={a.attempt}",
-    FailRequest: lambda name, a: f"GIVE_UP i={name} ref={a.request_id}",
-    WatchEndpoints: lambda name, a: f"FOLLOW i={name} want={int(a.enabled)}",
-    FetchEndpoints: lambda name, a: f"FETCH i={name}",
-    SendHealthCheck: lambda name, a: f"PROBE i={name} upstream={a.endpoint}",
-    CloseIdleConnections: lambda name, a: f"DROP_CONNS i={name} upstream={a.endpoint}",
-    SendToPeer: lambda name, a: (
-        f"WRITE_PEER i={name} dst={a.receiver} body={base64.b64encode(a.body).decode() or '-'}"
-    ),
-    Log: lambda name, a: f"NOTE_DOWN i={name} what={' '.join(a.text.split())}",
+def _format_send_health_check(instance: str, action: SendHealthCheck) -> str:
+    return f"PROBE i={instance} upstream={action.endpoint}"
+
+
+def _format_close_idle_connections(instance: str, action: CloseIdleConnections) -> str:
+    return f"DROP_CONNS i={instance} upstream={action.endpoint}"
+
+
+def _format_send_to_peer(instance: str, action: SendToPeer) -> str:
+    return f"WRITE_PEER i={instance} dst={action.receiver} body={format_body(action.body)}"
+
+
+def _format_log(instance: str, action: Log) -> str:
+    return f"NOTE_DOWN i={instance} what={_one_line(action.text)}"
+
+
+# by type: a chain of patterns took a twentieth of the time of a busy day
+_ACTION_FORMATTERS: dict[type, Callable[[str, Any], str]] = {
+    StartAttempt: _format_start_attempt,
+    RejectRequest: _format_reject_request,
+    FailRequest: _format_fail_request,
+    CancelAttempt: _format_cancel_attempt,
+    SetTimer: _format_set_timer,
+    WatchEndpoints: _format_watch_endpoints,
+    FetchEndpoints: _format_fetch_endpoints,
+    SendHealthCheck: _format_send_health_check,
+    CloseIdleConnections: _format_close_idle_connections,
+    SendToPeer: _format_send_to_peer,
+    Log: _format_log,
 }
 
 
-def format_action(name: str, action: Action) -> str:
-    """The line of one action of the instance `name`."""
-    return ACTIONS[type(action)](name, action)
+def format_action(instance: str, action: Action) -> str:
+    """The line of one action of an instance."""
+    return _ACTION_FORMATTERS[type(action)](instance, action)
+
+
+def format_failure(instance: str, error: Exception) -> str:
+    """The line that says that an instance could not handle an event."""
+    return f"GIVE_IN i={instance} what={_one_line(f'{type(error).__name__}: {error}')}"
+
+
+def _one_line(text: str) -> str:
+    return " ".join(text.split())
--- a/tests/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -1,10 +1,9 @@
-"""The wire: round trips, a hand-written conversation, bad input, and the adapter as a process."""
+"""The simulator's wire: each message, a hand-written conversation, bad input, and the adapter as a process."""
 
 import io
 import os
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 
@@ -35,11 +34,11 @@
 )
 from linetrack.policy.settings import Idempotency, LoadField
 from linetrack.simhost import wire
-from linetrack.simhost.host import Host
-from linetrack.simhost.settings import from_pairs
-from linetrack.simhost.wire import WireError
+from linetrack.simhost.fields import InvalidFieldError, split_line
+from linetrack.simhost.host import EXIT_INVALID_INPUT, Host
+from linetrack.simhost.settings import parse_settings
+from tests.stand_ins import ROOT
 
-ROOT = Path(__file__).parent.parent
 BOOT = (
     "allowed.mayCancel=true allowed.maxAttempts=3 allowed.parallelTries=true allowed.retryAfter=true "
     "allowed.maxRetryAfterUs=1000000 azs=north,south balancers=1 classes.count=2 classes.0.aimUs=300000 "
@@ -125,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "said"),
+    ("lines", "message"),
     [
         (["HELLO x=1"], "TICK"),
         (["TICK clockUs=x"], "clockUs"),
@@ -140,15 +139,15 @@
     ],
 )
 def test_unreadable_input_says_what_and_where(
-    lines: list[str], said: str, capsys: pytest.CaptureFixture[str]
+    lines: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     status, _ = talk(lines)
     error = capsys.readouterr().err
-    assert status != 0
-    assert said in error and "line " in error and "Traceback" not in error
+    assert status == EXIT_INVALID_INPUT
+    assert message in error and "line " in error and "Traceback" not in error
 
 
-def test_exception_in_the_module_is_told_on_the_wire(
+def test_exception_in_the_policy_is_reported_on_the_wire(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
@@ -201,27 +200,31 @@
 
 @pytest.mark.parametrize(("line", "event"), EVENTS)
 def test_every_event_is_read(line: str, event: Event) -> None:
-    name, fields = wire.split(line)
-    assert wire.EVENTS[name](fields) == event
+    name, fields = split_line(line)
+    assert wire.EVENT_PARSERS[name](fields) == event
 
 
-@pytest.mark.parametrize(("word", "outcome"), wire.OUTCOMES.items())
+@pytest.mark.parametrize(("word", "outcome"), wire.OUTCOME_BY_NAME.items())
 def test_every_outcome_is_read(word: str, outcome: Outcome) -> None:
-    _, fields = wire.split(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
-    ended = wire.EVENTS["FINISHED"](fields)
+    _, fields = split_line(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
+    ended = wire.EVENT_PARSERS["FINISHED"](fields)
     assert isinstance(ended, AttemptEnded) and ended.outcome is outcome
 
 
-@pytest.mark.parametrize("line", ["MEMO originPeer=1 body=%%%", "FINISHED ref=1 trial=0 upstream=u how=odd"])
-def test_bad_fields_are_faults(line: str) -> None:
-    name, fields = wire.split(line)
-    with pytest.raises(WireError):
-        wire.EVENTS[name](fields)
+@pytest.mark.parametrize(
+    ("line", "field"),
+    [("MEMO originPeer=1 body=%%%", "body"), ("FINISHED ref=1 trial=0 upstream=u how=odd", "how")],
+)
+def test_invalid_fields_are_errors(line: str, field: str) -> None:
+    name, fields = split_line(line)
+    with pytest.raises(InvalidFieldError) as raised:
+        wire.EVENT_PARSERS[name](fields)
+    assert raised.value.field == field
 
 
-def test_settings_are_read_and_unknown_ones_passed_over() -> None:
-    _, pairs = wire.split("X " + BOOT)
-    settings = from_pairs(pairs)
+def test_settings_are_read_and_unknown_ones_ignored() -> None:
+    _, pairs = split_line("X " + BOOT)
+    settings = parse_settings(pairs)
     assert settings.must_subscribe and settings.may_run_parallel_attempts and settings.zone_count == 2
     assert settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
     assert [c.idempotency for c in settings.classes] == [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT]
