--- a/linetrack/cli/__init__.py
+++ b/linetrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: parses, calls, prints.  Must never decide or measure anything itself."""
+"""The command line: parses, calls, prints.  It decides and measures nothing itself."""
--- /dev/null
+++ b/linetrack/cli/sidecar.py
@@ -0,0 +1,67 @@
+"""Commands about one sidecar and its file."""
+
+from __future__ import annotations
+
+import json
+import sys
+from pathlib import Path
+
+import click
+import msgspec
+
+from linetrack.cli.common import FILE, exit_bad_input
+from linetrack.config.check import FileError, json_schema
+from linetrack.config.operators import OperatorsFile, platform_form, read_operators_file
+
+
+@click.command()
+@click.option("--config", "path", type=FILE, required=True, help="The operators' file (TOML).")
+def serve(path: Path) -> None:
+    """Run one sidecar on an operators' file until SIGTERM; SIGHUP reads the file again."""
+    from linetrack.server import lifecycle
+    from linetrack.server.config import Config, ConfigError, parse_config
+
+    def read() -> Config:
+        try:
+            return parse_config(platform_form(read_operators_file(path)), {})
+        except FileError as error:
+            raise ConfigError(error.key, error.reason, error.value, line=str(error)) from None
+
+    sys.exit(lifecycle.serve(read))
+
+
+@click.group()
+def config() -> None:
+    """Check, show or describe the operators' file."""
+
+
+@config.command("check")
+@click.argument("path", type=FILE)
+def config_check(path: Path) -> None:
+    """Whether a file makes sense."""
+    from linetrack.server.config import ConfigError, parse_config
+
+    try:
+        parse_config(platform_form(read_operators_file(path)), {})
+    except (FileError, ConfigError) as error:
+        exit_bad_input(error)
+    click.echo(f"{path}: sound")
+
+
+@config.command("show")
+@click.argument("path", type=FILE)
+@click.option("--platform", is_flag=True, help="In the platform's form.")
+def config_show(path: Path, platform: bool) -> None:
+    """A file with every default filled in."""
+    try:
+        file = read_operators_file(path)
+    except FileError as error:
+        exit_bad_input(error)
+    values = platform_form(file) if platform else msgspec.to_builtins(file)
+    click.echo(json.dumps(values, indent=2))
+
+
+@config.command("schema")
+def config_schema() -> None:
+    """JSON Schema of the operators' file."""
+    click.echo(json_schema(OperatorsFile))
--- a/linetrack/config/operators.py
+++ b/linetrack/config/operators.py
@@ -1,102 +1,183 @@
-"""The operators' file (TOML, version 1): what one sidecar is told outside the platform.
+"""The operators' file (TOML, version 1): what one sidecar is configured with outside the platform.
 
-Owns the file's keys, units and defaults.  Must never open a socket or hold anything that changes.  Times are
-milliseconds as the keys say; what a key means to the policy is `linetrack/settings.py`'s.
+The only module that knows the file's keys, units and defaults, and how they map to the platform's form.
+Durations are milliseconds, as the keys say.  What a key means to the policy is in `linetrack/settings.py`.
 """
 
 from __future__ import annotations
 
+from enum import Enum
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
 from msgspec import Meta
 
-from linetrack.config.check import FileError, Part, read_toml
+from linetrack.config.check import Table, read_toml
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1)]
+Index = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, pattern=r"^[A-Za-z0-9_.-]+$")]
 
+POLL_INTERVAL_US = 10_000_000
 
-class RequestClass(Part, frozen=True, kw_only=True):
-    """One class of requests: what a repeat does, and what an answer is worth by when it comes."""
+
+class Idempotency(Enum):
+    """What executing a request twice would do, by the file's words."""
+
+    IDEMPOTENT = "free"
+    IDEMPOTENCY_KEY = "guarded"
+    NON_IDEMPOTENT = "single_shot"
+
+
+class DeduplicationScope(Enum):
+    """The upstreams that recognise a repeated idempotency key together, by the file's words."""
+
+    ALL = "all"
+    ZONE = "zone"
+    CELL = "cell"
+
+
+class RequestClass(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "idempotency": "repeat",
+        "latency_objective_ms": "aim_ms",
+        "timeout_ms": "deadline_ms",
+        "priority_weight": "worth",
+        "late_weight": "late_worth",
+        "deduplication_scope": "dedup_scope",
+        "deduplication_window_ms": "dedup_window_ms",
+    },
+):
+    """One class of requests: what a retry may do, and what a response is worth by when it comes."""
 
     name: Name
-    repeat: Literal["free", "guarded", "single_shot"] = "single_shot"
-    aim_ms: Positive
-    deadline_ms: Positive
-    worth: NotNegative = 1.0
-    late_worth: NotNegative = 0.0
-    dedup_scope: Literal["all", "zone", "cell"] = "all"
-    dedup_window_ms: NotNegative = 0.0
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    latency_objective_ms: Positive
+    timeout_ms: Positive
+    priority_weight: NotNegative = 1.0
+    late_weight: NotNegative = 0.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
+    deduplication_window_ms: NotNegative = 0.0
 
     def __post_init__(self) -> None:
-        if self.aim_ms > self.deadline_ms:
+        """Check the values against one another."""
+        if self.latency_objective_ms > self.timeout_ms:
             raise ValueError(f"expected aim_ms of {self.name!r} to be at most its deadline_ms")
 
 
-class Retries(Part, frozen=True, kw_only=True):
+class Retries(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "may_hedge": "second_copies",
+        "may_cancel": "cancel",
+        "may_send_retry_after": "advice",
+        "max_retry_after_ms": "max_advice_ms",
+        "retry_window_ms": "further_window_ms",
+        "retry_window_allowance": "further_free",
+        "retry_window_ratio": "further_share",
+    },
+):
     """What the sidecar may do on its own account."""
 
     max_attempts: Count = 3
-    second_copies: bool = False
-    cancel: bool = True
-    advice: bool = True  # Retry-After with refusals
-    max_advice_ms: NotNegative = 1000.0
-    # attempts beyond first ones in any window: the free ones + share x requests taken in it; 0: no limit
-    further_window_ms: NotNegative = 0.0
-    further_free: NotNegative = 0.0
-    further_share: NotNegative = 0.0
-
-
-class Storms(Part, frozen=True, kw_only=True):
-    """Storms of retries (docs/storms/operate.md)."""
-
-    damp: bool = False  # admit by what is answered well while most fails, and remember callers' keys
-    whole_seconds: bool = False  # Retry-After in whole seconds, for callers that read only those
+    may_hedge: bool = False
+    may_cancel: bool = True
+    may_send_retry_after: bool = True  # with rejections
+    max_retry_after_ms: NotNegative = 1000.0
+    # retries in any window: at most the allowance + the ratio x requests received in it; 0: no limit
+    retry_window_ms: NotNegative = 0.0
+    retry_window_allowance: NotNegative = 0.0
+    retry_window_ratio: NotNegative = 0.0
+
+
+class OverloadControl(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={"enabled": "damp", "retry_after_in_whole_seconds": "whole_seconds"},
+):
+    """Retry storms (docs/storms/operate.md)."""
+
+    enabled: bool = False  # admit by goodput while most requests fail, and remember callers' keys
+    retry_after_in_whole_seconds: bool = False  # for callers that read only those
+
+
+class Upstreams(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "load_report_fields": "report_fields",
+        "listed_capacity": "weights",
+        "host_classes": "kinds",
+        "slow_start_initial_fraction": "cold_from",
+        "slow_start_ms": "warm_up_ms",
+        "overload_multiple": "fall_multiple",
+        "overload_window_ms": "overload_ms",
+        "removal_is_advisory": "gone_is_advice",
+        "cross_zone_cost": "price_cross_zone",
+    },
+):
+    """What is known of the upstreams."""
 
-
-class Upstreams(Part, frozen=True, kw_only=True):
     dial_timeout_ms: Positive = 250.0
     keep_alive_ms: Positive = 30_000.0
-    report_fields: tuple[str, ...] = ()
-    weights: Literal["off", "nominal", "rough", "live"] = "off"  # live: over 1 + requests held a core
-    kinds: tuple[str, ...] = ()
-    cold_from: Share = 1.0  # of the capacity, at a start
-    warm_up_ms: NotNegative = 0.0
-    fall_multiple: NotNegative = 0.0
-    overload_ms: NotNegative = 0.0
+    load_report_fields: tuple[str, ...] = ()
+    # live: divided by 1 + requests a core
+    listed_capacity: Literal["off", "nominal", "rough", "live"] = "off"
+    host_classes: tuple[str, ...] = ()
+    slow_start_initial_fraction: Fraction = 1.0  # of the capacity, at a start
+    slow_start_ms: NotNegative = 0.0
+    overload_multiple: NotNegative = 0.0
+    overload_window_ms: NotNegative = 0.0
     drain_grace_ms: NotNegative = 1000.0
-    gone_is_advice: bool = False  # only what was listed as draining may get nothing new
-    price_cross_zone: NotNegative = 0.0
+    removal_is_advisory: bool = False  # only upstreams listed as draining may get nothing new
+    cross_zone_cost: NotNegative = 0.0
 
 
-class Tenant(Part, frozen=True, kw_only=True):
-    """One tenant's share; a request's `party` is its place in the file, from 0."""
+class Tenant(Table, frozen=True, kw_only=True):
+    """One tenant's quota; a request's `party` is its index in the file."""
 
     name: Name
     rate: Positive  # requests a second, over all sidecars
 
 
-class Sidecar(Part, frozen=True, kw_only=True):
+class Sidecar(
+    Table, frozen=True, kw_only=True, rename={"instance": "number", "instance_count": "sidecars"}
+):
+    """The sidecar itself and its addresses."""
+
     name: Name
     listen: str
     discovery: str
     admin: str = ""  # the operators' own address; empty: nothing listens there
     zone: Name
-    number: Annotated[int, Meta(ge=0)] = 0
-    sidecars: Count = 1
-    seed: Annotated[int, Meta(ge=0)] = 0
+    instance: Index = 0
+    instance_count: Count = 1
+    seed: Index = 0
+
 
+class Limits(Table, frozen=True, kw_only=True):
+    """What the process may use."""
 
-class Limits(Part, frozen=True, kw_only=True):
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=24)] = 192
 
 
-class OperatorsFile(Part, frozen=True, kw_only=True):
+class OperatorsFile(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={"overload_control": "storms", "over_quota_weight": "over_share_worth"},
+):
     """The whole file.  Later subsystems add a table each."""
 
     version: Literal[1]
@@ -106,94 +187,117 @@
     limits: Limits = Limits()
     retries: Retries = Retries()
     upstreams: Upstreams = Upstreams()
-    storms: Storms = Storms()
+    overload_control: OverloadControl = OverloadControl()
     tenants: tuple[Tenant, ...] = ()
-    over_share_worth: Share = 1.0  # of a request beyond its tenant's share, as a part of its worth
+    over_quota_weight: Fraction = 1.0  # factor on the priority weight of a request beyond its tenant's quota
 
     def __post_init__(self) -> None:
+        """Check the tables against one another."""
         if self.sidecar.zone not in self.zones:
             raise ValueError(f"expected sidecar.zone {self.sidecar.zone!r} to be one of zones")
-        names = [klass.name for klass in self.classes]
+        names = [request_class.name for request_class in self.classes]
         if len(set(names)) < len(names):
             raise ValueError("expected the names of classes to differ")
-        if self.sidecar.number >= self.sidecar.sidecars:
+        if self.sidecar.instance >= self.sidecar.instance_count:
             raise ValueError("expected sidecar.number to be below sidecar.sidecars")
 
 
-def read(path: Path) -> OperatorsFile:
-    """The file, checked; a `FileError` says what is wrong with it."""
+def read_operators_file(path: Path) -> OperatorsFile:
+    """The file, checked.
+
+    Raises:
+        FileError: it cannot be read, or a value is missing or invalid.
+    """
     return read_toml(path, OperatorsFile)
 
 
-def platform(file: OperatorsFile) -> dict[str, Any]:
-    """The same in the platform's form, which the program reads (its page on deployment has the names)."""
-    side, may, up = file.sidecar, file.retries, file.upstreams
+def platform_form(file: OperatorsFile) -> dict[str, Any]:
+    """The same values in the platform's form, which the program reads."""
+    sidecar = file.sidecar
+    overload_control = file.overload_control
+    return {
+        "name": sidecar.name,
+        "listen": sidecar.listen,
+        "discovery": sidecar.discovery,
+        "admin_addr": sidecar.admin,
+        "seed": sidecar.seed,
+        "limits": {"sockets": file.limits.sockets, "memory_mb": file.limits.memory_mb},
+        "settings": _settings(file),
+        "storms": {
+            "damp": overload_control.enabled,
+            "wholeSeconds": overload_control.retry_after_in_whole_seconds,
+        },
+    }
 
-    def us(ms: float) -> int:
-        return round(ms * 1000)
 
-    limit = {
-        "freeResends": may.further_free,
-        "furtherRatio": may.further_share,
-        "extraWindowUs": us(may.further_window_ms),
-    }
-    if not any(limit.values()):
-        limit = {}
-    settings = {
-        "classes": [
-            {
-                "name": klass.name,
-                "repeat": klass.repeat,
-                "aimUs": us(klass.aim_ms),
-                "deadlineUs": us(klass.deadline_ms),
-                "worth": klass.worth,
-                "lateWorth": klass.late_worth,
-                "dedupScope": klass.dedup_scope,
-                "dedupWindowUs": us(klass.dedup_window_ms),
-            }
-            for klass in file.classes
-        ],
+def _settings(file: OperatorsFile) -> dict[str, Any]:
+    sidecar = file.sidecar
+    upstreams = file.upstreams
+    report_fields = list(upstreams.load_report_fields)
+    return {
+        "classes": [_class(request_class) for request_class in file.classes],
         "azs": list(file.zones),
-        "skus": list(up.kinds),
-        "zone": file.zones.index(side.zone),
-        "me": side.number,
-        "balancers": side.sidecars,
+        "skus": list(upstreams.host_classes),
+        "zone": file.zones.index(sidecar.zone),
+        "me": sidecar.instance,
+        "balancers": sidecar.instance_count,
         "registryMode": "subscribe",
-        "rules": {
-            "askEveryUs": 10_000_000,
-            "drainGraceUs": us(up.drain_grace_ms),
-            "coldFrom": up.cold_from,
-            "warmUpUs": us(up.warm_up_ms),
-            "fallMultiple": up.fall_multiple,
-            "overloadForUs": us(up.overload_ms),
-            "goneIsAdvice": up.gone_is_advice,
-            **limit,
-        },
-        "stats": {"how": "inline" if up.report_fields else "off", "fields": list(up.report_fields)},
-        "allowed": {
-            "maxAttempts": may.max_attempts,
-            "parallelTries": may.second_copies,
-            "mayCancel": may.cancel,
-            "retryAfter": may.advice,
-            "maxRetryAfterUs": us(may.max_advice_ms),
-            "dialTimeoutUs": us(up.dial_timeout_ms),
-            "keepaliveUs": us(up.keep_alive_ms),
-        },
-        "deductions": {"crossZone": up.price_cross_zone},
-        "weights": up.weights,
+        "rules": {**_endpoint_rules(upstreams), **_retry_window(file.retries)},
+        "stats": {"how": "inline" if report_fields else "off", "fields": report_fields},
+        "allowed": _permissions(file.retries, upstreams),
+        "deductions": {"crossZone": upstreams.cross_zone_cost},
+        "weights": upstreams.listed_capacity,
         "customers": [{"name": tenant.name, "quotaRps": tenant.rate} for tenant in file.tenants],
-        "overShareWorth": file.over_share_worth,
+        "overShareWorth": file.over_quota_weight,
     }
+
+
+def _class(request_class: RequestClass) -> dict[str, Any]:
     return {
-        "name": side.name,
-        "listen": side.listen,
-        "discovery": side.discovery,
-        "admin_addr": side.admin,
-        "seed": side.seed,
-        "limits": {"sockets": file.limits.sockets, "memory_mb": file.limits.memory_mb},
-        "settings": settings,
-        "storms": {"damp": file.storms.damp, "wholeSeconds": file.storms.whole_seconds},
+        "name": request_class.name,
+        "repeat": request_class.idempotency.value,
+        "aimUs": _microseconds(request_class.latency_objective_ms),
+        "deadlineUs": _microseconds(request_class.timeout_ms),
+        "worth": request_class.priority_weight,
+        "lateWorth": request_class.late_weight,
+        "dedupScope": request_class.deduplication_scope.value,
+        "dedupWindowUs": _microseconds(request_class.deduplication_window_ms),
+    }
+
+
+def _endpoint_rules(upstreams: Upstreams) -> dict[str, Any]:
+    return {
+        "askEveryUs": POLL_INTERVAL_US,
+        "drainGraceUs": _microseconds(upstreams.drain_grace_ms),
+        "coldFrom": upstreams.slow_start_initial_fraction,
+        "warmUpUs": _microseconds(upstreams.slow_start_ms),
+        "fallMultiple": upstreams.overload_multiple,
+        "overloadForUs": _microseconds(upstreams.overload_window_ms),
+        "goneIsAdvice": upstreams.removal_is_advisory,
+    }
+
+
+def _retry_window(retries: Retries) -> dict[str, Any]:
+    """All three keys, or none where there is no limit."""
+    limit = {
+        "freeResends": retries.retry_window_allowance,
+        "furtherRatio": retries.retry_window_ratio,
+        "extraWindowUs": _microseconds(retries.retry_window_ms),
+    }
+    return limit if any(limit.values()) else {}
+
+
+def _permissions(retries: Retries, upstreams: Upstreams) -> dict[str, Any]:
+    return {
+        "maxAttempts": retries.max_attempts,
+        "parallelTries": retries.may_hedge,
+        "mayCancel": retries.may_cancel,
+        "retryAfter": retries.may_send_retry_after,
+        "maxRetryAfterUs": _microseconds(retries.max_retry_after_ms),
+        "dialTimeoutUs": _microseconds(upstreams.dial_timeout_ms),
+        "keepaliveUs": _microseconds(upstreams.keep_alive_ms),
     }
 
 
-__all__ = ["FileError", "OperatorsFile", "platform", "read"]
+def _microseconds(milliseconds: float) -> int:
+    return round(milliseconds * 1000)
--- a/linetrack/emulator/__init__.py
+++ b/linetrack/emulator/__init__.py
@@ -1,2 +1,4 @@
-"""Stand-ins for what surrounds linetrack, on real loopback sockets.  Must never import the program: a
-stand-in that shared the program's code would share its faults."""
+"""Emulated upstreams and discovery on real loopback sockets.
+
+Imports nothing of the program: an emulator that shared the program's code would share its faults.
+"""
--- a/linetrack/emulator/discovery.py
+++ b/linetrack/emulator/discovery.py
@@ -1,13 +1,13 @@
-"""Emulated discovery: one list, served whole and by watches, late, down or old where faults say so.
+"""Emulated discovery: one endpoint list, served completely and by watches, late, down or stale during faults.
 
-Owns versions and who was told what and when, which it writes to the ledger.  Must never ask an upstream
-anything: the fleet's processes tell it of each change.  Every sidecar has a listener of its own, so the
-ledger knows who was told.
+The upstreams' processes report each change.  Every sidecar has a listener of its own, so the ledger says
+which of them was notified of what, and when.
 """
 
 from __future__ import annotations
 
 import json
+from collections.abc import Callable
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
@@ -15,111 +15,144 @@
 from gevent import socket
 from gevent.event import Event
 
-from linetrack.emulator import sockets
+from linetrack.emulator import http_server
+from linetrack.emulator.http_server import RequestReader, format_response, reset
 from linetrack.emulator.ledger import Ledger, now
-from linetrack.emulator.sockets import Reader, answer, reset
+from linetrack.emulator.ledger_events import (
+    ChangePublished,
+    DiscoveryCalled,
+    EndpointChanged,
+    SidecarNotified,
+)
+from linetrack.emulator.schema import FaultKind
+from linetrack.emulator.timeline import BeginDiscoveryFault, EndDiscoveryFault, Step
 
+LIST_PATH = "/catalog/members"
+FIRST_VERSION = 1
+STATE_SERVING = "SERVING"
+STATE_DELETED = "DELETED"
+RECHECK_SECONDS = 0.5  # how often a watch looks whether a fault has begun or ended
+
+Entry = dict[str, Any]  # one endpoint as discovery lists it
+
+
+class DiscoveryServer:
+    """Discovery as the sidecars see it."""
 
-class Discovery:
     def __init__(
-        self, entries: list[dict[str, Any]], sides: int, lag: int, hold_most: int, ledger: Ledger
+        self, entries: list[Entry], sidecar_count: int, lag: int, max_long_poll: int, ledger: Ledger
     ) -> None:
-        """`lag` and `hold_most` are microseconds."""
-        self.ledger, self.lag, self.hold_most = ledger, lag, hold_most
-        self.slower = 0  # more lag, while a fault says so
-        self.down = self.old = False
-        self.version = 1
+        """`lag` and `max_long_poll` are in microseconds."""
+        self.ledger = ledger
+        self.lag = lag
+        self.max_long_poll = max_long_poll
+        self.fault_lag = 0
+        self.is_down = False
+        self.is_stale = False
+        self.version = FIRST_VERSION
         self.entries = {entry["id"]: entry for entry in entries}
-        self.first = list(entries)
-        self.changes: list[tuple[int, dict[str, Any]]] = []
-        self.news = Event()
-        self.conns: set[socket.socket] = set()
-        self.control = sockets.listener()
-        sockets.serve(self.control, self._controlled)
-        self.listeners = [sockets.listener() for _ in range(sides)]
-        for side, sock in enumerate(self.listeners):
-            sockets.serve(sock, self._for(side))
-
-    # --- What changes --------------------------------------------------------------------------------
-    def _controlled(self, sock: socket.socket) -> None:
-        reader = Reader(sock)
+        self.first_entries = list(entries)
+        self.changes: list[tuple[int, Entry]] = []
+        self.changed = Event()
+        self.connections: set[socket.socket] = set()
+        self.control_listener = http_server.listen()
+        http_server.serve(self.control_listener, self._handle_control)
+        self.listeners = [http_server.listen() for _ in range(sidecar_count)]
+        for sidecar, listener in enumerate(self.listeners):
+            http_server.serve(listener, self._handler_of(sidecar))
+
+    # --- Changes ---------------------------------------------------------------------------------------
+
+    def _handle_control(self, sock: socket.socket) -> None:
+        """Take the changes that the upstreams' processes report."""
+        reader = RequestReader(sock)
         while (request := reader.next()) is not None:
             entry = json.loads(request.body)
-            self.ledger.write("change", now(), up=entry["id"], state=entry["state"])
-            gevent.spawn_later((self.lag + self.slower) / 1_000_000, self._publish, entry)
-            sock.sendall(answer(200))
+            self.ledger.write(EndpointChanged(now(), entry["id"], entry["state"]))
+            gevent.spawn_later((self.lag + self.fault_lag) / 1_000_000, self._publish, entry)
+            sock.sendall(format_response(200))
 
-    def _publish(self, entry: dict[str, Any]) -> None:
+    def _publish(self, entry: Entry) -> None:
         self.version += 1
-        if entry["state"] == "DELETED":
+        if entry["state"] == STATE_DELETED:
             self.entries.pop(entry["id"], None)
         else:
             self.entries[entry["id"]] = entry
         self.changes.append((self.version, entry))
-        self.ledger.write("published", now(), up=entry["id"], state=entry["state"], version=self.version)
-        self.news.set()
-        self.news.clear()
-
-    def act(self, what: str, values: dict[str, Any]) -> None:
-        match what:
-            case "discovery_down":
-                self.down = True
-                for sock in list(self.conns):
+        self.ledger.write(ChangePublished(now(), entry["id"], entry["state"], self.version))
+        self.changed.set()
+        self.changed.clear()
+
+    def apply(self, step: Step) -> None:
+        """Carry out a step of the timeline; those that concern others are ignored."""
+        match step:
+            case BeginDiscoveryFault(kind=FaultKind.DISCOVERY_DOWN):
+                self.is_down = True
+                for sock in list(self.connections):
                     reset(sock)
-            case "discovery_down_ends":
-                self.down = False
-            case "discovery_lag":
-                self.slower = values["lag"]
-            case "discovery_lag_ends":
-                self.slower = 0
-            case "discovery_old":
-                self.old = True
-            case "discovery_old_ends":
-                self.old = False
-
-    # --- Calls ---------------------------------------------------------------------------------------
-    def _for(self, side: int) -> Any:
-        def speak(sock: socket.socket) -> None:
-            self.conns.add(sock)
+            case EndDiscoveryFault(kind=FaultKind.DISCOVERY_DOWN):
+                self.is_down = False
+            case BeginDiscoveryFault(kind=FaultKind.DISCOVERY_LAG):
+                self.fault_lag = step.lag
+            case EndDiscoveryFault(kind=FaultKind.DISCOVERY_LAG):
+                self.fault_lag = 0
+            case BeginDiscoveryFault(kind=FaultKind.DISCOVERY_STALE):
+                self.is_stale = True
+            case EndDiscoveryFault(kind=FaultKind.DISCOVERY_STALE):
+                self.is_stale = False
+
+    # --- Calls -----------------------------------------------------------------------------------------
+
+    def _handler_of(self, sidecar: int) -> Callable[[socket.socket], None]:
+        def handle(sock: socket.socket) -> None:
+            self.connections.add(sock)
             try:
-                reader = Reader(sock)
-                while not self.down and (request := reader.next()) is not None:
-                    self._one(side, sock, request.target)
+                reader = RequestReader(sock)
+                while not self.is_down and (request := reader.next()) is not None:
+                    self._respond(sidecar, sock, request.target)
             finally:
-                self.conns.discard(sock)
+                self.connections.discard(sock)
 
-        return speak
+        return handle
 
-    def _one(self, side: int, sock: socket.socket, target: str) -> None:
+    def _respond(self, sidecar: int, sock: socket.socket, target: str) -> None:
         url = urlsplit(target)
-        if url.path != "/catalog/members":
-            sock.sendall(answer(404))
-            return
-        asked = parse_qs(url.query)
-        self.ledger.write("call", now(), side=side, watch=bool(asked))
-        if self.down:
-            sock.sendall(answer(503))
+        if url.path != LIST_PATH:
+            sock.sendall(format_response(404))
             return
-        if not asked:
-            entries = self.first if self.old else list(self.entries.values())
-            self._tell(side, sock, True, 1 if self.old else self.version, entries)
-            return
-        since, hold = int(asked["from"][0]), int(asked.get("hold_ms", ["0"])[0]) * 1000
-        limit = now() + min(hold, self.hold_most)
-        while (self.old or self.version <= since) and (left := limit - now()) > 0:
-            self.news.wait(min(left / 1_000_000, 0.5))
-        if self.old:
-            self._tell(side, sock, False, since, [])
+        query = parse_qs(url.query)
+        self.ledger.write(DiscoveryCalled(now(), sidecar, is_watch=bool(query)))
+        if self.is_down:
+            sock.sendall(format_response(503))
+        elif query:
+            self._respond_to_watch(sidecar, sock, query)
         else:
-            changed = [entry for version, entry in self.changes if version > since]
-            self._tell(side, sock, False, max(since, self.version), changed)
+            entries = self.first_entries if self.is_stale else list(self.entries.values())
+            version = FIRST_VERSION if self.is_stale else self.version
+            self._send_entries(sidecar, sock, True, version, entries)
+
+    def _respond_to_watch(self, sidecar: int, sock: socket.socket, query: dict[str, list[str]]) -> None:
+        """Wait until the list is newer than the version that the sidecar has, and send what changed."""
+        known_version = int(query["from"][0])
+        long_poll = int(query.get("hold_ms", ["0"])[0]) * 1000
+        deadline = now() + min(long_poll, self.max_long_poll)
+        while self.is_stale or self.version <= known_version:
+            time_left = deadline - now()
+            if time_left <= 0:
+                break
+            self.changed.wait(min(time_left / 1_000_000, RECHECK_SECONDS))
+        if self.is_stale:
+            self._send_entries(sidecar, sock, False, known_version, [])
+            return
+        changed = [entry for version, entry in self.changes if version > known_version]
+        self._send_entries(sidecar, sock, False, max(known_version, self.version), changed)
 
-    def _tell(
-        self, side: int, sock: socket.socket, full: bool, version: int, entries: list[dict[str, Any]]
+    def _send_entries(
+        self, sidecar: int, sock: socket.socket, is_complete: bool, version: int, entries: list[Entry]
     ) -> None:
-        body = json.dumps({"version": version, "full": full, "servers": entries}).encode()
-        sock.sendall(answer(200, body))
-        at = now()
+        body = json.dumps({"version": version, "full": is_complete, "servers": entries}).encode()
+        sock.sendall(format_response(200, body))
+        sent_at = now()
         for entry in entries:
-            if entry["state"] != "SERVING" or not full:
-                self.ledger.write("told", at, side=side, up=entry["id"], state=entry["state"])
+            if entry["state"] != STATE_SERVING or not is_complete:
+                self.ledger.write(SidecarNotified(sent_at, sidecar, entry["id"], entry["state"]))
--- a/linetrack/emulator/ledger.py
+++ b/linetrack/emulator/ledger.py
@@ -1,6 +1,7 @@
 """Append-only files of what happened: JSON lines, one event each, with the machine's monotonic microseconds.
 
-Owns how lines are written and read back.  Must never judge them.  A file may be cut off in its last line.
+Written by the emulator and the load generator, read by the audit and the measurements.  A file may be cut off
+in its last line.
 """
 
 from __future__ import annotations
@@ -9,68 +10,96 @@
 import time
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
+from linetrack.emulator.ledger_events import Event, LedgerEvent
+
+MAX_BUFFERED_BYTES = 256 * 1024
+
 _encoder = msgspec.json.Encoder()
-MOST = 256 * 1024  # bytes held before they are written
-Event = dict[str, Any]
 
 
 def now() -> int:
-    """Microseconds that all processes of one machine share."""
+    """Microseconds of a clock that all processes of one machine share."""
     return time.monotonic_ns() // 1000
 
 
+class LedgerError(Exception):
+    """A line is no event.
+
+    Attributes:
+        path: the file.
+        line: the number of the line.
+        reason: what is wrong with it.
+    """
+
+    def __init__(self, path: Path, line: int, reason: str) -> None:
+        self.path = path
+        self.line = line
+        self.reason = reason
+        super().__init__(f"{path}:{line}: no event: {reason}")
+
+
 class Ledger:
-    """One process's file; whoever fails to write says so once and goes on, as what is measured must not
-    stop."""
+    """The file of one process.
+
+    The first write that fails is kept in `error`, and writing ends there: what is measured goes on, and the
+    audit finds the file incomplete.
+    """
 
     def __init__(self, path: Path) -> None:
-        self.file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-        self.held: list[bytes] = []
-        self.size = 0
-        self.fault: str | None = None
-
-    def write(self, event: str, at: int, **fields: Any) -> None:
-        line = _encoder.encode({"e": event, "t": at, **fields})
-        self.held.append(line)
-        self.size += len(line)
-        if self.size >= MOST:
+        self.error: str | None = None
+        self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
+
+    @property
+    def has_unwritten(self) -> bool:
+        """Whether an event waits to be written."""
+        return bool(self._buffer)
+
+    def write(self, event: LedgerEvent) -> None:
+        """Append an event; it is written later."""
+        line = _encoder.encode(event)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
+        if self._buffered_bytes >= MAX_BUFFERED_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        if self.held and self.fault is None:
-            data = b"\n".join(self.held) + b"\n"
+        """Write what waits to be written."""
+        if self._buffer and self.error is None:
+            data = b"\n".join(self._buffer) + b"\n"
             try:
                 while data:
-                    data = data[os.write(self.file, data) :]
-            except OSError as fault:
-                # guards against a full disk ending the emulator: the audit finds the file incomplete
-                self.fault = fault.strerror
-        self.held, self.size = [], 0
+                    data = data[os.write(self._file, data) :]
+            except OSError as error:
+                self.error = error.strerror
+        self._buffer = []
+        self._buffered_bytes = 0
 
     def close(self) -> None:
+        """Write what waits to be written, and close the file."""
         self.flush()
-        os.close(self.file)
+        os.close(self._file)
 
 
-class LedgerError(Exception):
-    """A line that makes no sense; the message names file and line."""
+def read_ledger(path: Path) -> Iterator[Event]:
+    """The events of one file in its order.
 
+    A last line without its end is skipped, as a process may have been killed while writing it.
 
-def read(path: Path) -> Iterator[Event]:
-    """The events of one file in its order.  A last line without its end is passed over, as a process may
-    have been killed while writing it; any other faulty line raises `LedgerError`."""
-    decode = msgspec.json.Decoder(dict[str, Any]).decode
+    Raises:
+        LedgerError: any other line is no event.
+    """
+    decode = msgspec.json.Decoder(Event).decode
     with path.open("rb") as file:
         for number, line in enumerate(file, 1):
             if not line.endswith(b"\n"):
                 return
             try:
-                event = decode(line)
-                event["e"], event["t"]
-            except (msgspec.DecodeError, KeyError) as fault:
-                raise LedgerError(f"{path}:{number}: no event: {fault}") from None
+                event: Event = decode(line)
+            except msgspec.DecodeError as error:
+                raise LedgerError(path, number, str(error)) from None
             yield event
--- a/linetrack/emulator/process.py
+++ b/linetrack/emulator/process.py
@@ -1,7 +1,7 @@
-"""One process of the emulator, started by `Emulator`: a share of the fleet, or discovery.
+"""One process of the emulator, launched by `Emulator`: a share of the upstreams, or discovery.
 
-Reads what it is told as JSON lines on standard input, answers with one line once it listens, and ends when
-its input ends, so that nothing outlives whoever started it.
+Takes its configuration and orders as JSON lines on standard input, writes one line once it listens, and ends
+when its input ends, so that nothing outlives whoever launched it.
 """
 
 from __future__ import annotations
@@ -9,86 +9,130 @@
 import contextlib
 import json
 import sys
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 import gevent
 import msgspec
 from gevent.fileobject import FileObject
 
-from linetrack.emulator import sockets
-from linetrack.emulator.clockwork import Clockwork
-from linetrack.emulator.discovery import Discovery
+from linetrack.emulator.discovery import DiscoveryServer
+from linetrack.emulator.http_server import address_of
 from linetrack.emulator.ledger import Ledger
-from linetrack.emulator.plan import Step, specs, steps
-from linetrack.emulator.schema import Class, Fault, Fleet
-from linetrack.emulator.upstream import Host
+from linetrack.emulator.precise_timer import PreciseTimer
+from linetrack.emulator.schema import Fault, Fleet, RequestClass
+from linetrack.emulator.timeline import Step, timeline, upstream_specs
+from linetrack.emulator.upstream_host import UpstreamHost
 
-FLUSH = 0.2  # seconds between writes to the ledger
+FLUSH_INTERVAL_SECONDS = 0.2
 
 
-class Told(msgspec.Struct, frozen=True):
-    """The first line of input."""
+class ProcessConfig(msgspec.Struct, frozen=True):
+    """The first line of input; `entries` and `sidecar_count` are discovery's, `upstreams` the others'."""
 
     fleet: Fleet
-    classes: tuple[Class, ...]
+    classes: tuple[RequestClass, ...]
     faults: tuple[Fault, ...]
     seed: int
     ledger: str
-    places: tuple[int, ...] = ()
+    upstreams: tuple[int, ...] = ()
     entries: tuple[dict[str, Any], ...] = ()
-    sides: int = 0
+    sidecar_count: int = 0
 
 
-def main() -> None:
-    lines = FileObject(sys.stdin.buffer, "rb")
-    told = msgspec.json.decode(lines.readline(), type=Told)
-    ledger = Ledger(Path(told.ledger))
-    plan = steps(told.fleet, told.faults, told.seed)
-    act: Callable[[Step, int], None]
-    say: dict[str, Any]
-    if told.sides:
-        found = told.fleet.discovery
-        hold = round(found.hold_ms_most * 1000)
-        discovery = Discovery(list(told.entries), told.sides, round(found.lag_ms * 1000), hold, ledger)
-        say = {
-            "control": sockets.name(discovery.control),
-            "sides": [sockets.name(sock) for sock in discovery.listeners],
-        }
+class Role(Protocol):
+    """What a process does."""
+
+    def description(self) -> dict[str, Any]:
+        """What whoever launched the process needs to know, once it listens."""
+
+    def connect_to_discovery(self, address: str) -> None:
+        """Changes are reported to this address from here on."""
+
+    def apply(self, step: Step, start: int) -> None:
+        """Carry out a step of the timeline that began at `start`."""
+
+
+class UpstreamRole:
+    """Serves a share of the upstreams."""
+
+    def __init__(self, config: ProcessConfig, ledger: Ledger) -> None:
+        specs = tuple(spec for spec in upstream_specs(config.fleet) if spec.index in config.upstreams)
+        self.host = UpstreamHost(config.fleet, config.classes, specs, config.seed, ledger)
+
+    def description(self) -> dict[str, Any]:
+        """The endpoints as discovery is to list them."""
+        return {"entries": [server.entry() for server in self.host.servers.values()]}
+
+    def connect_to_discovery(self, address: str) -> None:
+        """Changes are reported to this address from here on."""
+        host, _, port = address.rpartition(":")
+        self.host.discovery = (host, int(port))
 
-        def act(step: Step, start: int) -> None:
-            discovery.act(step.what, step.values)
-    else:
-        mine = tuple(spec for spec in specs(told.fleet) if spec.place in told.places)
-        host = Host(told.fleet, told.classes, mine, told.seed, ledger)
-        say = {"entries": [place.entry() for place in host.places.values()]}
-        act = host.act
-    print(json.dumps(say), flush=True)
+    def apply(self, step: Step, start: int) -> None:
+        """Carry out a step of the timeline that began at `start`."""
+        self.host.apply(step, start)
 
-    clockwork = Clockwork()
 
-    def flush() -> None:
-        while True:
-            gevent.sleep(FLUSH)
-            ledger.flush()
+class DiscoveryRole:
+    """Serves discovery."""
 
-    def run(start: int) -> None:
-        for step in plan:
-            clockwork.sleep_until(start + step.at)
-            act(step, start)
+    def __init__(self, config: ProcessConfig, ledger: Ledger) -> None:
+        discovery = config.fleet.discovery
+        self.server = DiscoveryServer(
+            entries=list(config.entries),
+            sidecar_count=config.sidecar_count,
+            lag=round(discovery.lag_ms * 1000),
+            max_long_poll=round(discovery.max_long_poll_ms * 1000),
+            ledger=ledger,
+        )
 
-    gevent.spawn(flush)
+    def description(self) -> dict[str, Any]:
+        """The addresses for the upstreams' processes and for each sidecar."""
+        return {
+            "control": address_of(self.server.control_listener),
+            "sidecars": [address_of(listener) for listener in self.server.listeners],
+        }
+
+    def connect_to_discovery(self, address: str) -> None:
+        """It reports no changes."""
+
+    def apply(self, step: Step, start: int) -> None:
+        """Carry out a step of the timeline."""
+        self.server.apply(step)
+
+
+def main() -> None:
+    """Serve until the input ends."""
+    lines = FileObject(sys.stdin.buffer, "rb")
+    config = msgspec.json.decode(lines.readline(), type=ProcessConfig)
+    ledger = Ledger(Path(config.ledger))
+    steps = timeline(config.fleet, config.faults, config.seed)
+    role: Role = DiscoveryRole(config, ledger) if config.sidecar_count else UpstreamRole(config, ledger)
+    print(json.dumps(role.description()), flush=True)
+    timer = PreciseTimer()
+    gevent.spawn(_flush_regularly, ledger)
     with contextlib.suppress(KeyboardInterrupt):
         while line := lines.readline():
             order = json.loads(line)
             if "control" in order:
-                at, _, port = order["control"].rpartition(":")
-                host.control = (at, int(port))
+                role.connect_to_discovery(order["control"])
             if "start" in order:
-                gevent.spawn(run, order["start"])
+                gevent.spawn(_run_timeline, steps, order["start"], role, timer)
     ledger.close()
 
 
+def _flush_regularly(ledger: Ledger) -> None:
+    while True:
+        gevent.sleep(FLUSH_INTERVAL_SECONDS)
+        ledger.flush()
+
+
+def _run_timeline(steps: list[Step], start: int, role: Role, timer: PreciseTimer) -> None:
+    for step in steps:
+        timer.sleep_until(start + step.at)
+        role.apply(step, start)
+
+
 if __name__ == "__main__":
     main()
--- a/linetrack/emulator/schema.py
+++ b/linetrack/emulator/schema.py
@@ -1,120 +1,230 @@
-"""What an emulated fleet is told: upstreams, classes, faults on a timeline.
+"""Tables of an experiment file that configure the emulator: upstreams, request classes, faults on a timeline.
 
-Owns the keys, units and checks of these tables of an experiment file.  Must never act on them.
+The only module that knows their keys, units and checks.  Times are in the unit that the key says.
 """
 
 from __future__ import annotations
 
+from enum import Enum
 from typing import Annotated, Literal
 
 from msgspec import Meta
 
-from linetrack.config.check import Part
-from linetrack.config.operators import Count, Name, NotNegative, Positive, Share
-
-
-class Class(Part, frozen=True, kw_only=True):
-    """A class of requests, as callers send and upstreams run it."""
+from linetrack.config.check import Table
+from linetrack.config.operators import (
+    Count,
+    DeduplicationScope,
+    Fraction,
+    Idempotency,
+    Name,
+    NotNegative,
+    Positive,
+)
+
+PositiveFraction = Annotated[float, Meta(gt=0, le=1)]
+
+
+class WorkDistribution(Enum):
+    """How the work of a request is drawn."""
+
+    FIXED = "fixed"
+    EXPONENTIAL = "exponential"
+    LOGNORMAL = "lognormal"
+
+
+class FaultKind(Enum):
+    """What goes wrong, by the file's words."""
+
+    # while they last, they change how an upstream handles requests
+    SLOW = "slow"
+    ERRORS = "errors"
+    NO_RESPONSE = "silence"  # the request is executed, and its connection stays open
+    RESET = "reset"  # the connection is reset in the middle of the response
+    MALFORMED_RESPONSE = "spoil"
+    UNREACHABLE = "cut"
+    STALL = "stall"  # nothing begins until it ends
+    # they change who serves
+    CRASH = "crash"
+    VANISH = "vanish"  # unreachable first, removed from the list later
+    DEPLOY = "deploy"
+    DRAIN = "drain"
+    # they change discovery, or restart sidecars
+    DISCOVERY_DOWN = "discovery_down"
+    DISCOVERY_LAG = "discovery_lag"
+    DISCOVERY_STALE = "discovery_old"
+    SIDECARS_TERMINATED = "sidecars_term"
+    SIDECARS_KILLED = "sidecars_kill"
+
+
+#: Faults that change how an upstream handles requests while they last.
+REQUEST_FAULTS = frozenset(
+    {
+        FaultKind.SLOW,
+        FaultKind.ERRORS,
+        FaultKind.NO_RESPONSE,
+        FaultKind.RESET,
+        FaultKind.MALFORMED_RESPONSE,
+        FaultKind.UNREACHABLE,
+        FaultKind.STALL,
+    }
+)
+DISCOVERY_FAULTS = frozenset({FaultKind.DISCOVERY_DOWN, FaultKind.DISCOVERY_LAG, FaultKind.DISCOVERY_STALE})
+SIDECAR_FAULTS = frozenset({FaultKind.SIDECARS_TERMINATED, FaultKind.SIDECARS_KILLED})
+
+
+class RequestClass(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "idempotency": "repeat",
+        "latency_objective_ms": "aim_ms",
+        "timeout_ms": "deadline_ms",
+        "priority_weight": "worth",
+        "deduplication_scope": "dedup_scope",
+        "deduplication_window_ms": "dedup_window_ms",
+        "work_distribution": "work",
+        "work_variation": "work_cv",
+        "response_bytes": "answer_bytes",
+    },
+):
+    """A class of requests, as clients send and upstreams execute it."""
 
     name: Name
-    share: Positive = 1.0  # of all requests, beside the other classes'
-    repeat: Literal["free", "guarded", "single_shot"] = "free"
-    aim_ms: Positive = 200.0
-    deadline_ms: Positive = 1000.0
-    worth: NotNegative = 1.0
-    dedup_scope: Literal["all", "zone", "cell"] = "zone"
-    dedup_window_ms: NotNegative = 1000.0
+    share: Positive = 1.0  # of all requests, relative to the other classes'
+    idempotency: Idempotency = Idempotency.IDEMPOTENT
+    latency_objective_ms: Positive = 200.0
+    timeout_ms: Positive = 1000.0
+    priority_weight: NotNegative = 1.0
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ZONE
+    deduplication_window_ms: NotNegative = 1000.0
     work_ms: Positive = 5.0  # mean time of a core at speed 1
-    work: Literal["fixed", "exponential", "lognormal"] = "exponential"
-    work_cv: Positive = 1.0  # standard deviation over mean, of lognormal work
-    answer_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 200
+    work_distribution: WorkDistribution = WorkDistribution.EXPONENTIAL
+    work_variation: Positive = 1.0  # standard deviation over mean, of lognormal work
+    response_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 200
     request_bytes: Annotated[int, Meta(ge=0, le=65_536)] = 0
 
 
-class Kind(Part, frozen=True, kw_only=True):
+class HostClass(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "max_queue_length": "queue",
+        "slow_start_initial_fraction": "cold_from",
+        "slow_start_ms": "warm_up_ms",
+        "overload_multiple": "fall_multiple",
+        "overload_window_ms": "overload_ms",
+        "restart_ms": "down_ms",
+        "response_delay_ms": "delay_ms",
+        "cached_key_saving": "warm_key_saves",
+    },
+):
+    """What an upstream of this class can do."""
+
     name: Name
     cores: Count = 1
     speed: Positive = 1.0
-    queue: Annotated[int, Meta(ge=0)] = 100  # requests that may wait; one more is turned away
-    cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.2  # of its speed, at a start
-    warm_up_ms: NotNegative = 10_000.0
-    fall_multiple: Positive = 3.0  # of what it can do by then, over `overload_ms`: a cold one falls over
-    overload_ms: Positive = 1000.0
-    down_ms: Positive = 3000.0  # after it fell, until it starts again
-    delay_ms: NotNegative = 0.0  # added to every answer, a known delay
-    warm_key_saves: Share = 0.0  # of the work of a key that it served lately
+    max_queue_length: Annotated[int, Meta(ge=0)] = 100  # requests that may wait; one more is rejected
+    slow_start_initial_fraction: PositiveFraction = 0.2  # of its speed, at a start
+    slow_start_ms: NotNegative = 10_000.0
+    # in slow start it crashes when sent this multiple of what it can do for so long
+    overload_multiple: Positive = 3.0
+    overload_window_ms: Positive = 1000.0
+    restart_ms: Positive = 3000.0  # after a crash, until it starts again
+    response_delay_ms: NotNegative = 0.0  # added to every response, a known delay
+    cached_key_saving: Fraction = 0.0  # of the work of a key that it served recently
 
 
-class Upstreams(Part, frozen=True, kw_only=True):
-    """A number of upstreams alike."""
+class UpstreamGroup(Table, frozen=True, kw_only=True, rename={"host_class": "kind", "capacity": "weight"}):
+    """A number of identical upstreams."""
 
     zone: Name
-    kind: Name
+    host_class: Name
     count: Count
     cells: Count = 1
-    weight: Positive = 1.0
+    capacity: Positive = 1.0
 
 
-class Report(Part, frozen=True, kw_only=True):
-    """Load reports on answers."""
+class LoadReports(Table, frozen=True, kw_only=True, rename={"interval_ms": "every_ms"}):
+    """Load reports on responses."""
 
     fields: tuple[Literal["concurrent", "depth", "load_share", "mean_ms", "tps"], ...] = (
         "depth",
         "concurrent",
     )
-    every_ms: NotNegative = 200.0  # figures are taken anew after so long; 0 for each answer
+    interval_ms: NotNegative = 200.0  # between new values; 0: new ones on each response
+
 
+class Discovery(Table, frozen=True, kw_only=True, rename={"max_long_poll_ms": "hold_ms_most"}):
+    """The emulated discovery."""
 
-class Discovery(Part, frozen=True, kw_only=True):
     lag_ms: NotNegative = 200.0  # from a change until it is in the list
-    hold_ms_most: Positive = 20_000.0
+    max_long_poll_ms: Positive = 20_000.0
 
 
-class Who(Part, frozen=True, kw_only=True):
-    """A set of upstreams: those that every key given holds for; all of them where none is given."""
+class UpstreamSelector(Table, frozen=True, kw_only=True, rename={"host_class": "kind"}):
+    """A set of upstreams: those to which every given key applies; all of them where none is given."""
 
     ids: tuple[str, ...] = ()
     zone: str = ""
-    kind: str = ""
-    share: Annotated[float, Meta(gt=0, le=1)] = 1.0  # drawn by the seed among these, one at least
+    host_class: str = ""
+    share: PositiveFraction = 1.0  # drawn by the seed among these, one at least
 
 
-class Fault(Part, frozen=True, kw_only=True):
-    """One trouble, from `at_s` for `for_s` seconds, for `who`; faults may overlap."""
+class Fault(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={"duration_s": "for_s", "upstreams": "who", "batch_size": "batch", "batch_interval_s": "every_s"},
+):
+    """One fault, from `at_s` on; faults may overlap."""
 
-    kind: Literal[
-        "slow", "errors", "silence", "reset", "spoil", "cut", "stall", "crash", "vanish", "deploy", "drain",
-        "discovery_down", "discovery_lag", "discovery_old", "sidecars_term", "sidecars_kill",
-    ]  # fmt: skip
+    kind: FaultKind
     at_s: NotNegative
-    for_s: NotNegative = 0.0
-    who: Who = Who()
+    duration_s: NotNegative = 0.0
+    upstreams: UpstreamSelector = UpstreamSelector()
     factor: Positive = 5.0  # slow: times the work
-    one_in: Count = 1  # errors, silence, reset, spoil, slow: every so many-th request
-    batch: Count = 1  # deploy: so many upstreams at a time; restarts: sidecars
-    every_s: Positive = 2.0  # deploy, restarts: between batches
+    one_in: Count = 1  # errors, silence, reset, spoil, slow: every nth request
+    batch_size: Count = 1  # deploy: upstreams at a time; restarts: sidecars
+    batch_interval_s: Positive = 2.0  # deploy, restarts
     grace_ms: NotNegative = 1500.0  # deploy, drain: from draining until it ends
     lag_ms: NotNegative = 2000.0  # discovery_lag
 
 
-class Fleet(Part, frozen=True, kw_only=True):
-    kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)] = (Kind(name="plain"),)
-    upstreams: Annotated[tuple[Upstreams, ...], Meta(min_length=1)] = (
-        Upstreams(zone="north", kind="plain", count=4),
-        Upstreams(zone="south", kind="plain", count=4),
+class Fleet(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "host_classes": "kinds",
+        "groups": "upstreams",
+        "load_reports": "report",
+        "max_connections": "connections",
+    },
+):
+    """All emulated upstreams, and discovery."""
+
+    host_classes: Annotated[tuple[HostClass, ...], Meta(min_length=1)] = (HostClass(name="plain"),)
+    groups: Annotated[tuple[UpstreamGroup, ...], Meta(min_length=1)] = (
+        UpstreamGroup(zone="north", host_class="plain", count=4),
+        UpstreamGroup(zone="south", host_class="plain", count=4),
     )
     processes: Annotated[int, Meta(ge=1, le=16)] = 1
-    report: Report = Report()
+    load_reports: LoadReports = LoadReports()
     discovery: Discovery = Discovery()
     keep_alive_ms: Positive = 30_000.0
-    connections: Count = 1000  # that one upstream holds; one more is closed unread
+    max_connections: Count = 1000  # to one upstream; one more is closed unread
 
     def __post_init__(self) -> None:
-        names = [kind.name for kind in self.kinds]
-        for group in self.upstreams:
-            if group.kind not in names:
-                raise ValueError(f"expected kind {group.kind!r} of upstreams to be one of {', '.join(names)}")
+        """Check that each group is of a known host class."""
+        names = [host_class.name for host_class in self.host_classes]
+        for group in self.groups:
+            if group.host_class not in names:
+                expected = ", ".join(names)
+                raise ValueError(f"expected kind {group.host_class!r} of upstreams to be one of {expected}")
 
     @property
     def zones(self) -> tuple[str, ...]:
-        return tuple(dict.fromkeys(group.zone for group in self.upstreams))
+        """The zones in the order in which they occur."""
+        return tuple(dict.fromkeys(group.zone for group in self.groups))
--- a/linetrack/experiments/__init__.py
+++ b/linetrack/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: files that name their own verdict, run on stand-ins, audited, judged and drawn."""
+"""Experiments: emulator, sidecars and load run together, audited, measured and judged."""
--- a/linetrack/experiments/audit.py
+++ b/linetrack/experiments/audit.py
@@ -1,187 +1,293 @@
 """The four rules, checked from ledgers alone.
 
-Owns what counts as a breach.  Reads files that the emulator, the load generator and the runner wrote, and
-nothing else; must never share code with the program that it judges.
-
-- **Lost**: a caller's try has no end, or one without a whole answer (broken off, or silent until the caller
-  gave up), unless its sidecar was killed while it was out.
-- **Twice**: an effect that may be had once was had again: a class that may not be repeated ran twice for
-  one key, or a guarded one ran undiscarded twice within one try, or ran although the caller was told that
-  it was refused and ran again for the same key.  A guarded key that a caller itself repeats after the
-  window is counted apart.
-- **Drained**: the first byte of a try came to an upstream that its sidecar had been told was draining or
-  gone, later than the grace after that.
-- **Pushed over**: a cold upstream fell over.
+Reads the files that the emulator, the load generator and the runner wrote and nothing else, and shares no
+code with the program that it judges.
+
+- **Lost**: a client's request has no end, or one without a complete response (cut off, or silent until the
+  client gave up), unless its sidecar was killed while it was in flight.
+- **Executed twice**: an effect that may happen once happened again: a class that is not idempotent was
+  executed twice for one key, or one with idempotency keys was executed twice within one request without
+  being discarded, or a request was executed although the client was told that it was rejected, and executed
+  again for the same key.  A key that a client itself sends again after the window is counted apart.
+- **Sent to a draining upstream**: the first byte of an attempt reached an upstream later than the grace after
+  its sidecar had been notified that it was draining or removed.
+- **Crashed in slow start**: an upstream in slow start was sent too much.
 """
 
 from __future__ import annotations
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
+from enum import StrEnum
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
-from linetrack.emulator.ledger import Event, read
+from linetrack.config.operators import Idempotency
+from linetrack.emulator.ledger import read_ledger
+from linetrack.emulator.ledger_events import (
+    STATUS_CUT_OFF,
+    STATUS_NOT_CONNECTED,
+    STATUS_TIMED_OUT,
+    AttemptReceived,
+    Event,
+    RequestEnded,
+    RequestExecuted,
+    RequestSent,
+    SidecarNotified,
+    UpstreamCrashed,
+)
+
+LOAD_LEDGERS = "load-*.jsonl"
+EMULATOR_LEDGERS = "emulator-*.jsonl"
+FACTS_FILE = "run.json"
+
+SOCKET_SLACK_US = 50_000  # by which sockets may be later than a rule's own figure
+MAX_EXAMPLES = 5  # breaches of one rule that are described
+REJECTION_STATUSES = (429, 503)
+SERVING = "SERVING"
+
+
+class Rule(StrEnum):
+    """What is checked, by the names of results and reports."""
+
+    LOST = "lost"
+    EXECUTED_TWICE = "twice"
+    SENT_TO_DRAINING = "drained"
+    CRASHED_IN_SLOW_START = "pushed_over"
+    TOO_MANY_ATTEMPTS = "too_many"
+    WRONG_RESPONSE = "wrong"
+
+
+class SidecarKill(msgspec.Struct, frozen=True, array_like=True):
+    """A sidecar was killed, or ended on its own."""
 
-SLACK = 50_000  # microseconds by which sockets may be later than the rule's own figure
-NOT_TAKEN = -3  # the status of a try whose connection never came up
-MOST_NAMED = 5  # breaches of one kind that are told in full
+    sidecar: int
+    at: int  # microseconds of the ledger's clock
 
 
-class Facts(msgspec.Struct, frozen=True):
+class RunFacts(
+    msgspec.Struct,
+    frozen=True,
+    rename={
+        "idempotency_by_class": "repeat",
+        "upstream_zones": "zones",
+        "sidecar_zones": "sides",
+        "kills": "killed",
+        "crashes": "crashed",
+    },
+):
     """What the rules need to know of a run: `run.json` in its folder."""
 
     max_attempts: int
     drain_grace: int  # microseconds
-    repeat: dict[str, str]  # by class
-    zones: dict[str, str] = {}  # of upstreams, by place
-    sides: tuple[str, ...] = ()  # zones of sidecars
+    idempotency_by_class: dict[str, Idempotency]
+    upstream_zones: dict[str, str] = {}  # by the index of the address, as text
+    sidecar_zones: tuple[str, ...] = ()
     start: int = 0
-    killed: tuple[tuple[int, int], ...] = ()  # sidecar and time
-    crashed: int = 0
+    kills: tuple[SidecarKill, ...] = ()
+    crashes: int = 0  # sidecars that ended on their own
 
 
 @dataclass
 class Findings:
-    counts: Counter[str] = field(default_factory=Counter)
-    named: dict[str, list[str]] = field(default_factory=lambda: defaultdict(list))
-    asked: int = 0
+    """What the audit has found."""
+
+    breaches: Counter[Rule] = field(default_factory=Counter)
+    examples: dict[Rule, list[str]] = field(default_factory=lambda: defaultdict(list))
+    requests: int = 0
     attempts: int = 0
-    incomplete: list[str] = field(default_factory=list)  # files that have no proper end
+    excused: int = 0  # lost with a sidecar that was killed
+    not_connected: int = 0
+    repeated_by_clients: int = 0  # executed again because a client itself repeated a failed request
+    incomplete_files: list[str] = field(default_factory=list)
 
-    def add(self, rule: str, what: str) -> None:
-        self.counts[rule] += 1
-        if len(self.named[rule]) < MOST_NAMED:
-            self.named[rule].append(what)
+    def add(self, rule: Rule, description: str) -> None:
+        """Count a breach."""
+        self.breaches[rule] += 1
+        if len(self.examples[rule]) < MAX_EXAMPLES:
+            self.examples[rule].append(description)
 
     @property
     def held(self) -> bool:
-        return not any(self.counts[rule] for rule in RULES)
+        """Whether no rule was broken."""
+        return not any(self.breaches[rule] for rule in Rule)
 
 
-RULES = ("lost", "twice", "drained", "pushed_over", "too_many", "wrong")
+class _History:
+    """The events of a run by the trace that they belong to."""
 
+    def __init__(self, load: list[Event], emulator: list[Event]) -> None:
+        self.emulator = emulator
+        self.sent = {event.trace: event for event in load if isinstance(event, RequestSent)}
+        self.ends: dict[str, list[RequestEnded]] = defaultdict(list)
+        self.attempts: dict[str, list[AttemptReceived]] = defaultdict(list)
+        self.executions: dict[str, list[RequestExecuted]] = defaultdict(list)
+        for event in load:
+            if isinstance(event, RequestEnded):
+                self.ends[event.trace].append(event)
+        for event in emulator:
+            if isinstance(event, AttemptReceived):
+                self.attempts[event.trace].append(event)
+            elif isinstance(event, RequestExecuted):
+                self.executions[event.trace].append(event)
 
-def events(folder: Path, pattern: str) -> list[Event]:
-    found = [event for path in sorted(folder.glob(pattern)) for event in read(path)]
-    found.sort(key=lambda event: event["t"])
-    return found
+
+def read_events(folder: Path, pattern: str) -> list[Event]:
+    """The events of all ledgers of that pattern, by time.
+
+    Raises:
+        LedgerError: a line is no event.
+    """
+    events = [event for path in sorted(folder.glob(pattern)) for event in read_ledger(path)]
+    events.sort(key=lambda event: event.at)
+    return events
 
 
-def facts(folder: Path) -> Facts:
-    return msgspec.json.decode((folder / "run.json").read_bytes(), type=Facts)
+def read_facts(folder: Path) -> RunFacts:
+    """What is known of the run in a folder.
+
+    Raises:
+        OSError: the file cannot be read.
+        msgspec.DecodeError: it is invalid.
+    """
+    return msgspec.json.decode((folder / FACTS_FILE).read_bytes(), type=RunFacts)
 
 
 def audit(folder: Path) -> Findings:
-    """Check one run's folder.  Raises `LedgerError` for a line that is no event, `OSError` for a missing
-    file."""
-    known, found = facts(folder), Findings()
+    """Check the run in a folder.
+
+    Raises:
+        OSError: a file is missing.
+        LedgerError: a line of a ledger is no event.
+    """
+    facts = read_facts(folder)
+    findings = Findings(incomplete_files=_incomplete_files(folder))
+    history = _History(read_events(folder, LOAD_LEDGERS), read_events(folder, EMULATOR_LEDGERS))
+    findings.requests = len(history.sent)
+    findings.attempts = sum(map(len, history.attempts.values()))
+    _check_crashes(history, findings)
+    _check_lost(facts, history, findings)
+    _check_executed_twice(facts, history, findings)
+    _check_sent_to_draining(facts, history, findings)
+    _check_attempts(facts, history, findings)
+    return findings
+
+
+def _incomplete_files(folder: Path) -> list[str]:
+    """Ledgers that are cut off in their last line."""
+    found = []
     for path in sorted(folder.glob("*.jsonl")):
         data = path.read_bytes()
         if data and not data.endswith(b"\n"):
-            found.incomplete.append(path.name)
-    load, fleet = events(folder, "load-*.jsonl"), events(folder, "emulator-*.jsonl")
-    asks = {event["trace"]: event for event in load if event["e"] == "ask"}
-    ends: dict[str, list[Event]] = defaultdict(list)
-    for event in load:
-        if event["e"] == "end":
-            ends[event["trace"]].append(event)
-    tries: dict[str, list[Event]] = defaultdict(list)
-    runs: dict[str, list[Event]] = defaultdict(list)
-    for event in fleet:
-        if event["e"] == "try":
-            tries[event["trace"]].append(event)
-        elif event["e"] == "run":
-            runs[event["trace"]].append(event)
-        elif event["e"] == "fell":
-            found.add("pushed_over", f"{event['up']} at {event['t']}")
-    found.asked, found.attempts = len(asks), sum(map(len, tries.values()))
-    _lost(known, asks, ends, found)
-    _twice(known, asks, ends, runs, found)
-    _drained(known, asks, fleet, found)
-    for trace, seen in tries.items():
-        if trace not in asks:
-            found.add("wrong", f"{trace} reached {seen[0]['up']} and no caller sent it")
-        if len(seen) > known.max_attempts:
-            found.add("too_many", f"{trace}: {len(seen)} attempts, {known.max_attempts} allowed")
+            found.append(path.name)
     return found
 
 
-def _lost(known: Facts, asks: dict[str, Event], ends: dict[str, list[Event]], found: Findings) -> None:
-    for trace, ask in asks.items():
-        end = ends.get(trace, [])
-        if len(end) == 1 and end[0]["status"] > 0:
-            if end[0]["status"] == 200 and end[0]["who"] != trace:
-                found.add("wrong", f"{trace} was answered with {end[0]['who']!r}")
+def _check_crashes(history: _History, findings: Findings) -> None:
+    for event in history.emulator:
+        if isinstance(event, UpstreamCrashed):
+            findings.add(Rule.CRASHED_IN_SLOW_START, f"{event.upstream} at {event.at}")
+
+
+def _check_lost(facts: RunFacts, history: _History, findings: Findings) -> None:
+    for trace, sent in history.sent.items():
+        ends = history.ends.get(trace, [])
+        if len(ends) == 1 and ends[0].status > 0:
+            if ends[0].status == 200 and ends[0].responding_trace != trace:
+                response = ends[0].responding_trace
+                findings.add(Rule.WRONG_RESPONSE, f"{trace} was answered with {response!r}")
             continue
-        if len(end) == 1 and end[0]["status"] == NOT_TAKEN:
-            found.counts["not_taken"] += 1
+        if len(ends) == 1 and ends[0].status == STATUS_NOT_CONNECTED:
+            findings.not_connected += 1
             continue
-        until = end[0]["t"] if end else ask["until"]
-        if any(side == ask["side"] and ask["t"] - SLACK <= at <= until + SLACK for side, at in known.killed):
-            found.counts["excused"] += 1  # its sidecar was killed outright while it was out
-        elif len(end) > 1:
-            found.add("lost", f"{trace} had {len(end)} ends")
+        in_flight_until = ends[0].at if ends else sent.deadline
+        if _was_killed(facts, sent, in_flight_until):
+            findings.excused += 1
+        elif len(ends) > 1:
+            findings.add(Rule.LOST, f"{trace} had {len(ends)} ends")
         else:
-            how = {-1: "no answer in time", -2: "broken off"}.get(end[0]["status"] if end else 0, "no end")
-            found.add("lost", f"{trace}: {how}")
-
-
-def _twice(
-    known: Facts,
-    asks: dict[str, Event],
-    ends: dict[str, list[Event]],
-    runs: dict[str, list[Event]],
-    found: Findings,
-) -> None:
-    by_key: dict[str, list[str]] = defaultdict(list)  # tries with an effect of their own, by key
-    for trace, seen in runs.items():
-        own = [run for run in seen if not run["dup"]]
-        repeat = known.repeat.get(seen[0]["klass"], "single_shot")
-        if repeat == "free":
-            continue
-        if len(own) > 1:
-            found.add("twice", f"{trace} ran at {', '.join(run['up'] for run in own)}")
-        if own:
-            by_key[own[0]["key"]].append(trace)
-    for key, traces in by_key.items():
-        if len(traces) < 2:
+            findings.add(Rule.LOST, f"{trace}: {_describe_end(ends)}")
+
+
+def _was_killed(facts: RunFacts, sent: RequestSent, in_flight_until: int) -> bool:
+    """Whether the sidecar of a request was killed while it was in flight."""
+    return any(
+        kill.sidecar == sent.sidecar
+        and sent.at - SOCKET_SLACK_US <= kill.at <= in_flight_until + SOCKET_SLACK_US
+        for kill in facts.kills
+    )
+
+
+def _describe_end(ends: list[RequestEnded]) -> str:
+    descriptions = {STATUS_TIMED_OUT: "no answer in time", STATUS_CUT_OFF: "broken off"}
+    return descriptions.get(ends[0].status, "no end") if ends else "no end"
+
+
+def _check_executed_twice(facts: RunFacts, history: _History, findings: Findings) -> None:
+    traces_by_key: dict[str, list[str]] = defaultdict(list)  # of executions with an effect of their own
+    for trace, executions in history.executions.items():
+        idempotency = facts.idempotency_by_class.get(executions[0].class_name, Idempotency.NON_IDEMPOTENT)
+        if idempotency is Idempotency.IDEMPOTENT:
             continue
-        told = {trace: end[0]["status"] for trace in traces if (end := ends.get(trace))}
-        if any(told.get(trace) in (429, 503) for trace in traces):
-            found.add(
-                "twice", f"key {key} was refused to a caller that came again, and ran for {', '.join(traces)}"
-            )
-        else:
-            found.counts["callers_own"] += 1  # callers repeated what had failed
+        effective = [execution for execution in executions if not execution.duplicate_of]
+        if len(effective) > 1:
+            upstreams = ", ".join(execution.upstream for execution in effective)
+            findings.add(Rule.EXECUTED_TWICE, f"{trace} ran at {upstreams}")
+        if effective:
+            traces_by_key[effective[0].key].append(trace)
+    for key, traces in traces_by_key.items():
+        if len(traces) > 1:
+            _check_repeated_key(key, traces, history, findings)
+
 
+def _check_repeated_key(key: str, traces: list[str], history: _History, findings: Findings) -> None:
+    """A key was executed for several requests of its client."""
+    statuses = [ends[0].status for trace in traces if (ends := history.ends.get(trace))]
+    if any(status in REJECTION_STATUSES for status in statuses):
+        description = f"key {key} was refused to a caller that came again, and ran for {', '.join(traces)}"
+        findings.add(Rule.EXECUTED_TWICE, description)
+    else:
+        findings.repeated_by_clients += 1
 
-def _drained(known: Facts, asks: dict[str, Event], fleet: list[Event], found: Findings) -> None:
-    told: dict[tuple[int, str], int] = {}
-    for event in fleet:
-        if event["e"] == "told":
-            if event["state"] == "SERVING":
-                told.pop((event["side"], event["up"]), None)
+
+def _check_sent_to_draining(facts: RunFacts, history: _History, findings: Findings) -> None:
+    notified_at: dict[tuple[int, str], int] = {}  # by sidecar and upstream
+    for event in history.emulator:
+        if isinstance(event, SidecarNotified):
+            if event.state == SERVING:
+                notified_at.pop((event.sidecar, event.upstream), None)
             else:
-                told.setdefault((event["side"], event["up"]), event["t"])
-        elif event["e"] == "try" and event["trace"] in asks:
-            at = told.get((asks[event["trace"]]["side"], event["up"]))
-            if at is not None and event["first"] > at + known.drain_grace + SLACK:
-                late = (event["first"] - at) / 1e6
-                found.add("drained", f"{event['trace']} to {event['up']}, {late:.2f} s after it was told")
+                notified_at.setdefault((event.sidecar, event.upstream), event.at)
+        elif isinstance(event, AttemptReceived) and event.trace in history.sent:
+            at = notified_at.get((history.sent[event.trace].sidecar, event.upstream))
+            if at is not None and event.first_byte_at > at + facts.drain_grace + SOCKET_SLACK_US:
+                late = (event.first_byte_at - at) / 1e6
+                description = f"{event.trace} to {event.upstream}, {late:.2f} s after it was told"
+                findings.add(Rule.SENT_TO_DRAINING, description)
+
+
+def _check_attempts(facts: RunFacts, history: _History, findings: Findings) -> None:
+    for trace, attempts in history.attempts.items():
+        if trace not in history.sent:
+            description = f"{trace} reached {attempts[0].upstream} and no caller sent it"
+            findings.add(Rule.WRONG_RESPONSE, description)
+        if len(attempts) > facts.max_attempts:
+            description = f"{trace}: {len(attempts)} attempts, {facts.max_attempts} allowed"
+            findings.add(Rule.TOO_MANY_ATTEMPTS, description)
 
 
-def summary(found: Findings) -> dict[str, Any]:
+def summary(findings: Findings) -> dict[str, Any]:
+    """The findings as results and the command line show them."""
     return {
-        "held": found.held,
-        "asked": found.asked,
-        "attempts": found.attempts,
-        **{rule: found.counts[rule] for rule in RULES},
-        "excused": found.counts["excused"],
-        "not_taken": found.counts["not_taken"],
-        "callers_own": found.counts["callers_own"],
-        "incomplete": found.incomplete,
-        "named": dict(found.named),
+        "held": findings.held,
+        "asked": findings.requests,
+        "attempts": findings.attempts,
+        **{rule.value: findings.breaches[rule] for rule in Rule},
+        "excused": findings.excused,
+        "not_taken": findings.not_connected,
+        "callers_own": findings.repeated_by_clients,
+        "incomplete": findings.incomplete_files,
+        "named": {rule.value: examples for rule, examples in findings.examples.items()},
     }
--- a/linetrack/experiments/baselines.py
+++ b/linetrack/experiments/baselines.py
@@ -1,7 +1,8 @@
-"""Plain policies behind the decision module's interface, to compare with: never part of the program.
+"""Simple policies behind the policy's interface, to compare with; never part of the program.
 
-Owns three choices of the server: at random, in turn, and by the fewest own requests out.  Each sends once
-more elsewhere what never ran, holds drains and the limit of attempts, and does nothing else.
+Each selects an endpoint in its own way: at random, in turn, or by the fewest requests of its own in flight.
+Each retries on another endpoint what was never executed, keeps drains and the limit of attempts, and does
+nothing else.
 
 Run with `python -m linetrack.experiments.baselines NAME`: a sidecar on EDGE_* with that policy.
 """
@@ -11,10 +12,20 @@
 import os
 import random
 import sys
+from dataclasses import dataclass, field
+from enum import Enum
 from functools import partial
 
-from linetrack.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt, WatchEndpoints
+from linetrack.policy.actions import (
+    Action,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from linetrack.policy.events import (
+    NEVER_EXECUTED,
     AttemptEnded,
     ClientDisconnected,
     EndpointEntry,
@@ -22,7 +33,6 @@
     EndpointStatus,
     Event,
     ListForm,
-    NEVER_EXECUTED,
     RequestReceived,
     TimerFired,
 )
@@ -30,67 +40,100 @@
 from linetrack.server.config import read_config
 from linetrack.server.lifecycle import serve
 
-NAMES = ("random", "round_robin", "least_requests")
+WATCH_RETRY_US = 1_000_000
+
+
+class Baseline(Enum):
+    """How an endpoint is selected, by the names of experiment files."""
+
+    RANDOM = "random"
+    ROUND_ROBIN = "round_robin"
+    LEAST_REQUESTS = "least_requests"
+
 
+@dataclass
+class _Request:
+    """A request without a final response."""
 
-class Plain:
-    def __init__(self, choice: str, settings: Settings, seed: int) -> None:
-        self.choice, self.settings = choice, settings
-        self.chance = random.Random(seed)
-        self.entries: dict[str, EndpointEntry] = {}
-        self.out: dict[str, int] = {}
-        self.asked: dict[int, tuple[RequestReceived, set[str]]] = {}
-        self.turn = 0
-        self.watching = False
+    attempted: set[str] = field(default_factory=set)
+
+
+class BaselinePolicy:
+    """One of the baselines."""
+
+    def __init__(self, baseline: Baseline, settings: Settings, seed: int) -> None:
+        self.baseline = baseline
+        self.settings = settings
+        self._random = random.Random(seed)
+        self._entries: dict[str, EndpointEntry] = {}
+        self._in_flight: dict[str, int] = {}
+        self._requests: dict[int, _Request] = {}
+        self._turn = 0
+        self._is_watching = False
 
     def handle(self, now: int, event: Event) -> list[Action]:
+        """The actions that follow from an event."""
         match event:
-            case EndpointListUpdate(form, entries):
-                if form is ListForm.SNAPSHOT:
-                    self.entries = {}
-                if form is not ListForm.REJECTED:
-                    self.entries.update((entry.endpoint, entry) for entry in entries)
-                actions: list[Action] = [] if self.watching else [WatchEndpoints(True)]
-                self.watching = True
-                if form is ListForm.REJECTED:
-                    actions.append(SetTimer(1_000_000, "watch"))
-                return actions
+            case EndpointListUpdate():
+                return self._update_endpoints(event)
             case TimerFired():
                 return [WatchEndpoints(True)]
             case RequestReceived():
-                self.asked[event.request_id] = (event, set())
-                return self._send(event.request_id)
-            case AttemptEnded(request_id=request, endpoint=upstream):
-                self.out[upstream] = self.out.get(upstream, 1) - 1
-                if event.request_completed or request not in self.asked:
-                    self.asked.pop(request, None)
-                    return []
-                if event.outcome in NEVER_EXECUTED and len(self.asked[request][1]) < self.settings.max_attempts:
-                    return self._send(request)
-                del self.asked[request]
-                return [RejectRequest(request) if event.outcome in NEVER_EXECUTED else FailRequest(request)]
-            case ClientDisconnected(request):
-                self.asked.pop(request, None)
+                self._requests[event.request_id] = _Request()
+                return self._start_attempt(event.request_id)
+            case AttemptEnded():
+                return self._end_attempt(event)
+            case ClientDisconnected():
+                self._requests.pop(event.request_id, None)
         return []
 
-    def _send(self, request: int) -> list[Action]:
-        tried = self.asked[request][1]
-        ready = [n for n, entry in self.entries.items() if entry.status is EndpointStatus.UP and n not in tried]
-        if not ready:
-            del self.asked[request]
-            return [RejectRequest(request)]
-        if self.choice == "random":
-            chosen = self.chance.choice(ready)
-        elif self.choice == "round_robin":
-            self.turn += 1
-            chosen = ready[self.turn % len(ready)]
-        else:
-            self.chance.shuffle(ready)
-            chosen = min(ready, key=lambda name: self.out.get(name, 0))
-        tried.add(chosen)
-        self.out[chosen] = self.out.get(chosen, 0) + 1
-        return [StartAttempt(request, chosen)]
+    def _update_endpoints(self, update: EndpointListUpdate) -> list[Action]:
+        if update.form is ListForm.SNAPSHOT:
+            self._entries = {}
+        if update.form is not ListForm.REJECTED:
+            self._entries.update((entry.endpoint, entry) for entry in update.entries)
+        actions: list[Action] = [] if self._is_watching else [WatchEndpoints(True)]
+        self._is_watching = True
+        if update.form is ListForm.REJECTED:
+            actions.append(SetTimer(WATCH_RETRY_US, "watch"))
+        return actions
+
+    def _end_attempt(self, event: AttemptEnded) -> list[Action]:
+        self._in_flight[event.endpoint] = self._in_flight.get(event.endpoint, 1) - 1
+        request = self._requests.get(event.request_id)
+        if event.request_completed or request is None:
+            self._requests.pop(event.request_id, None)
+            return []
+        was_executed = event.outcome not in NEVER_EXECUTED
+        if not was_executed and len(request.attempted) < self.settings.max_attempts:
+            return self._start_attempt(event.request_id)
+        del self._requests[event.request_id]
+        return [FailRequest(event.request_id) if was_executed else RejectRequest(event.request_id)]
+
+    def _start_attempt(self, request_id: int) -> list[Action]:
+        attempted = self._requests[request_id].attempted
+        candidates = [
+            endpoint
+            for endpoint, entry in self._entries.items()
+            if entry.status is EndpointStatus.UP and endpoint not in attempted
+        ]
+        if not candidates:
+            del self._requests[request_id]
+            return [RejectRequest(request_id)]
+        selected = self._select(candidates)
+        attempted.add(selected)
+        self._in_flight[selected] = self._in_flight.get(selected, 0) + 1
+        return [StartAttempt(request_id, selected)]
+
+    def _select(self, candidates: list[str]) -> str:
+        if self.baseline is Baseline.RANDOM:
+            return self._random.choice(candidates)
+        if self.baseline is Baseline.ROUND_ROBIN:
+            self._turn += 1
+            return candidates[self._turn % len(candidates)]
+        self._random.shuffle(candidates)
+        return min(candidates, key=lambda endpoint: self._in_flight.get(endpoint, 0))
 
 
 if __name__ == "__main__":
-    sys.exit(serve(partial(read_config, os.environ), partial(Plain, sys.argv[1])))
+    sys.exit(serve(partial(read_config, os.environ), partial(BaselinePolicy, Baseline(sys.argv[1]))))
--- /dev/null
+++ b/linetrack/experiments/measurements.py
@@ -0,0 +1,324 @@
+"""The figures of one run, worked out from its ledgers.
+
+Knows how each figure of `schema.FIGURES` is worked out, and judges none.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from dataclasses import dataclass
+from pathlib import Path
+
+import numpy as np
+
+from linetrack.emulator.ledger_events import (
+    AttemptReceived,
+    DiscoveryCalled,
+    Event,
+    RequestEnded,
+    RequestSent,
+)
+from linetrack.emulator.schema import RequestClass
+from linetrack.experiments import latency
+from linetrack.experiments.audit import (
+    EMULATOR_LEDGERS,
+    LOAD_LEDGERS,
+    REJECTION_STATUSES,
+    Findings,
+    Rule,
+    RunFacts,
+    read_events,
+    read_facts,
+)
+from linetrack.experiments.queue_comparison import latency_differences
+from linetrack.experiments.results import Series, WeightBySecond
+from linetrack.experiments.schema import Experiment, Goal
+
+SECOND_US = 1_000_000
+RECOVERED_FRACTION = 0.9  # of what was served in time before the first fault
+PLOTTED_PERCENTILES = [0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 100]
+
+
+@dataclass
+class ClientOutcome:
+    """What became of one client's request, over all its retries."""
+
+    due_at: int
+    sent_at: int  # when the request that was served was written, or else the first one was sent
+    class_name: str
+    served_at: int | None = None  # when its response was complete
+
+    @property
+    def latency(self) -> int:
+        """Microseconds from when it was due; 0 less that moment where it was not served."""
+        return (self.served_at or 0) - self.due_at
+
+    @property
+    def latency_from_send(self) -> int:
+        """Microseconds from when it was sent."""
+        return (self.served_at or 0) - self.sent_at
+
+
+@dataclass
+class Counts:
+    """What a run has counted besides its ledgers."""
+
+    late: int = 0
+    not_sent: int = 0
+    dialled: int = 0
+    cpu_us: int = 0
+    memory_mb: float = 0.0
+
+
+@dataclass
+class _Run:
+    """The events of a run, and those that count: from the end of the warm-up on."""
+
+    experiment: Experiment
+    facts: RunFacts
+    load: list[Event]
+    emulator: list[Event]
+
+    def __post_init__(self) -> None:
+        self.counted_from = self.facts.start + round(self.experiment.warm_s * 1e6)
+        self.classes = {request_class.name: request_class for request_class in self.experiment.classes}
+        self.sent = [event for event in self.load if isinstance(event, RequestSent)]
+        self.all_outcomes = client_outcomes(self.load)
+        self.outcomes = [one for one in self.all_outcomes if one.due_at >= self.counted_from]
+        self.served = [one for one in self.outcomes if one.served_at is not None]
+        self.in_time = [one for one in self.served if self._is_in_time(one)]
+        self.ends = [
+            event
+            for event in self.load
+            if isinstance(event, RequestEnded) and event.at >= self.counted_from
+        ]
+        self.attempts = [
+            event
+            for event in self.emulator
+            if isinstance(event, AttemptReceived) and event.at >= self.counted_from
+        ]
+
+    def _is_in_time(self, outcome: ClientOutcome) -> bool:
+        return outcome.latency <= self.classes[outcome.class_name].latency_objective_ms * 1000
+
+
+def client_outcomes(load: list[Event]) -> list[ClientOutcome]:
+    """What became of each client's request, in the order in which they were first sent."""
+    outcomes: dict[int, ClientOutcome] = {}
+    request_by_trace: dict[str, int] = {}
+    for event in load:
+        if isinstance(event, RequestSent):
+            outcomes.setdefault(
+                event.client_request, ClientOutcome(event.due_at, event.at, event.class_name)
+            )
+            request_by_trace[event.trace] = event.client_request
+        elif isinstance(event, RequestEnded) and event.status == 200 and event.trace in request_by_trace:
+            outcome = outcomes[request_by_trace[event.trace]]
+            if outcome.served_at is None:
+                outcome.served_at = event.at
+                outcome.sent_at = event.written_at
+    return list(outcomes.values())
+
+
+def measure_run(
+    experiment: Experiment, folder: Path, findings: Findings, counts: Counts
+) -> tuple[dict[str, float], Series]:
+    """The figures of the run in a folder, and what the plots show."""
+    run = _Run(
+        experiment=experiment,
+        facts=read_facts(folder),
+        load=read_events(folder, LOAD_LEDGERS),
+        emulator=read_events(folder, EMULATOR_LEDGERS),
+    )
+    weight = weight_by_second(
+        run.all_outcomes, run.classes, run.facts.start, round(experiment.length_s * 1e6)
+    )
+    attempts_by_upstream = _attempts_by_upstream(run)
+    figures = {
+        **_request_figures(run),
+        **_cost_figures(run, counts),
+        "crashed": run.facts.crashes,
+        **{rule.value: findings.breaches[rule] for rule in Rule},
+        **_discovery_figures(run),
+    }
+    if run.facts.sidecar_zones:
+        figures["crossings"] = _cross_zone_share(run)
+    figures["goal"] = _goal_figure(run, weight, figures)
+    if experiment.faults:
+        figures["recovers_s"] = _recovery_figure(experiment, weight)
+    if experiment.direct:
+        figures |= latency_differences(experiment, run.facts.start, run.sent, figures)
+    figures["uneven"] = _unevenness(experiment, attempts_by_upstream)
+    return figures, Series(weight, attempts_by_upstream, _latency_curves(run))
+
+
+# --- Groups of figures -------------------------------------------------------------------------------------
+
+
+def _request_figures(run: _Run) -> dict[str, float]:
+    offered_weight = sum(run.classes[one.class_name].priority_weight for one in run.outcomes)
+    served_weight = sum(run.classes[one.class_name].priority_weight for one in run.in_time)
+    count = max(1, len(run.outcomes))
+    ends = max(1, len(run.ends))
+    rejected = sum(end.status in REJECTION_STATUSES for end in run.ends)
+    failed = sum(end.status not in (200, *REJECTION_STATUSES) for end in run.ends)
+    return {
+        "requests": len(run.outcomes),
+        "in_time": len(run.in_time) / count,
+        "served": len(run.served) / count,
+        "worth": served_weight / max(offered_weight, 1e-9),
+        "refused": rejected / ends,
+        "failed": failed / ends,
+        **latency.summarize("", [one.latency for one in run.served]),
+        **latency.summarize("sent_", [one.latency_from_send for one in run.served]),
+        "attempts": len(run.attempts) / ends,
+    }
+
+
+def _cost_figures(run: _Run, counts: Counts) -> dict[str, float]:
+    sent = max(1, len({event.trace for event in run.sent}))
+    return {
+        "dialled": counts.dialled / sent,
+        "cpu_us": counts.cpu_us / sent,
+        "memory_mb": counts.memory_mb,
+        "late": (counts.late + counts.not_sent) / max(1, len(run.all_outcomes) + counts.not_sent),
+    }
+
+
+def _discovery_figures(run: _Run) -> dict[str, float]:
+    calls = sum(isinstance(event, DiscoveryCalled) for event in run.emulator)
+    return {"discovery_calls": calls / run.experiment.length_s}
+
+
+def _cross_zone_share(run: _Run) -> float:
+    """The share of attempts that went to another zone than their sidecar's."""
+    sidecars = {event.trace: event.sidecar for event in run.sent}
+    zones = {f"u{index}": zone for index, zone in run.facts.upstream_zones.items()}
+    crossing = [
+        attempt
+        for attempt in run.attempts
+        if run.facts.sidecar_zones[sidecars.get(attempt.trace, 0)] != zones.get(_stem(attempt.upstream))
+    ]
+    return len(crossing) / max(1, len(run.attempts))
+
+
+def _goal_figure(run: _Run, weight: WeightBySecond, figures: dict[str, float]) -> float:
+    goal = run.experiment.goal
+    shares = [
+        sum(one.class_name == name for one in run.in_time) / count
+        for name in run.classes
+        if (count := sum(one.class_name == name for one in run.outcomes))
+    ]
+    retries = max(0.0, figures["attempts"] - 1)
+    return (
+        goal_value(goal, weight, run.counted_from - run.facts.start, min(shares, default=0.0))
+        - goal.cross_zone_cost * figures.get("crossings", 0.0)
+        - goal.wasted_work_cost * retries
+    )
+
+
+def _recovery_figure(experiment: Experiment, weight: WeightBySecond) -> float:
+    first = min(fault.at_s for fault in experiment.faults)
+    last = max(fault.at_s + fault.duration_s for fault in experiment.faults)
+    return recovery_seconds(weight, first, last)
+
+
+# --- Single figures ----------------------------------------------------------------------------------------
+
+
+def weight_by_second(
+    outcomes: list[ClientOutcome], classes: dict[str, RequestClass], start: int, length: int
+) -> WeightBySecond:
+    """Priority weight offered and served in time, by the second in which each request was due."""
+    seconds = max(1, -(-length // SECOND_US))
+    offered = [0.0] * seconds
+    served = [0.0] * seconds
+    for outcome in outcomes:
+        second = (outcome.due_at - start) // SECOND_US
+        if 0 <= second < seconds:
+            request_class = classes[outcome.class_name]
+            offered[second] += request_class.priority_weight
+            objective = request_class.latency_objective_ms * 1000
+            if outcome.served_at is not None and outcome.latency <= objective:
+                served[second] += request_class.priority_weight
+    return WeightBySecond(offered, served)
+
+
+def recovery_seconds(weight: WeightBySecond, first_fault: float, last_fault: float) -> float:
+    """Seconds after the last fault until service has recovered.
+
+    It has recovered once a second serves nine tenths of the share that those before the first fault did, and
+    the next one too; where none does, it is the rest of the run.
+    """
+    shares = [
+        served / offered if offered else 1.0
+        for served, offered in zip(weight.served, weight.offered, strict=True)
+    ]
+    before = shares[1 : max(2, int(first_fault))]
+    threshold = RECOVERED_FRACTION * float(np.mean(before)) if before else RECOVERED_FRACTION
+    for second in range(int(np.ceil(last_fault)), len(shares)):
+        if all(share >= threshold for share in shares[second : second + 2]):
+            return max(0.0, second - last_fault)
+    return max(0.0, len(shares) - last_fault)
+
+
+def goal_value(goal: Goal, weight: WeightBySecond, counted_from: int, worst_class: float) -> float:
+    """Weighted shares of priority weight served in time, before costs.
+
+    `counted_from` is in microseconds from the start, `worst_class` the share of the worst class.
+    """
+    first = -(-counted_from // SECOND_US)
+    offered = np.array(weight.offered[first:])
+    served = np.array(weight.served[first:])
+    width = min(goal.window_s, len(offered))
+
+    def share(begin: int, end: int) -> float:
+        total = offered[begin:end].sum()
+        return float(served[begin:end].sum() / total) if total else 1.0
+
+    windows = [share(begin, begin + width) for begin in range(len(offered) - width + 1)]
+    total = goal.weight_of_total * share(0, len(offered))
+    return total + goal.weight_of_worst_window * min(windows) + goal.weight_of_worst_class * worst_class
+
+
+def _attempts_by_upstream(run: _Run) -> dict[str, list[int]]:
+    """Attempts at each address by second."""
+    seconds = max(1, int(np.ceil(run.experiment.length_s)))
+    counts: dict[str, list[int]] = defaultdict(lambda: [0] * seconds)
+    for attempt in run.attempts:
+        second = (attempt.at - run.facts.start) // SECOND_US
+        if 0 <= second < seconds:
+            counts[_stem(attempt.upstream)][second] += 1
+    return dict(sorted(counts.items()))
+
+
+def _stem(upstream: str) -> str:
+    """The id without the version that each deploy gives."""
+    return upstream.partition("v")[0]
+
+
+def _unevenness(experiment: Experiment, attempts: dict[str, list[int]]) -> float:
+    """The most attempts at one address over the mean, both by capacity."""
+    fleet = experiment.fleet
+    capacities = {
+        host_class.name: host_class.cores * host_class.speed for host_class in fleet.host_classes
+    }
+    capacity_by_index = [capacities[group.host_class] for group in fleet.groups for _ in range(group.count)]
+    loads = [
+        sum(attempts.get(f"u{index}", [0])) / capacity for index, capacity in enumerate(capacity_by_index)
+    ]
+    return max(loads) / max(float(np.mean(loads)), 1e-9)
+
+
+def _latency_curves(run: _Run) -> dict[str, list[tuple[float, float]]]:
+    """For each class, latency in milliseconds at a row of percentiles."""
+    curves: dict[str, list[tuple[float, float]]] = {}
+    for name in run.classes:
+        latencies = [one.latency for one in run.served if one.class_name == name]
+        if latencies:
+            histogram = latency.histogram(latencies)
+            curves[name] = [
+                (percentile, histogram.get_value_at_percentile(percentile) / 1000)
+                for percentile in PLOTTED_PERCENTILES
+            ]
+    return curves
--- /dev/null
+++ b/linetrack/experiments/results.py
@@ -0,0 +1,108 @@
+"""The results of an experiment, as `results.json` holds them."""
+
+from __future__ import annotations
+
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from linetrack.config.check import FileError
+from linetrack.experiments.latency import Interval
+
+RESULTS_FILE = "results.json"
+MAIN_ARM = "main"
+
+
+class Verdict(Enum):
+    """Whether the experiment's bounds hold."""
+
+    HELD = "held"
+    NOT_HELD = "not_held"
+    INVALID = "invalid"  # the machine was too slow, or a run was not completed
+
+
+class WeightBySecond(msgspec.Struct, frozen=True):
+    """Priority weight by the second in which its requests were due."""
+
+    offered: list[float]
+    served: list[float]  # within the latency objective
+
+
+class Series(msgspec.Struct, frozen=True, rename={"weight": "kept"}):
+    """What the plots of a run show."""
+
+    weight: WeightBySecond
+    upstreams: dict[str, list[int]]  # attempts at each upstream by second
+    latency: dict[str, list[tuple[float, float]]]  # percentiles and milliseconds, by class
+
+
+class RunResult(
+    msgspec.Struct, frozen=True, rename={"figures": "values", "is_valid": "valid", "is_partial": "partial"}
+):
+    """One seed of one arm."""
+
+    figures: dict[str, float]
+    series: Series
+    seed: int
+    audit: dict[str, Any]  # as `audit.summary` gives it
+    is_valid: bool
+    is_partial: bool
+
+
+class ArmResult(msgspec.Struct, omit_defaults=True):
+    """All seeds of one arm; figures and differences are there once the experiment is complete."""
+
+    policy: str
+    build: str
+    runs: list[RunResult]
+    figures: dict[str, Interval] | None = None
+    differences: dict[str, Interval] | None = None  # of the main arm less this one
+
+
+class BoundResult(msgspec.Struct, frozen=True):
+    """One bound, and what was found."""
+
+    figure: str
+    bound: str
+    found: Interval | None
+    held: bool
+
+
+class Results(msgspec.Struct, omit_defaults=True, rename={"is_partial": "partial"}):
+    """An experiment; bounds and verdict are there once it is complete."""
+
+    name: str
+    question: str
+    is_partial: bool
+    faults: list[dict[str, Any]]  # as in the experiment's file
+    warm_s: float
+    arms: dict[str, ArmResult]
+    bounds: list[BoundResult] | None = None
+    verdict: Verdict | None = None
+
+
+def write_results(results: Results, folder: Path) -> None:
+    """Write `results.json` into a folder, at once as far as readers see."""
+    path = folder / RESULTS_FILE
+    part = folder / f"{RESULTS_FILE}.part"
+    part.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
+    part.rename(path)
+
+
+def read_results(folder: Path) -> Results:
+    """The results in a folder.
+
+    Raises:
+        FileError: there are none, or they are invalid.
+    """
+    path = folder / RESULTS_FILE
+    try:
+        return msgspec.json.decode(path.read_bytes(), type=Results)
+    except OSError as error:
+        raise FileError(path, str(error.strerror)) from None
+    except msgspec.ValidationError as error:
+        raise FileError(path, str(error)) from None
+    except msgspec.DecodeError as error:
+        raise FileError(path, f"not JSON: {error}") from None
--- a/linetrack/experiments/schema.py
+++ b/linetrack/experiments/schema.py
@@ -1,22 +1,32 @@
 """An experiment file (YAML, version 1): topology, load, faults, and the bounds that it must hold.
 
-Owns its keys and checks, the names of all figures among them.  Must never run one.
+The only module that knows its keys and checks, and the names of all figures.
 """
 
 from __future__ import annotations
 
+import operator
 import re
 from dataclasses import dataclass
+from enum import Enum
 from pathlib import Path
 from typing import Annotated, Any, Literal
 
 import yaml
 from msgspec import Meta, field
 
-from linetrack.config.check import FileError, Part, read_text, typed
-from linetrack.config.operators import Limits, Name, NotNegative, Positive, Retries, Share, Storms
-from linetrack.emulator.plan import PlanError, steps
-from linetrack.emulator.schema import Class, Fault, Fleet
+from linetrack.config.check import FileError, Table, convert, read_text
+from linetrack.config.operators import (
+    Fraction,
+    Limits,
+    Name,
+    NotNegative,
+    OverloadControl,
+    Positive,
+    Retries,
+)
+from linetrack.emulator.schema import Fault, Fleet, RequestClass
+from linetrack.emulator.timeline import FaultError, timeline
 from linetrack.load.schema import Load
 
 #: Every figure that a run gives, and what it means.
@@ -57,134 +67,186 @@
 }
 
 _BOUND = re.compile(r"^\s*(<=|>=|==|<|>)\s*(-?[0-9.]+(?:e-?[0-9]+)?)\s*(%?)\s*$")
+_COMPARISONS = {
+    "<=": operator.le,
+    ">=": operator.ge,
+    "==": operator.eq,
+    "<": operator.lt,
+    ">": operator.gt,
+}
 
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """`>= 0.95`, `== 0`, `<= 5 %`."""
+    """A bound on a figure, such as `>= 0.95`, `== 0` or `<= 5 %`."""
 
-    sign: str
+    comparison: str
     value: float
 
     @staticmethod
-    def of(text: str) -> Bound:
+    def parse(text: str) -> Bound:
+        """The bound that a text means.
+
+        Raises:
+            ValueError: it means none.
+        """
         match = _BOUND.match(text)
         if match is None:
             raise ValueError(f"expected a bound such as '>= 0.95', not {text!r}")
         return Bound(match[1], float(match[2]) / (100 if match[3] else 1))
 
     def holds(self, value: float) -> bool:
-        return {
-            "<=": value <= self.value,
-            ">=": value >= self.value,
-            "==": value == self.value,
-            "<": value < self.value,
-            ">": value > self.value,
-        }[self.sign]
+        """Whether a value is within the bound."""
+        return bool(_COMPARISONS[self.comparison](value, self.value))
 
     def __str__(self) -> str:
-        return f"{self.sign} {self.value:g}"
+        return f"{self.comparison} {self.value:g}"
+
+
+class PolicyName(Enum):
+    """The policies that sidecars can run, by the file's words."""
+
+    LINETRACK = "linetrack"
+    RANDOM = "random"
+    ROUND_ROBIN = "round_robin"
+    LEAST_REQUESTS = "least_requests"
+
+
+class Omission(Enum):
+    """What an arm is run without, by the file's words."""
 
+    FAULTS = "faults"
+    RETRIES = "retries"
+    OVERLOAD_CONTROL = "storms"
 
-class Sidecars(Part, frozen=True, kw_only=True):
-    zones: Annotated[tuple[Name, ...], Meta(min_length=1)] = ("north", "south")  # one for each sidecar
+
+class Sidecars(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={"overload_control": "storms", "cross_zone_cost": "price_cross_zone"},
+):
+    """The sidecars, one for each entry of `zones`."""
+
+    zones: Annotated[tuple[Name, ...], Meta(min_length=1)] = ("north", "south")
     limits: Limits = Limits(sockets=512, memory_mb=128)
     retries: Retries = Retries()
-    storms: Storms = Storms()
-    policy: Literal["linetrack", "random", "round_robin", "least_requests"] = "linetrack"
+    overload_control: OverloadControl = OverloadControl()
+    policy: PolicyName = PolicyName.LINETRACK
     build: str = ""  # the folder of an earlier build, instead of this one
     drain_grace_ms: Positive = 1000.0
-    price_cross_zone: NotNegative = 0.1
+    cross_zone_cost: NotNegative = 0.1
 
 
-class Against(Part, frozen=True, kw_only=True):
+class Comparison(Table, frozen=True, kw_only=True):
     """What the same experiment is run with once more, and bounds on the differences (this less that one)."""
 
     name: Name
-    policy: Literal["linetrack", "random", "round_robin", "least_requests"] = "linetrack"
+    policy: PolicyName = PolicyName.LINETRACK
     build: str = ""
-    without: tuple[Literal["faults", "retries", "storms"], ...] = ()
+    without: tuple[Omission, ...] = ()
     expect: dict[str, str] = field(default_factory=dict)
 
 
-class Goal(Part, frozen=True, kw_only=True):
-    """One figure for a whole day: weighed shares of worth served in time, less prices."""
-
-    whole: Share = 0.7
-    worst_window: Share = 0.2
-    worst_class: Share = 0.1
+class Goal(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "weight_of_total": "whole",
+        "weight_of_worst_window": "worst_window",
+        "weight_of_worst_class": "worst_class",
+        "cross_zone_cost": "cross_zone",
+        "wasted_work_cost": "waste",
+    },
+):
+    """One figure for a whole day: weighted shares of priority weight served in time, less costs."""
+
+    weight_of_total: Fraction = 0.7
+    weight_of_worst_window: Fraction = 0.2
+    weight_of_worst_class: Fraction = 0.1
     window_s: Annotated[int, Meta(ge=1)] = 10
-    cross_zone: NotNegative = 0.0  # for each request of which an attempt went to another zone
-    waste: NotNegative = 0.0  # for each attempt beyond a try's first
+    cross_zone_cost: NotNegative = 0.0  # for each request of which an attempt went to another zone
+    wasted_work_cost: NotNegative = 0.0  # for each attempt beyond a request's first
 
 
-class Experiment(Part, frozen=True, kw_only=True):
+class Experiment(Table, frozen=True, kw_only=True, rename={"comparisons": "against"}):
     """One question, and how its answer is judged."""
 
     version: Literal[1]
     name: Name
     question: Annotated[str, Meta(min_length=1)]
     length_s: Annotated[float, Meta(gt=0, le=7200)] = 10.0
-    warm_s: NotNegative = 1.0  # at the beginning, of which figures take no notice
+    warm_s: NotNegative = 1.0  # at the beginning, which figures leave out
     seeds: Annotated[tuple[int, ...], Meta(min_length=1)] = (1,)
     sidecars: Sidecars = Sidecars()
     direct: bool = False  # load goes to the upstreams themselves, with no sidecar between
     fleet: Fleet = Fleet()
-    classes: Annotated[tuple[Class, ...], Meta(min_length=1)] = (Class(name="lookup"),)
+    classes: Annotated[tuple[RequestClass, ...], Meta(min_length=1)] = (RequestClass(name="lookup"),)
     load: Load
     faults: tuple[Fault, ...] = ()
     goal: Goal = Goal()
     expect: Annotated[dict[str, str], Meta(min_length=1)]
-    against: tuple[Against, ...] = ()
+    comparisons: tuple[Comparison, ...] = ()
 
     def __post_init__(self) -> None:
-        for bounds in (self.expect, *(other.expect for other in self.against)):
+        """Check the tables against one another."""
+        for bounds in (self.expect, *(comparison.expect for comparison in self.comparisons)):
             for figure, text in bounds.items():
                 if figure not in FIGURES:
                     raise ValueError(f"expected one of the figures for {figure!r}: {', '.join(FIGURES)}")
-                Bound.of(text)
+                Bound.parse(text)
         if self.warm_s >= self.length_s:
             raise ValueError("expected warm_s to be less than length_s")
         for zone in self.sidecars.zones:
             if zone not in self.fleet.zones:
-                raise ValueError(
-                    f"expected zone {zone!r} of sidecars to be one of {', '.join(self.fleet.zones)}"
-                )
-        for n, fault in enumerate(self.faults):
+                expected = ", ".join(self.fleet.zones)
+                raise ValueError(f"expected zone {zone!r} of sidecars to be one of {expected}")
+        for index, fault in enumerate(self.faults):
             if fault.at_s > self.length_s:
-                raise ValueError(f"expected faults[{n}].at_s to lie within length_s")
+                raise ValueError(f"expected faults[{index}].at_s to lie within length_s")
 
 
-def read(path: Path, sets: tuple[str, ...] = ()) -> Experiment:
-    """The file, with `path=value` settings applied to it; a `FileError` says what is wrong."""
+def read_experiment(path: Path, overrides: tuple[str, ...] = ()) -> Experiment:
+    """The file, with overrides of the form `path=value` applied to it.
+
+    Raises:
+        FileError: it cannot be read, or a value is missing or invalid.
+    """
+    values = _load_yaml(path)
+    for override in overrides:
+        _apply(override, values)
+    experiment = convert(values, Experiment, path)
     try:
-        values = yaml.safe_load(read_text(path))
-    except yaml.YAMLError as fault:
-        mark = getattr(fault, "problem_mark", None)
-        where = f":{mark.line + 1}:{mark.column + 1}" if mark else ""
-        raise FileError(f"{path}{where}: {getattr(fault, 'problem', fault)}") from None
-    for text in sets:
-        _apply(values, text)
-    found = typed(values, Experiment, str(path))
+        timeline(experiment.fleet, experiment.faults, experiment.seeds[0])
+    except FaultError as error:
+        raise FileError(path, error.reason, key=error.key) from None
+    return experiment
+
+
+def _load_yaml(path: Path) -> Any:
     try:
-        steps(found.fleet, found.faults, found.seeds[0])
-    except PlanError as fault:
-        raise FileError(f"{path}: {fault}") from None
-    return found
+        return yaml.safe_load(read_text(path))
+    except yaml.YAMLError as error:
+        mark = getattr(error, "problem_mark", None)
+        position = f":{mark.line + 1}:{mark.column + 1}" if mark else ""
+        raise FileError(f"{path}{position}", str(getattr(error, "problem", error))) from None
 
 
-def _apply(values: Any, text: str) -> None:
-    path, sign, value = text.partition("=")
+def _apply(override: str, values: Any) -> None:
+    """Set one value of the file."""
+    path, sign, value = override.partition("=")
+    source = f"--set {override}"
     if not sign:
-        raise FileError(f"--set {text}: expected path=value")
-    *above, last = path.split(".")
+        raise FileError(source, "expected path=value")
+    *parents, last = path.split(".")
     node = values
     try:
-        for step in above:
-            node = node[int(step)] if isinstance(node, list) else node.setdefault(step, {})
+        for name in parents:
+            node = node[int(name)] if isinstance(node, list) else node.setdefault(name, {})
         if isinstance(node, list):
             node[int(last)] = yaml.safe_load(value)
         else:
             node[last] = yaml.safe_load(value)
     except (IndexError, ValueError, TypeError, AttributeError, yaml.YAMLError):
-        raise FileError(f"--set {text}: there is no such place") from None
+        raise FileError(source, "there is no such place") from None
--- a/linetrack/load/__init__.py
+++ b/linetrack/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load generator: an open loop whose arrivals are fixed before the first is sent."""
+"""The load generator: an open loop whose arrivals are fixed before the first request is sent."""
--- a/linetrack/load/schedule.py
+++ b/linetrack/load/schedule.py
@@ -1,162 +1,111 @@
 """When each request is to be sent and what it asks for, fixed before the first is sent.
 
-Owns shapes, popularity of keys and traces, all from one seed: the same seed gives the same schedule in
-every worker. Must never know how fast anything is answered.
+The same seed gives the same schedule in every worker, however fast anything responds.
 """
 
 from __future__ import annotations
 
-import csv
-import json
-from collections.abc import Iterator
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 import numpy as np
 from numpy.typing import NDArray
 
-from linetrack.config.check import FileError, read_text
-from linetrack.load.schema import Load, Shape
+from linetrack.load.schema import ArrivalProcess, Load, LoadShape, ShapeKind
 
-GRID = 1000  # microseconds of one step in which a rate is taken to be the same
+RATE_STEP_US = 1000  # within which a rate is constant
+
+
+class ClassShare(NamedTuple):
+    """The share of a class of all requests, relative to the other classes'."""
+
+    name: str
+    share: float
 
 
 @dataclass(frozen=True)
 class Schedule:
-    """`at` in microseconds from the start, ascending; `klass` and `key` are numbers, `names` the keys'
-    names."""
+    """Requests in the order in which they are due.
 
-    at: NDArray[np.int64]
-    klass: NDArray[np.int64]
-    key: NDArray[np.int64]
-    names: tuple[str, ...] = ()
+    `due_at` is in microseconds from the start, ascending; a key without a name is called by its index.
+    """
+
+    due_at: NDArray[np.int64]
+    class_index: NDArray[np.int64]
+    key_index: NDArray[np.int64]
+    key_names: tuple[str, ...] = ()
 
     def __len__(self) -> int:
-        return len(self.at)
+        return len(self.due_at)
 
-    def key_name(self, n: int) -> str:
-        return self.names[n] if self.names else f"k{n}"
+    def key_name(self, index: int) -> str:
+        """The name of a key."""
+        return self.key_names[index] if self.key_names else f"k{index}"
 
 
-def rates(shapes: tuple[Shape, ...], length: int) -> NDArray[np.float64]:
-    """Arrivals a second in each step of the grid."""
-    time = (np.arange(length // GRID) + 0.5) * GRID / 1e6
+def arrival_rates(shapes: tuple[LoadShape, ...], length: int) -> NDArray[np.float64]:
+    """Arrivals a second in each step of `length` microseconds."""
+    time = (np.arange(length // RATE_STEP_US) + 0.5) * RATE_STEP_US / 1e6
     total = np.zeros(len(time))
     for shape in shapes:
-        end = shape.from_s + shape.for_s if shape.for_s else length / 1e6
-        inside = (time >= shape.from_s) & (time < end)
-        part = np.clip((time - shape.from_s) / max(end - shape.from_s, 1e-9), 0, 1)
-        rise = shape.to_rate - shape.rate
-        match shape.kind:
-            case "ramp":
-                rate = shape.rate + rise * part
-            case "evening":
-                rate = shape.rate + rise * np.sin(np.pi * part) ** 2
-            case "steps":
-                nth = np.minimum(np.floor(part * shape.steps), shape.steps - 1)
-                rate = shape.rate + rise * nth / max(shape.steps - 1, 1)
-            case _:
-                rate = np.full(len(time), shape.rate)
-        total += np.where(inside, rate, 0.0)
+        end = shape.start_s + shape.duration_s if shape.duration_s else length / 1e6
+        is_within = (time >= shape.start_s) & (time < end)
+        progress = np.clip((time - shape.start_s) / max(end - shape.start_s, 1e-9), 0, 1)
+        total += np.where(is_within, _shape_rates(shape, progress), 0.0)
     return total
 
 
-def arrivals(load: Load, length: int, chance: np.random.Generator) -> NDArray[np.int64]:
-    """Times of a Poisson process of that rate (or evenly spaced), by inversion of its integral."""
-    sums = np.concatenate([[0.0], np.cumsum(rates(load.shapes, length)) * GRID / 1e6])
-    total = sums[-1]
-    if load.arrivals == "even":
+def _shape_rates(shape: LoadShape, progress: NDArray[np.float64]) -> NDArray[np.float64]:
+    """The rates of a shape where so much of its duration has passed, from 0 to 1."""
+    rise = shape.end_rate - shape.rate
+    match shape.kind:
+        case ShapeKind.RAMP:
+            return shape.rate + rise * progress
+        case ShapeKind.EVENING:
+            return shape.rate + rise * np.sin(np.pi * progress) ** 2
+        case ShapeKind.STEPS:
+            step = np.minimum(np.floor(progress * shape.steps), shape.steps - 1)
+            return shape.rate + rise * step / max(shape.steps - 1, 1)
+        case _:
+            return np.full(len(progress), shape.rate)
+
+
+def arrival_times(load: Load, length: int, generator: np.random.Generator) -> NDArray[np.int64]:
+    """Times of a Poisson process of that rate (or evenly spaced ones), by inversion of its integral."""
+    rates = arrival_rates(load.shapes, length)
+    expected = np.concatenate([[0.0], np.cumsum(rates) * RATE_STEP_US / 1e6])
+    total = expected[-1]
+    if load.arrivals is ArrivalProcess.EVEN:
         points = np.arange(int(total)) + 0.5
     else:
-        points = np.sort(chance.uniform(0, total, chance.poisson(total)))
-    edges = np.arange(len(sums)) * float(GRID)
-    first = np.maximum(np.searchsorted(sums, points, side="right") - 1, 0)
-    first = np.minimum(first, len(sums) - 2)
-    width = sums[first + 1] - sums[first]
-    part = np.divide(points - sums[first], width, out=np.zeros_like(points), where=width > 0)
-    found: NDArray[np.int64] = np.sort((edges[first] + part * GRID).astype(np.int64))
-    return found
-
-
-def popular(count: int, zipf: float, size: int, chance: np.random.Generator) -> NDArray[np.int64]:
-    weights = np.arange(1, count + 1, dtype=float) ** -zipf
-    sums = np.cumsum(weights / weights.sum())
-    found: NDArray[np.int64] = np.minimum(np.searchsorted(sums, chance.uniform(size=size)), count - 1)
-    return found
-
-
-def made(
-    load: Load, length: int, classes: tuple[tuple[str, float], ...], seed: int, folder: Path
-) -> Schedule:
-    """The whole schedule for `length` microseconds; `classes` are names and shares.  A trace's file is
-    relative to `folder`; a faulty one raises `FileError` that names its line."""
-    chance = np.random.Generator(np.random.PCG64([seed, 1]))
-    if load.trace is not None:
-        return _of_trace(load, length, [name for name, _ in classes], folder, chance)
-    at = arrivals(load, length, chance)
-    shares = np.cumsum([share for _, share in classes])
-    klass = np.searchsorted(shares / shares[-1], chance.uniform(size=len(at)), side="right")
-    return Schedule(
-        at, np.minimum(klass, len(classes) - 1), popular(load.keys.count, load.keys.zipf, len(at), chance)
-    )
-
-
-def rows(path: Path) -> Iterator[tuple[int, dict[str, Any]]]:
-    """Rows of a trace with the number of their line."""
-    text = read_text(path)
-    if path.suffix == ".csv":
-        reader = csv.DictReader(text.splitlines())
-        for row in reader:
-            yield reader.line_num, row
-        return
-    for number, line in enumerate(text.splitlines(), 1):
-        if line.strip():
-            try:
-                row = json.loads(line)
-            except ValueError as fault:
-                raise FileError(f"{path}:{number}: not JSON: {fault}") from None
-            if not isinstance(row, dict):
-                raise FileError(f"{path}:{number}: {row!r}: expected an object")
-            yield number, row
-
-
-def _of_trace(
-    load: Load, length: int, classes: list[str], folder: Path, chance: np.random.Generator
+        points = np.sort(generator.uniform(0, total, generator.poisson(total)))
+    step_starts = np.arange(len(expected)) * float(RATE_STEP_US)
+    step = np.maximum(np.searchsorted(expected, points, side="right") - 1, 0)
+    step = np.minimum(step, len(expected) - 2)
+    width = expected[step + 1] - expected[step]
+    fraction = np.divide(points - expected[step], width, out=np.zeros_like(points), where=width > 0)
+    times: NDArray[np.int64] = np.sort((step_starts[step] + fraction * RATE_STEP_US).astype(np.int64))
+    return times
+
+
+def draw_keys(
+    count: int, zipf_exponent: float, size: int, generator: np.random.Generator
+) -> NDArray[np.int64]:
+    """Indices of so many keys, by their popularity."""
+    weights = np.arange(1, count + 1, dtype=float) ** -zipf_exponent
+    cumulative = np.cumsum(weights / weights.sum())
+    drawn = np.searchsorted(cumulative, generator.uniform(size=size))
+    keys: NDArray[np.int64] = np.minimum(drawn, count - 1)
+    return keys
+
+
+def schedule_from_shapes(
+    load: Load, length: int, classes: tuple[ClassShare, ...], generator: np.random.Generator
 ) -> Schedule:
-    trace = load.trace
-    assert trace is not None
-    path = folder / trace.file
-    at: list[float] = []
-    klass: list[int] = []
-    key: list[int] = []
-    names: dict[str, int] = {}
-    for number, row in rows(path):
-        try:
-            when = float(row["at_s"])
-            nth = classes.index(row["class"])
-            about = str(row["key"])
-        except KeyError as fault:
-            raise FileError(f"{path}:{number}: {fault.args[0]}: missing") from None
-        except (TypeError, ValueError):
-            expected = f"expected seconds and one of {', '.join(classes)}"
-            raise FileError(
-                f"{path}:{number}: at_s {row['at_s']!r}, class {row['class']!r}: {expected}"
-            ) from None
-        if not 0 <= when < 1e9:
-            raise FileError(f"{path}:{number}: at_s: {row['at_s']!r}: expected seconds from nought on")
-        at.append(when)
-        klass.append(nth)
-        key.append(names.setdefault(about, len(names)))
-    if not at:
-        raise FileError(f"{path}: no row")
-    times = (np.array(at) - min(at)) / trace.compress * 1e6
-    # so many copies of each on the mean, so that popularity stays as it was
-    copies = np.floor(trace.scale + chance.uniform(size=len(times))).astype(np.int64)
-    of = np.repeat(np.arange(len(times)), copies)
-    first = np.concatenate([[True], of[1:] != of[:-1]]) if len(of) else np.zeros(0, bool)
-    spread = np.where(first, 0.0, chance.uniform(0, max(trace.spread_ms, 1e-9) * 1000, len(of)))
-    due = (times[of] + spread).astype(np.int64)
-    order = np.argsort(due, kind="stable")
-    order = order[due[order] < length]
-    return Schedule(due[order], np.array(klass)[of][order], np.array(key)[of][order], tuple(names))
+    """The requests of the load's shapes within `length` microseconds."""
+    due_at = arrival_times(load, length, generator)
+    cumulative = np.cumsum([share for _, share in classes])
+    drawn = np.searchsorted(cumulative / cumulative[-1], generator.uniform(size=len(due_at)), side="right")
+    class_index = np.minimum(drawn, len(classes) - 1)
+    key_index = draw_keys(load.keys.count, load.keys.zipf_exponent, len(due_at), generator)
+    return Schedule(due_at, class_index, key_index)
--- a/linetrack/load/schema.py
+++ b/linetrack/load/schema.py
@@ -1,19 +1,50 @@
-"""What load is told: shapes of arrivals, keys, callers' manners, a recorded trace.
+"""The table of an experiment file that configures the load: arrivals, keys, retries, a recorded trace.
 
-Owns the keys, units and checks of the `load` table of an experiment file.  Must never draw anything.
+The only module that knows its keys, units and checks.
 """
 
 from __future__ import annotations
 
-from typing import Annotated, Literal
+from enum import Enum
+from typing import Annotated
 
 from msgspec import Meta
 
-from linetrack.config.check import Part
-from linetrack.config.operators import Count, NotNegative, Positive, Share
+from linetrack.config.check import Table
+from linetrack.config.operators import Count, Fraction, NotNegative, Positive
 
 
-class Shape(Part, frozen=True, kw_only=True):
+class ShapeKind(Enum):
+    """How an arrival rate changes over time, by the file's words."""
+
+    STEADY = "steady"
+    RAMP = "ramp"
+    BURST = "burst"
+    EVENING = "evening"
+    STEPS = "steps"
+
+
+class RetryTiming(Enum):
+    """When a client retries, by the file's words."""
+
+    AT_ONCE = "at_once"
+    WAIT = "wait"
+    RETRY_AFTER = "advice"
+
+
+class ArrivalProcess(Enum):
+    """How arrivals are spread at a given rate, by the file's words."""
+
+    POISSON = "poisson"
+    EVEN = "even"
+
+
+class LoadShape(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={"start_s": "from_s", "duration_s": "for_s", "end_rate": "to_rate"},
+):
     """Arrivals a second from `from_s` for `for_s` (to the end where 0); shapes add up.
 
     steady: `rate`.  ramp: from `rate` to `to_rate`.  burst: `rate` throughout (a name for reading).
@@ -21,55 +52,81 @@
     `to_rate` in `steps` equal steps.
     """
 
-    kind: Literal["steady", "ramp", "burst", "evening", "steps"] = "steady"
+    kind: ShapeKind = ShapeKind.STEADY
     rate: NotNegative = 100.0
-    to_rate: NotNegative = 0.0
-    from_s: NotNegative = 0.0
-    for_s: NotNegative = 0.0
+    end_rate: NotNegative = 0.0
+    start_s: NotNegative = 0.0
+    duration_s: NotNegative = 0.0
     steps: Count = 4
 
 
-class Keys(Part, frozen=True, kw_only=True):
-    count: Count = 1000
-    zipf: NotNegative = 0.8  # popularity of the nth key is n to the power of minus this
-
-
-class Retry(Part, frozen=True, kw_only=True):
-    """What callers do after a refusal or failure: `tries` more at the most, while their own deadline lasts.
+class Keys(Table, frozen=True, kw_only=True, rename={"zipf_exponent": "zipf"}):
+    """The keys that requests are about."""
 
-    at_once: again right away.  wait: after `wait_ms`, spread by half.  advice: when `Retry-After` says, and
-    by `wait_ms` where it says nothing; `obey` is the share of callers that do, the others come again at once.
+    count: Count = 1000
+    zipf_exponent: NotNegative = 0.8  # popularity of the nth key is n to the power of minus this
+
+
+class ClientRetries(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "max_retries": "tries",
+        "timing": "manner",
+        "honoring_share": "obey",
+        "total_timeout_ms": "patience_ms",
+    },
+):
+    """What clients do after a rejection or failure: `tries` retries at most, within their own deadline.
+
+    at_once: retry immediately.  wait: after `wait_ms`, spread by half.  advice: when `Retry-After` says, and
+    by `wait_ms` where there is none; `obey` is the share of clients that do, the others retry immediately.
     """
 
-    tries: Annotated[int, Meta(ge=0, le=200)] = 0
-    manner: Literal["at_once", "wait", "advice"] = "wait"
+    max_retries: Annotated[int, Meta(ge=0, le=200)] = 0
+    timing: RetryTiming = RetryTiming.WAIT
     wait_ms: NotNegative = 200.0
-    obey: Share = 1.0
-    after_failure: bool = True  # or after a refusal only
-    patience_ms: NotNegative = 5000.0  # of the caller, over all its tries
+    honoring_share: Fraction = 1.0
+    after_failure: bool = True  # or after a rejection only
+    total_timeout_ms: NotNegative = 5000.0  # of the client, over all its retries
 
 
-class Trace(Part, frozen=True, kw_only=True):
+class Trace(Table, frozen=True, kw_only=True, rename={"time_compression": "compress"}):
     """A recorded trace (CSV with a head line, or JSON lines): columns `at_s`, `class`, `key`."""
 
     file: str
-    compress: Positive = 1.0  # so many seconds of the trace pass in one
+    time_compression: Positive = 1.0  # so many seconds of the trace pass in one
     scale: Positive = 1.0  # so many requests for each one of the trace, drawn with the seed
     spread_ms: NotNegative = 50.0  # between a request and its further copies
 
 
-class Load(Part, frozen=True, kw_only=True):
-    shapes: tuple[Shape, ...] = ()
+class Load(
+    Table,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "retries": "retry",
+        "max_connections": "connections",
+        "single_use_share": "once",
+        "max_late_share": "late_share",
+    },
+):
+    """All load of an experiment."""
+
+    shapes: tuple[LoadShape, ...] = ()
     trace: Trace | None = None
-    arrivals: Literal["poisson", "even"] = "poisson"
+    arrivals: ArrivalProcess = ArrivalProcess.POISSON
     keys: Keys = Keys()
-    retry: Retry = Retry()
+    retries: ClientRetries = ClientRetries()
     workers: Annotated[int, Meta(ge=1, le=16)] = 1
-    connections: Count = 300  # to one sidecar, from each worker
-    once: Share = 0.0  # of the requests whose caller opens a connection, asks once and leaves it open
+    max_connections: Count = 300  # to one sidecar, from each worker
+    # of the requests whose client opens a connection, sends one request and leaves it open
+    single_use_share: Fraction = 0.0
     late_ms: Positive = 1.0  # a send that left later than this is late
-    late_share: Share = 0.05  # of late sends, past which a run says nothing
+    max_late_share: Fraction = 0.05  # of late sends, past which a run is invalid
 
     def __post_init__(self) -> None:
+        """Check that there is any load."""
         if not self.shapes and self.trace is None:
             raise ValueError("expected shapes or a trace")
--- /dev/null
+++ b/tests/config/test_operators_file.py
@@ -0,0 +1,83 @@
+"""The operators' file: what it gives, and errors that name file, key and what was expected."""
+
+import re
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from linetrack.cli.main import cli
+from linetrack.config.check import FileError
+from linetrack.config.operators import platform_form, read_operators_file
+from linetrack.policy.settings import Idempotency, Settings
+from linetrack.server.config import parse_config
+from tests.stand_ins import ROOT
+
+SAMPLE = ROOT / "deploy" / "sidecar.toml"
+
+
+def policy_settings(path: Path) -> Settings:
+    return parse_config(platform_form(read_operators_file(path)), {}).settings
+
+
+def test_the_sample_file_is_valid_and_gives_what_the_program_reads() -> None:
+    config = parse_config(platform_form(read_operators_file(SAMPLE)), {})
+    assert config.name == "n0" and config.class_names == ("lookup", "sale")
+    assert config.class_timeouts == (1_000_000, 2_000_000) and config.settings.max_attempts == 3
+    assert config.settings.classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY
+    assert config.settings.slow_start_initial_fraction == 0.2
+
+
+def test_the_limit_of_retries_is_off_until_the_file_sets_it(tmp_path: Path) -> None:
+    assert not policy_settings(SAMPLE).retry_window
+    path = tmp_path / "f.toml"
+    keys = "max_attempts = 3\nfurther_window_ms = 2000\nfurther_free = 2\nfurther_share = 0.1"
+    path.write_text(SAMPLE.read_text().replace("max_attempts = 3", keys, 1))
+    limited = policy_settings(path)
+    assert (limited.retry_window, limited.retry_window_allowance) == (2_000_000, 2.0)
+    assert limited.retry_window_ratio == 0.1
+    path.write_text(SAMPLE.read_text().replace("max_attempts = 3", "max_attempts = 3\nfurther_free = 2", 1))
+    result = CliRunner().invoke(cli, ["config", "check", str(path)])
+    assert result.exit_code == 2 and "extraWindowUs" in result.stderr
+
+
+INVALID = [
+    (
+        "max_attempts = 3",
+        "max_attemps = 3",
+        "retries.max_attemps",
+        r"retries.max_attemps: unknown key; nearest known key: max_attempts",
+    ),
+    (
+        "max_attempts = 3",
+        'max_attempts = "3"',
+        "retries.max_attempts",
+        r"retries.max_attempts: '3': expected `int`",
+    ),
+    (
+        "max_attempts = 3",
+        "max_attempts = 0",
+        "retries.max_attempts",
+        r"retries.max_attempts: 0: expected `int` >= 1",
+    ),
+    ('name = "n0"', "", "sidecar.name", r"sidecar.name: missing"),
+    ("version = 1", "version = 2", "version", r"version: 2: "),
+    ("aim_ms = 200", "aim_ms = 2000", "classes[0]", r"classes\[0\]: .*aim_ms of 'lookup'"),
+    ('zone = "north"', 'zone = "west"', "the whole file", r"sidecar.zone 'west'"),
+    ("version = 1", "version = ", "", r"line 3"),
+]
+
+
+@pytest.mark.parametrize(("old", "new", "key", "line"), INVALID)
+def test_an_invalid_file_gives_one_line_that_names_file_key_and_what_was_expected(
+    tmp_path: Path, old: str, new: str, key: str, line: str
+) -> None:
+    path = tmp_path / "f.toml"
+    path.write_text(SAMPLE.read_text().replace(old, new, 1))
+    with pytest.raises(FileError) as raised:
+        read_operators_file(path)
+    text = str(raised.value)
+    assert text.startswith(f"{path}: ") and "\n" not in text and re.search(line, text), text
+    assert (raised.value.source, raised.value.key) == (str(path), key)
+    result = CliRunner().invoke(cli, ["config", "check", str(path)])
+    assert result.exit_code == 2 and str(path) in result.stderr
--- a/tests/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -1,4 +1,4 @@
-"""Files that are checked, verdicts, and a whole experiment on loopback."""
+"""Experiment files, figures and verdicts, and experiments on loopback."""
 
 import json
 import os
@@ -15,6 +15,24 @@
 import yaml
 from click.testing import CliRunner
 
+from linetrack.cli.main import cli
+from linetrack.config.check import FileError
+from linetrack.experiments import latency, sidecar_process
+from linetrack.experiments.arms import arms_of
+from linetrack.experiments.baselines import Baseline, BaselinePolicy
+from linetrack.experiments.measurements import goal_value, recovery_seconds
+from linetrack.experiments.play import judge
+from linetrack.experiments.results import (
+    ArmResult,
+    Results,
+    RunResult,
+    Series,
+    Verdict,
+    WeightBySecond,
+)
+from linetrack.experiments.run import Run
+from linetrack.experiments.schema import FIGURES, Bound, Goal, read_experiment
+from linetrack.experiments.sidecar_process import RunError
 from linetrack.policy.actions import FailRequest, StartAttempt
 from linetrack.policy.events import (
     AttemptEnded,
@@ -25,84 +43,20 @@
     Outcome,
     RequestReceived,
 )
-from linetrack.policy.settings import Idempotency
-from linetrack.cli.main import cli
-from linetrack.config import operators
-from linetrack.config.check import FileError
-from linetrack.experiments import figures
-from linetrack.experiments import run as runs
-from linetrack.experiments.baselines import NAMES, Plain
-from linetrack.experiments.run import judge
-from linetrack.experiments.schema import FIGURES, Bound, Goal, read
-from linetrack.server.config import config_of
 from tests.helpers import Driver, fleet, settings
 from tests.stand_ins import ROOT, until
 
 FILES = sorted((ROOT / "experiments").glob("*.yaml"))
-SAMPLE = ROOT / "deploy" / "sidecar.toml"
-
-# --- The operators' file -----------------------------------------------------------------------------
-
-
-def test_the_sample_file_is_sound_and_says_what_the_program_reads() -> None:
-    file = operators.read(SAMPLE)
-    config = config_of(operators.platform(file), {})
-    assert config.name == "n0" and config.class_names == ("lookup", "sale")
-    assert config.deadlines == (1_000_000, 2_000_000) and config.settings.max_attempts == 3
-    assert config.settings.classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY and config.settings.slow_start_initial_fraction == 0.2
-
-
-def test_limits_on_further_attempts_are_off_until_the_file_says_them(tmp_path: Path) -> None:
-    assert not config_of(operators.platform(operators.read(SAMPLE)), {}).settings.further_window
-    path = tmp_path / "f.toml"
-    keys = "max_attempts = 3\nfurther_window_ms = 2000\nfurther_free = 2\nfurther_share = 0.1"
-    path.write_text(SAMPLE.read_text().replace("max_attempts = 3", keys, 1))
-    told = config_of(operators.platform(operators.read(path)), {}).settings
-    assert (told.retry_window, told.retry_window_allowance, told.retry_window_ratio) == (2_000_000, 2.0, 0.1)
-    path.write_text(SAMPLE.read_text().replace("max_attempts = 3", "max_attempts = 3\nfurther_free = 2", 1))
-    result = CliRunner().invoke(cli, ["config", "check", str(path)])
-    assert result.exit_code == 2 and "extraWindowUs" in result.stderr
-
-
-FAULTY = [
-    (
-        "max_attempts = 3",
-        "max_attemps = 3",
-        r"retries.max_attemps: unknown key; nearest known key: max_attempts",
-    ),
-    ("max_attempts = 3", 'max_attempts = "3"', r"retries.max_attempts: '3': expected `int`"),
-    ("max_attempts = 3", "max_attempts = 0", r"retries.max_attempts: 0: expected `int` >= 1"),
-    ('name = "n0"', "", r"sidecar.name: missing"),
-    ("version = 1", "version = 2", r"version: 2: "),
-    ("aim_ms = 200", "aim_ms = 2000", r"classes\[0\]: .*aim_ms of 'lookup'"),
-    ('zone = "north"', 'zone = "west"', r"sidecar.zone 'west'"),
-    ("version = 1", "version = ", r"line 3"),
-]
-
-
-@pytest.mark.parametrize(("old", "new", "said"), FAULTY)
-def test_a_faulty_file_is_one_line_that_names_file_key_and_what_was_expected(
-    tmp_path: Path, old: str, new: str, said: str
-) -> None:
-    path = tmp_path / "f.toml"
-    path.write_text(SAMPLE.read_text().replace(old, new, 1))
-    with pytest.raises(FileError) as fault:
-        operators.read(path)
-    text = str(fault.value)
-    assert text.startswith(f"{path}: ") and "\n" not in text and re.search(said, text), text
-    result = CliRunner().invoke(cli, ["config", "check", str(path)])
-    assert result.exit_code == 2 and str(path) in result.stderr
-
 
 # --- Experiment files --------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("path", FILES, ids=[path.stem for path in FILES])
-def test_every_experiment_that_comes_with_the_program_is_sound(path: Path) -> None:
-    assert read(path).name == path.stem
+def test_every_experiment_that_comes_with_the_program_is_valid(path: Path) -> None:
+    assert read_experiment(path).name == path.stem
 
 
-WRONG: list[tuple[dict[str, Any], str]] = [
+INVALID: list[tuple[dict[str, Any], str]] = [
     ({"lenght_s": 3}, "lenght_s: unknown key; nearest known key: length_s"),
     ({"expect": {"in_tim": ">= 1"}}, "in_tim"),
     ({"expect": {"in_time": "high"}}, "bound"),
@@ -116,26 +70,30 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "said"), WRONG)
-def test_a_faulty_experiment_is_named_and_nothing_is_started(
-    tmp_path: Path, change: dict[str, Any], said: str
+@pytest.mark.parametrize(("change", "line"), INVALID)
+def test_an_invalid_experiment_is_named_and_nothing_is_started(
+    tmp_path: Path, change: dict[str, Any], line: str
 ) -> None:
     path = tmp_path / "e.yaml"
     path.write_text(
         yaml.safe_dump({**yaml.safe_load((ROOT / "experiments" / "demo.yaml").read_text()), **change})
     )
     result = CliRunner().invoke(cli, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
-    assert result.exit_code == 2 and re.search(said, result.stderr), result.stderr
+    assert result.exit_code == 2 and re.search(line, result.stderr), result.stderr
     assert result.stderr.startswith(f"linetrack: {path}: ") and not (tmp_path / "out").exists()
 
 
-def test_values_are_set_by_path_and_bad_yaml_is_placed() -> None:
+def test_values_are_set_by_path_and_invalid_yaml_is_located(tmp_path: Path) -> None:
     path = ROOT / "experiments" / "demo.yaml"
-    found = read(path, ("load.shapes.0.rate=7", "faults=[]", "fleet.processes=2"))
+    found = read_experiment(path, ("load.shapes.0.rate=7", "faults=[]", "fleet.processes=2"))
     assert found.load.shapes[0].rate == 7 and not found.faults and found.fleet.processes == 2
     for wrong in ("load.shapes.9.rate=7", "length_s", "name.x=1"):
         with pytest.raises(FileError, match="--set"):
-            read(path, (wrong,))
+            read_experiment(path, (wrong,))
+    (tmp_path / "e.yaml").write_text("name: [demo\nversion: 1\n")
+    with pytest.raises(FileError, match=r"e\.yaml:2:\d+: ") as raised:
+        read_experiment(tmp_path / "e.yaml")
+    assert raised.value.source.startswith(f"{tmp_path / 'e.yaml'}:2:")
 
 
 # --- Figures and verdicts ----------------------------------------------------------------------------
@@ -143,65 +101,73 @@
 
 def test_histograms_agree_with_the_exact_percentiles() -> None:
     values = np.random.Generator(np.random.PCG64(1)).lognormal(10, 1, 20_000).astype(int)
-    told = figures.latencies("", values.tolist())
-    for name, at in {"p50_ms": 50, "p99_ms": 99, "p999_ms": 99.9}.items():
-        assert told[name] * 1000 == pytest.approx(np.sort(values)[round(at * 200) - 1], rel=0.002)
+    found = latency.summarize("", values.tolist())
+    for name, percentile in {"p50_ms": 50, "p99_ms": 99, "p999_ms": 99.9}.items():
+        exact = np.sort(values)[round(percentile * 200) - 1]
+        assert found[name] * 1000 == pytest.approx(exact, rel=0.002)
 
 
 def test_an_interval_holds_the_median_and_narrows_with_more_seeds() -> None:
-    chance = np.random.Generator(np.random.PCG64(2))
-    few, many = (figures.interval(chance.normal(10, 1, count).tolist()) for count in (5, 80))
-    assert few[1] <= few[0] <= few[2] and many[2] - many[1] < few[2] - few[1]
-    assert figures.interval([3.0]) == (3.0, 3.0, 3.0)
+    generator = np.random.Generator(np.random.PCG64(2))
+    few, many = (latency.interval(generator.normal(10, 1, count).tolist()) for count in (5, 80))
+    assert few.low <= few.median <= few.high and many.high - many.low < few.high - few.low
+    assert latency.interval([3.0]) == latency.Interval(3.0, 3.0, 3.0)
 
 
-def test_service_is_back_once_two_seconds_are_as_before() -> None:
-    kept = {"offered": [10.0] * 12, "served": [10, 10, 10, 10, 2, 1, 1, 9.5, 4, 9.5, 10, 10]}
-    assert figures.recovers(kept, 4, 6) == 3
-    assert figures.recovers({"offered": [10.0] * 8, "served": [10, 10, 10, 1, 1, 1, 1, 1]}, 3, 5) == 3
+def test_service_has_recovered_once_two_seconds_are_as_before() -> None:
+    weight = WeightBySecond([10.0] * 12, [10, 10, 10, 10, 2, 1, 1, 9.5, 4, 9.5, 10, 10])
+    assert recovery_seconds(weight, 4, 6) == 3
+    assert recovery_seconds(WeightBySecond([10.0] * 8, [10, 10, 10, 1, 1, 1, 1, 1]), 3, 5) == 3
 
 
 @pytest.mark.parametrize(
     ("text", "value", "held"), [(">= 0.9", 0.9, True), ("== 0", 1, False), ("< 5 %", 0.04, True)]
 )
 def test_bounds(text: str, value: float, held: bool) -> None:
-    assert Bound.of(text).holds(value) is held
+    assert Bound.parse(text).holds(value) is held
 
 
-def test_a_verdict_needs_every_bound_and_a_machine_in_time() -> None:
-    experiment = read(ROOT / "experiments" / "calm.yaml")
+def run_result(figures: dict[str, float], is_valid: bool = True) -> RunResult:
+    series = Series(WeightBySecond([], []), {}, {})
+    return RunResult(figures, series, 1, {"named": {}}, is_valid, False)
+
 
-    def verdict(in_time: float, valid: bool = True, other: float = 0.9) -> str:
-        values = {**dict.fromkeys(FIGURES, 0.0), "in_time": in_time}
-        runs = [{"values": values, "valid": valid, "audit": {"named": {}}}] * 3
-        base = [{"values": {**values, "in_time": other}, "valid": True, "audit": {"named": {}}}] * 3
-        results: dict[str, Any] = {"arms": {"main": {"runs": runs}, "random": {"runs": base}}}
+def test_a_verdict_needs_every_bound_and_a_machine_in_time() -> None:
+    experiment = read_experiment(ROOT / "experiments" / "calm.yaml")
+
+    def verdict(in_time: float, valid: bool = True, other: float = 0.9) -> Verdict | None:
+        figures = {**dict.fromkeys(FIGURES, 0.0), "in_time": in_time}
+        runs = [run_result(figures, valid)] * 3
+        others = [run_result({**figures, "in_time": other})] * 3
+        arms = {"main": ArmResult("linetrack", "", runs), "random": ArmResult("random", "", others)}
+        results = Results("calm", "", False, [], 0.0, arms)
         judge(experiment, results)
-        told: str = results["verdict"]
-        return told
+        return results.verdict
 
-    assert verdict(0.96) == "held" and verdict(0.94) == "not_held"
-    assert verdict(0.96, other=0.97) == "not_held" and verdict(0.96, valid=False) == "invalid"
+    assert verdict(0.96) is Verdict.HELD and verdict(0.94) is Verdict.NOT_HELD
+    assert verdict(0.96, other=0.97) is Verdict.NOT_HELD
+    assert verdict(0.96, valid=False) is Verdict.INVALID
 
 
 # --- Baselines ---------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_baselines_keep_to_the_rules_that_any_policy_must(name: str) -> None:
-    plain = Plain(name, settings(), 1)
+@pytest.mark.parametrize("baseline", Baseline)
+def test_baselines_keep_the_rules_that_any_policy_must(baseline: Baseline) -> None:
+    policy = BaselinePolicy(baseline, settings(), 1)
     driver = Driver()
-    plain.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, fleet()))
-    plain.handle(0, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
+    policy.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, fleet()))
+    draining = EndpointEntry("h0", status=EndpointStatus.DRAINING)
+    policy.handle(0, EndpointListUpdate(ListForm.DELTA, (draining,)))
     sent = set()
     for n in range(200):
-        (action,) = plain.handle(n, RequestReceived(n, 0, 1000))
+        (action,) = policy.handle(n, RequestReceived(n, 0, 1000))
         assert isinstance(action, StartAttempt) and action.endpoint != "h0"
         sent.add(action.endpoint)
         if n % 3 == 0:
-            (again,) = plain.handle(n, AttemptEnded(n, 0, action.endpoint, Outcome.OVERLOADED, 1))
+            (again,) = policy.handle(n, AttemptEnded(n, 0, action.endpoint, Outcome.OVERLOADED, 1))
             assert isinstance(again, StartAttempt) and again.endpoint != action.endpoint
-            (failed,) = plain.handle(n, AttemptEnded(n, 1, again.endpoint, Outcome.RESET, 1))
+            (failed,) = policy.handle(n, AttemptEnded(n, 1, again.endpoint, Outcome.RESET, 1))
             assert failed == FailRequest(n)
     assert len(sent) == 6 and driver.count == 0
 
@@ -229,8 +195,8 @@
     out = tmp_path / "out"
     done = run("experiment", "run", "demo", "--json", "--out", str(out), *(f"--set={text}" for text in sets))
     assert done.returncode == 0, done.stdout + done.stderr
-    told = json.loads(done.stdout)
-    assert told["verdict"] == "held" and told["figures"]["main"]["requests"][0] > 200
+    printed = json.loads(done.stdout)
+    assert printed["verdict"] == "held" and printed["figures"]["main"]["requests"][0] > 200
     again = run("audit", str(out / "main" / "1"), "--json")
     assert again.returncode == 0 and json.loads(again.stdout)["asked"] > 200
     page = (out / "report.html").read_text()
@@ -290,9 +256,9 @@
 
 def listening(folder: Path) -> list[str]:
     """Addresses of the run's sidecars at which somebody still listens."""
-    told = [json.loads(path.read_text())["listen"] for path in folder.glob("sidecar-*.json")]
+    addresses = [json.loads(path.read_text())["listen"] for path in folder.glob("sidecar-*.json")]
     table = Path("/proc/net/tcp").read_text()
-    return [at for at in told if f":{int(at.rpartition(':')[2]):04X} 00000000:0000 0A" in table]
+    return [at for at in addresses if f":{int(at.rpartition(':')[2]):04X} 00000000:0000 0A" in table]
 
 
 def test_ctrl_c_ends_all_that_was_started_and_keeps_what_there_is_as_partial(tmp_path: Path) -> None:
@@ -320,31 +286,33 @@
         until(lambda: any(path.stat().st_size for path in folder.glob("load-*.jsonl")), "load began")
         assert len(listening(folder)) == 2
         os.killpg(running.pid, signal.SIGINT)
-        _, said = running.communicate(timeout=60)
-    assert running.returncode == 3 and "marked as partial" in said
+        _, errors = running.communicate(timeout=60)
+    assert running.returncode == 3 and "marked as partial" in errors
     assert not listening(folder)
-    kept = json.loads((out / "results.json").read_text())
-    assert kept["partial"] is True and kept["arms"]["main"]["runs"] == []
+    results = json.loads((out / "results.json").read_text())
+    assert results["partial"] is True and results["arms"]["main"]["runs"] == []
     assert run("audit", str(folder), "--json").returncode in (0, 1)
 
 
-def test_a_port_that_is_taken_is_said_and_nothing_is_left(
+def test_a_port_that_is_in_use_is_reported_and_nothing_is_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    experiment = read(ROOT / "experiments" / "demo.yaml")
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        monkeypatch.setattr(runs, "_free_port", lambda: taken.getsockname()[1])
-        one = runs.Run(experiment, runs.arms(experiment)[0], 1, ROOT, tmp_path / "out")
-        with pytest.raises(runs.RunError, match="sidecar 0 does not answer"):
+    experiment = read_experiment(ROOT / "experiments" / "demo.yaml")
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        monkeypatch.setattr(sidecar_process, "free_port", lambda: other.getsockname()[1])
+        one = Run(experiment, arms_of(experiment)[0], 1, ROOT, tmp_path / "out")
+        with pytest.raises(RunError, match="sidecar 0 does not answer"):
             one.play()
-    assert all(side.process is None for side in one.sides)
+    assert all(sidecar.process is None for sidecar in one.sidecars)
 
 
 def test_the_goal_weighs_the_worst_window_and_the_worst_class() -> None:
-    kept = {"offered": [10.0] * 30, "served": [0.0] * 2 + [10.0] * 8 + [5.0] * 10 + [10.0] * 10}
-    told = figures.goal(Goal(), kept, 2_000_000, 0.5)
-    assert told == pytest.approx(0.7 * 230 / 280 + 0.2 * 0.5 + 0.1 * 0.5)
-    assert figures.goal(Goal(window_s=60), kept, 2_000_000, 1.0) == pytest.approx(0.9 * 230 / 280 + 0.1)
+    served = [0.0] * 2 + [10.0] * 8 + [5.0] * 10 + [10.0] * 10
+    weight = WeightBySecond([10.0] * 30, served)
+    value = goal_value(Goal(), weight, 2_000_000, 0.5)
+    assert value == pytest.approx(0.7 * 230 / 280 + 0.2 * 0.5 + 0.1 * 0.5)
+    wide = goal_value(Goal(window_s=60), weight, 2_000_000, 1.0)
+    assert wide == pytest.approx(0.9 * 230 / 280 + 0.1)
 
 
 def test_the_platforms_sidecar_imports_nothing_of_the_tools() -> None:
