--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -15,8 +15,9 @@
 from linetrack.control.settings_digest import settings_digest
 from linetrack.errors import LinetrackError
 from linetrack.policy.settings import Settings
-from linetrack.server import messages
-from linetrack.server.messages import EndpointRecords
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import EndpointRecords, parse_endpoint_list
+from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.settings import SettingsError, SettingsNode, describe_invalid_key, read_settings
 
 EMPTY_ENDPOINT_LIST = EndpointRecords(0, True, ())
@@ -278,7 +279,7 @@
 
 def _address(text: str, key: str, variable: str) -> tuple[str, int]:
     try:
-        return messages.address(text)
+        return parse_address(text)
     except ValueError as error:
         raise ConfigError(key, str(error), repr(text), line=f"{key} ({variable}): {error}") from None
 
@@ -295,8 +296,8 @@
     if value is None:
         return EMPTY_ENDPOINT_LIST
     try:
-        return messages.parse_endpoint_list(value)
-    except messages.MalformedError as error:
+        return parse_endpoint_list(value)
+    except MalformedMessageError as error:
         raise ConfigError("known", str(error), line=f"known: {error}") from None
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -4,8 +4,9 @@
 
 from linetrack.control import policy_snapshot as snapshot
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
-from linetrack.server import messages
-from linetrack.server.hot_restart_channel import MOST_FRAME
+from linetrack.server.endpoint_list import MAX_ENDPOINT_LIST_BYTES, decode_endpoint_list
+from linetrack.server.http1.responses import ResponseReader
+from linetrack.server.hot_restart_messages import MAX_FRAME_BYTES
 from linetrack.policy.balancer import Balancer
 from tests.helpers import Driver
 from tests.stand_ins import entry
@@ -38,7 +39,7 @@
     asked(old)
     told = json.dumps(snapshot.take(old.balancer))
     listed = json.dumps([entry(e.endpoint) for e in servers()])
-    assert len(told) + len(listed) < MOST_FRAME / 8
+    assert len(told) + len(listed) < MAX_FRAME_BYTES / 8
     new = Balancer(old.balancer.s, 2)
     new.handle(old.now, EndpointListUpdate(ListForm.CACHED, servers()))
     assert snapshot.restore(new, json.loads(told), old.now, True, True)
@@ -51,7 +52,7 @@
     value = {"version": 7, "full": True, "servers": [entry(f"u{n}") for n in range(SERVERS)]}
     for indent in (None, 4):
         body = json.dumps(value, indent=indent).encode()
-        reader = messages.ResponseReader(messages.MOST_LIST, messages.MOST_LIST)
+        reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
         whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
         got = [reader.feed(whole[at : at + 1000]) for at in range(0, len(whole), 1000)][-1]
-        assert got is not None and len(messages.decode_endpoint_list(got.body).members) == SERVERS
+        assert got is not None and len(decode_endpoint_list(got.body).endpoints) == SERVERS
