--- a/linetrack/experiments/audit.py
+++ b/linetrack/experiments/audit.py
@@ -7,7 +7,7 @@
   client gave up), unless its sidecar was killed while it was in flight.
 - **Executed twice**: an effect that may happen once happened again: a class that is not idempotent was
   executed twice for one key, or one with idempotency keys was executed twice within one request without
-  being discarded, or a request was executed although the client was told that it was rejected, and executed
+  being discarded, or a request was executed although its client was notified of a rejection, and executed
   again for the same key.  A key that a client itself sends again after the window is counted apart.
 - **Sent to a draining upstream**: the first byte of an attempt reached an upstream later than the grace after
   its sidecar had been notified that it was draining or removed.
@@ -197,7 +197,7 @@
         if len(ends) == 1 and ends[0].status > 0:
             if ends[0].status == 200 and ends[0].responding_trace != trace:
                 response = ends[0].responding_trace
-                findings.add(Rule.WRONG_RESPONSE, f"{trace} was answered with {response!r}")
+                findings.add(Rule.WRONG_RESPONSE, f"{trace} got the response of {response!r}")
             continue
         if len(ends) == 1 and ends[0].status == STATUS_NOT_CONNECTED:
             findings.not_connected += 1
@@ -221,7 +221,7 @@
 
 
 def _describe_end(ends: list[RequestEnded]) -> str:
-    descriptions = {STATUS_TIMED_OUT: "no answer in time", STATUS_CUT_OFF: "broken off"}
+    descriptions = {STATUS_TIMED_OUT: "no response in time", STATUS_CUT_OFF: "cut off"}
     return descriptions.get(ends[0].status, "no end") if ends else "no end"
 
 
@@ -234,7 +234,7 @@
         effective = [execution for execution in executions if not execution.duplicate_of]
         if len(effective) > 1:
             upstreams = ", ".join(execution.upstream for execution in effective)
-            findings.add(Rule.EXECUTED_TWICE, f"{trace} ran at {upstreams}")
+            findings.add(Rule.EXECUTED_TWICE, f"{trace} was executed at {upstreams}")
         if effective:
             traces_by_key[effective[0].key].append(trace)
     for key, traces in traces_by_key.items():
@@ -246,7 +246,7 @@
     """A key was executed for several requests of its client."""
     statuses = [ends[0].status for trace in traces if (ends := history.ends.get(trace))]
     if any(status in REJECTION_STATUSES for status in statuses):
-        description = f"key {key} was refused to a caller that came again, and ran for {', '.join(traces)}"
+        description = f"key {key} was rejected, retried by its client and executed for {', '.join(traces)}"
         findings.add(Rule.EXECUTED_TWICE, description)
     else:
         findings.repeated_by_clients += 1
@@ -264,14 +264,14 @@
             at = notified_at.get((history.sent[event.trace].sidecar, event.upstream))
             if at is not None and event.first_byte_at > at + facts.drain_grace + SOCKET_SLACK_US:
                 late = (event.first_byte_at - at) / 1e6
-                description = f"{event.trace} to {event.upstream}, {late:.2f} s after it was told"
+                description = f"{event.trace} to {event.upstream}, {late:.2f} s after it was notified"
                 findings.add(Rule.SENT_TO_DRAINING, description)
 
 
 def _check_attempts(facts: RunFacts, history: _History, findings: Findings) -> None:
     for trace, attempts in history.attempts.items():
         if trace not in history.sent:
-            description = f"{trace} reached {attempts[0].upstream} and no caller sent it"
+            description = f"{trace} reached {attempts[0].upstream} and no client sent it"
             findings.add(Rule.WRONG_RESPONSE, description)
         if len(attempts) > facts.max_attempts:
             description = f"{trace}: {len(attempts)} attempts, {facts.max_attempts} allowed"
--- a/linetrack/experiments/measurements.py
+++ b/linetrack/experiments/measurements.py
@@ -134,7 +134,7 @@
         run.all_outcomes, run.classes, run.facts.start, round(experiment.length_s * 1e6)
     )
     attempts_by_upstream = _attempts_by_upstream(run)
-    figures = {
+    figures: dict[str, float] = {
         **_request_figures(run),
         **_cost_figures(run, counts),
         "crashed": run.facts.crashes,
--- a/linetrack/experiments/report.py
+++ b/linetrack/experiments/report.py
@@ -48,7 +48,7 @@
     """The page."""
     parts = [*_heading(results), _bounds_table(results)]
     if all(arm.runs for arm in results.arms.values()):
-        parts += ["<h2>Worth served in time</h2>", _weight_plot(results)]
+        parts += ["<h2>Priority weight served in time</h2>", _weight_plot(results)]
         parts += ["<h2>Latency by class</h2>", _latency_plot(results)]
         parts += ["<h2>Load by upstream</h2>", _upstreams_plot(results)]
     for name, arm in results.arms.items():
@@ -152,7 +152,7 @@
         medians = [sorted(column)[len(column) // 2] for column in zip(*percentages, strict=False)]
         axes.plot([second + 0.5 for second in range(len(medians))], medians, marker=".", label=name)
     _mark_faults(axes, results.faults)
-    axes.set(xlabel="second", ylabel="worth in time, %", ylim=(0, 105))
+    axes.set(xlabel="second", ylabel="priority weight in time, %", ylim=(0, 105))
     axes.legend(loc="lower right")
     return _image(figure)
 
--- a/tests/experiments/test_audit.py
+++ b/tests/experiments/test_audit.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 from pathlib import Path
+from typing import Self
 
 import msgspec
 import pytest
@@ -44,7 +45,7 @@
             self.execute(f"t{n}", n * SECOND + 2 * MS, class_name)
             self.end(f"t{n}", n * SECOND + 3 * MS)
 
-    def send(self, trace: str, at: int, class_name: str = "look", key: str = "") -> None:
+    def send(self, trace: str, at: int, class_name: str = "look", key: str = "") -> Self:
         event = RequestSent(
             at=at,
             trace=trace,
@@ -57,12 +58,15 @@
             class_name=class_name,
         )
         self.load.write(event)
+        return self
 
-    def end(self, trace: str, at: int, status: int = 200, responding_trace: str = "") -> None:
+    def end(self, trace: str, at: int, status: int = 200, responding_trace: str = "") -> Self:
         self.load.write(RequestEnded(at, trace, status, responding_trace or trace, "u1", ""))
+        return self
 
-    def attempt(self, trace: str, at: int, upstream: str = "u1") -> None:
+    def attempt(self, trace: str, at: int, upstream: str = "u1") -> Self:
         self.emulator.write(AttemptReceived(at, upstream, trace, at, "SERVING"))
+        return self
 
     def execute(
         self,
@@ -72,12 +76,14 @@
         key: str = "",
         duplicate_of: str = "",
         upstream: str = "u1",
-    ) -> None:
+    ) -> Self:
         event = RequestExecuted(at, upstream, trace, key or f"k{trace}", class_name, duplicate_of)
         self.emulator.write(event)
+        return self
 
-    def notify(self, upstream: str, at: int, state: str, sidecar: int = 0) -> None:
+    def notify(self, upstream: str, at: int, state: str, sidecar: int = 0) -> Self:
         self.emulator.write(SidecarNotified(at, sidecar, upstream, state))
+        return self
 
     def audit(self) -> Findings:
         self.load.close()
@@ -155,7 +161,7 @@
     story.execute("a", T, "sale", "k")
     story.execute("a", T + 1, "sale", "k", duplicate_of="a", upstream="u2")
     story.end("a", T + 2)
-    story.send("b", T, "look")  # may run as often as it likes
+    story.send("b", T, "look")  # idempotent: it may be executed any number of times
     story.execute("b", T)
     story.execute("b", T + 1)
     story.end("b", T + 2, 502)
@@ -167,9 +173,9 @@
     story.send("d", T + 3 * SECOND)
     story.attempt("d", T + 3 * SECOND, "u2")
     story.end("d", T + 3 * SECOND)
-    story.send("e", T + 5 * SECOND)  # its sidecar was killed while it was out
+    story.send("e", T + 5 * SECOND)  # its sidecar was killed while it was in flight
     story.end("e", T + 5 * SECOND + 100 * MS, STATUS_CUT_OFF)
-    story.send("f", T + 6 * SECOND)  # nobody took its connection
+    story.send("f", T + 6 * SECOND)  # no connection came up
     story.end("f", T + 6 * SECOND, STATUS_NOT_CONNECTED)
     story.kills = (SidecarKill(0, T + 5 * SECOND + 90 * MS),)
     findings = story.audit()
@@ -177,7 +183,7 @@
     assert findings.not_connected == 1
 
 
-def test_a_file_cut_off_is_said_and_its_last_line_left_out(tmp_path: Path) -> None:
+def test_a_file_cut_off_is_reported_and_its_last_line_left_out(tmp_path: Path) -> None:
     story = Story(tmp_path)
     assert story.audit().held
     path = tmp_path / "load-0.jsonl"
