--- a/linetrack/cli/emulation.py
+++ b/linetrack/cli/emulation.py
@@ -54,9 +54,7 @@
     folder = ledger_folder(out)
     seed = seed if seed is not None else experiment.seeds[0]
     signal.signal(signal.SIGTERM, signal.default_int_handler)
-    emulator = Emulator(
-        experiment.fleet, experiment.classes, experiment.faults, seed, sidecars, folder
-    )
+    emulator = Emulator(experiment.fleet, experiment.classes, experiment.faults, seed, sidecars, folder)
     try:
         with contextlib.suppress(KeyboardInterrupt), emulator:
             _run_emulator(emulator, length)
@@ -109,9 +107,7 @@
     seed = seed if seed is not None else experiment.seeds[0]
     length = round(experiment.length_s * 1e6)
     try:
-        workers = WorkerGroup(
-            experiment.load, experiment.classes, length, seed, targets, path.parent, folder
-        )
+        workers = WorkerGroup(experiment.load, experiment.classes, length, seed, targets, path.parent, folder)
         with workers:
             start = now() + START_DELAY_US
             workers.start(start)
--- a/linetrack/config/operators.py
+++ b/linetrack/config/operators.py
@@ -150,9 +150,7 @@
     rate: Positive  # requests a second, over all sidecars
 
 
-class Sidecar(
-    Table, frozen=True, kw_only=True, rename={"instance": "number", "instance_count": "sidecars"}
-):
+class Sidecar(Table, frozen=True, kw_only=True, rename={"instance": "number", "instance_count": "sidecars"}):
     """The sidecar itself and its addresses."""
 
     name: Name
--- a/linetrack/emulator/active_faults.py
+++ b/linetrack/emulator/active_faults.py
@@ -50,7 +50,5 @@
 
     def stalled_until(self) -> int:
         """Until when no work begins; 0 where it may begin at once."""
-        stalls = [
-            active.ends_at for active in self._faults.values() if active.fault.kind is FaultKind.STALL
-        ]
+        stalls = [active.ends_at for active in self._faults.values() if active.fault.kind is FaultKind.STALL]
         return max(stalls, default=0)
--- a/linetrack/emulator/queue_model.py
+++ b/linetrack/emulator/queue_model.py
@@ -54,9 +54,7 @@
         self._forget_past(now)
         return len(self._waiting_begin_at), len(self._accepted_end_at)
 
-    def submit(
-        self, now: int, work: int, slowdown: float = 1.0, not_before: int = 0
-    ) -> Execution | None:
+    def submit(self, now: int, work: int, slowdown: float = 1.0, not_before: int = 0) -> Execution | None:
         """Submit so many microseconds of a core at speed 1.
 
         Args:
--- a/linetrack/emulator/upstream_server.py
+++ b/linetrack/emulator/upstream_server.py
@@ -80,6 +80,11 @@
     state: State = State.SERVING
     cached_keys: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
+    @property
+    def has_ended(self) -> bool:
+        """Whether it was removed or has crashed."""
+        return self.state is State.ENDED
+
 
 class UpstreamServer:
     """An address, and whoever serves there."""
@@ -165,7 +170,7 @@
 
     def _crash(self, incarnation: Incarnation) -> None:
         """All that it had is lost, and it starts again later."""
-        if incarnation.state is State.ENDED:
+        if incarnation.has_ended:
             return
         self.environment.ledger.write(UpstreamCrashed(now(), incarnation.id, self.spec.index))
         self._end()
@@ -241,7 +246,7 @@
         # what is accepted is executed, whoever still waits for it
         delay = round(self.host_class.response_delay_ms * 1000)
         self.environment.timer.sleep_until(execution.ends_at + delay)
-        if incarnation is not self.incarnation or incarnation.state is State.ENDED:
+        if incarnation is not self.incarnation or incarnation.has_ended:
             return None
         self._execute(incarnation, request_class, request, trace)
         incarnation.reporter.record(now(), execution.ends_at - request.last_byte_at)
--- a/linetrack/experiments/measurements.py
+++ b/linetrack/experiments/measurements.py
@@ -88,9 +88,7 @@
         self.served = [one for one in self.outcomes if one.served_at is not None]
         self.in_time = [one for one in self.served if self._is_in_time(one)]
         self.ends = [
-            event
-            for event in self.load
-            if isinstance(event, RequestEnded) and event.at >= self.counted_from
+            event for event in self.load if isinstance(event, RequestEnded) and event.at >= self.counted_from
         ]
         self.attempts = [
             event
@@ -108,9 +106,7 @@
     request_by_trace: dict[str, int] = {}
     for event in load:
         if isinstance(event, RequestSent):
-            outcomes.setdefault(
-                event.client_request, ClientOutcome(event.due_at, event.at, event.class_name)
-            )
+            outcomes.setdefault(event.client_request, ClientOutcome(event.due_at, event.at, event.class_name))
             request_by_trace[event.trace] = event.client_request
         elif isinstance(event, RequestEnded) and event.status == 200 and event.trace in request_by_trace:
             outcome = outcomes[request_by_trace[event.trace]]
@@ -300,9 +296,7 @@
 def _unevenness(experiment: Experiment, attempts: dict[str, list[int]]) -> float:
     """The most attempts at one address over the mean, both by capacity."""
     fleet = experiment.fleet
-    capacities = {
-        host_class.name: host_class.cores * host_class.speed for host_class in fleet.host_classes
-    }
+    capacities = {host_class.name: host_class.cores * host_class.speed for host_class in fleet.host_classes}
     capacity_by_index = [capacities[group.host_class] for group in fleet.groups for _ in range(group.count)]
     loads = [
         sum(attempts.get(f"u{index}", [0])) / capacity for index, capacity in enumerate(capacity_by_index)
--- a/linetrack/experiments/queue_comparison.py
+++ b/linetrack/experiments/queue_comparison.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from linetrack.emulator.ledger_events import RequestSent
 from linetrack.emulator.queue_model import UpstreamQueue
 from linetrack.emulator.request_work import request_work
-from linetrack.emulator.ledger_events import RequestSent
 from linetrack.emulator.schema import FaultKind
 from linetrack.experiments import latency
 from linetrack.experiments.schema import Experiment
--- a/tests/experiments/test_audit.py
+++ b/tests/experiments/test_audit.py
@@ -134,12 +134,18 @@
             s.end("x", T),
         ),
     ),
-    "crashed in slow start": (Rule.CRASHED_IN_SLOW_START, lambda s: s.emulator.write(UpstreamCrashed(T, "u3", 3))),
+    "crashed in slow start": (
+        Rule.CRASHED_IN_SLOW_START,
+        lambda s: s.emulator.write(UpstreamCrashed(T, "u3", 3)),
+    ),
     "four attempts": (
         Rule.TOO_MANY_ATTEMPTS,
         lambda s: (s.send("x", T), *(s.attempt("x", T + n) for n in range(4)), s.end("x", T)),
     ),
-    "the response of another request": (Rule.WRONG_RESPONSE, lambda s: (s.send("x", T), s.end("x", T, 200, "t1"))),
+    "the response of another request": (
+        Rule.WRONG_RESPONSE,
+        lambda s: (s.send("x", T), s.end("x", T, 200, "t1")),
+    ),
     "a request that nobody sent": (Rule.WRONG_RESPONSE, lambda s: s.attempt("ghost", T)),
 }
 
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -35,7 +35,7 @@
     assert found.settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
     assert found.settings.must_subscribe and found.settings.may_cancel
     assert found.max_class_timeout == 2 * SECOND
-    assert [member.name for member in found.initial_endpoints.members] == ["a"]
+    assert [endpoint.name for endpoint in found.initial_endpoints.endpoints] == ["a"]
 
 
 def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
--- a/tests/simhost/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: each message, a hand-written conversation, bad input, and the adapter as a process."""
+"""The simulator's wire: each message, a hand-written conversation, bad input, the adapter as a process."""
 
 import io
 import os
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -42,7 +42,9 @@
         while upstreams := sends(actions):
             actions = driver.end(request, upstreams[0], Outcome.CONNECT_FAILED, 1, attempt)
             attempt += 1
-        assert any(isinstance(a, RejectRequest | FailRequest) for a in actions), "given up, so answered at once"
+        assert any(isinstance(a, RejectRequest | FailRequest) for a in actions), (
+            "given up, so answered at once"
+        )
         further += attempt - 1
     return further
 
@@ -138,7 +140,9 @@
     """Judged apart, by the wording of the rule: every further send, over all that was sent and taken."""
     free, ratio = data.draw(strategies.sampled_from([(0.0, 0.5), (1.0, 0.0), (2.0, 0.1), (0.0, 0.0)]))
     window = data.draw(strategies.sampled_from([300 * MS, WINDOW]))
-    driver = Driver(retry_window=window, retry_window_allowance=free, retry_window_ratio=ratio, max_attempts=6)
+    driver = Driver(
+        retry_window=window, retry_window_allowance=free, retry_window_ratio=ratio, max_attempts=6
+    )
     taken: list[int] = []
     further: list[int] = []
     out: list[tuple[int, int, str]] = []
@@ -158,7 +162,9 @@
         else:
             number, attempt, upstream = out.pop(data.draw(strategies.integers(0, len(out) - 1)))
             failures = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR)
-            event = AttemptEnded(number, attempt, upstream, data.draw(strategies.sampled_from(failures)), 10 * MS)
+            event = AttemptEnded(
+                number, attempt, upstream, data.draw(strategies.sampled_from(failures)), 10 * MS
+            )
         for action in driver.feed(event):
             if isinstance(action, SetTimer):
                 timers.append(action.token)
@@ -250,7 +256,11 @@
         ({"freeResends": 2}, "extraWindowUs", "extraWindowUs is missing"),
         ({"furtherRatio": 0.1, "extraWindowUs": 0}, "extraWindowUs", "extraWindowUs: 0 is under 1"),
         ({"freeResends": -1, "extraWindowUs": 1}, "freeResends", "freeResends: -1 is under 0"),
-        ({"furtherRatio": "many", "extraWindowUs": 1}, "furtherRatio", "furtherRatio: 'many' is not a number"),
+        (
+            {"furtherRatio": "many", "extraWindowUs": 1},
+            "furtherRatio",
+            "furtherRatio: 'many' is not a number",
+        ),
         ({"goneIsAdvice": 3}, "goneIsAdvice", "goneIsAdvice: 3 is not true or false"),
     ],
 )
