--- a/linetrack/emulator/child_process.py
+++ b/linetrack/emulator/child_process.py
@@ -81,7 +81,8 @@
 
     def stop(self) -> None:
         """Close its input and wait for its end; kill it where that takes too long."""
-        assert self.process.stdin is not None and self.process.stdout is not None
+        assert self.process.stdin is not None
+        assert self.process.stdout is not None
         with contextlib.suppress(OSError):
             self.process.stdin.close()
         try:
--- a/linetrack/emulator/deduplication.py
+++ b/linetrack/emulator/deduplication.py
@@ -18,8 +18,11 @@
         self.keys_by_age: deque[tuple[int, str]] = deque()
 
     def execute(self, now: int, key: str, trace: str) -> str | None:
-        """The trace of the request that was executed under this key within the window, or None where this
-        one is executed."""
+        """Execute a request, unless its key was executed within the window.
+
+        Returns:
+            The trace of the request that was executed under the key, or None where this one is.
+        """
         self._forget_expired(now)
         first = self.first_executions.get(key)
         if first is not None:
--- a/linetrack/emulator/process.py
+++ b/linetrack/emulator/process.py
@@ -49,7 +49,7 @@
     def connect_to_discovery(self, address: str) -> None:
         """Changes are reported to this address from here on."""
 
-    def apply(self, step: Step, start: int) -> None:
+    def apply(self, step: Step, start: int, /) -> None:
         """Carry out a step of the timeline that began at `start`."""
 
 
@@ -97,7 +97,7 @@
     def connect_to_discovery(self, address: str) -> None:
         """It reports no changes."""
 
-    def apply(self, step: Step, start: int) -> None:
+    def apply(self, step: Step, _start: int) -> None:
         """Carry out a step of the timeline."""
         self.server.apply(step)
 
--- a/linetrack/experiments/baselines.py
+++ b/linetrack/experiments/baselines.py
@@ -71,7 +71,7 @@
         self._turn = 0
         self._is_watching = False
 
-    def handle(self, now: int, event: Event) -> list[Action]:
+    def handle(self, _now: int, event: Event) -> list[Action]:
         """The actions that follow from an event."""
         match event:
             case EndpointListUpdate():
--- a/linetrack/experiments/play.py
+++ b/linetrack/experiments/play.py
@@ -101,7 +101,8 @@
 
 def _differences(main: ArmResult, other: ArmResult) -> dict[str, Interval]:
     """Differences of the main arm from another one, paired by seed."""
-    assert main.figures is not None and other.figures is not None
+    assert main.figures is not None
+    assert other.figures is not None
     pairs = list(zip(main.runs, other.runs, strict=True))
     return {
         figure: interval([ours.figures[figure] - theirs.figures[figure] for ours, theirs in pairs])
--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -155,8 +155,10 @@
 
     @property
     def digest(self) -> str:
-        """Stands for all that decisions depend on, names with their numbers included: equal in two processes
-        of one sidecar with the same settings, whatever else their files hold."""
+        """Stands for all that decisions depend on, names with their numbers included.
+
+        It is equal in two processes of one sidecar with the same settings, whatever else their files hold.
+        """
         return settings_digest(
             self.settings, self.class_names, self.zone_names, self.host_class_names, self.load_report_fields
         )
--- a/linetrack/simhost/wire.py
+++ b/linetrack/simhost/wire.py
@@ -257,7 +257,7 @@
     return f"FOLLOW i={instance} want={int(action.enabled)}"
 
 
-def _format_fetch_endpoints(instance: str, action: FetchEndpoints) -> str:
+def _format_fetch_endpoints(instance: str, _action: FetchEndpoints) -> str:
     return f"FETCH i={instance}"
 
 
--- a/tests/config/test_operators_file.py
+++ b/tests/config/test_operators_file.py
@@ -22,8 +22,10 @@
 
 def test_the_sample_file_is_valid_and_gives_what_the_program_reads() -> None:
     config = parse_config(platform_form(read_operators_file(SAMPLE)), {})
-    assert config.name == "n0" and config.class_names == ("lookup", "sale")
-    assert config.class_timeouts == (1_000_000, 2_000_000) and config.settings.max_attempts == 3
+    assert config.name == "n0"
+    assert config.class_names == ("lookup", "sale")
+    assert config.class_timeouts == (1_000_000, 2_000_000)
+    assert config.settings.max_attempts == 3
     assert config.settings.classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY
     assert config.settings.slow_start_initial_fraction == 0.2
 
@@ -38,7 +40,8 @@
     assert limited.retry_window_ratio == 0.1
     path.write_text(SAMPLE.read_text().replace("max_attempts = 3", "max_attempts = 3\nfurther_free = 2", 1))
     result = CliRunner().invoke(cli, ["config", "check", str(path)])
-    assert result.exit_code == 2 and "extraWindowUs" in result.stderr
+    assert result.exit_code == 2
+    assert "extraWindowUs" in result.stderr
 
 
 INVALID = [
@@ -77,7 +80,10 @@
     with pytest.raises(FileError) as raised:
         read_operators_file(path)
     text = str(raised.value)
-    assert text.startswith(f"{path}: ") and "\n" not in text and re.search(line, text), text
+    assert text.startswith(f"{path}: ")
+    assert "\n" not in text
+    assert re.search(line, text), text
     assert (raised.value.source, raised.value.key) == (str(path), key)
     result = CliRunner().invoke(cli, ["config", "check", str(path)])
-    assert result.exit_code == 2 and str(path) in result.stderr
+    assert result.exit_code == 2
+    assert str(path) in result.stderr
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -1,5 +1,4 @@
-"""The emulator's parts without sockets: the queue model against closed forms, deduplication, the timeline,
-the ledger."""
+"""The emulator's parts without sockets: queue model, deduplication, timeline and ledger."""
 
 from itertools import pairwise
 from pathlib import Path
@@ -77,11 +76,13 @@
         now += after
         execution = model.submit(now, work)
         waiting, in_flight = model.load(now)
-        assert waiting <= queue and in_flight <= waiting + cores
+        assert waiting <= queue
+        assert in_flight <= waiting + cores
         if execution is None:
             assert waiting == queue
             continue
-        assert now <= execution.begins_at and execution.ends_at - execution.begins_at == work
+        assert now <= execution.begins_at
+        assert execution.ends_at - execution.begins_at == work
         executions.append(execution)
     assert all(a.begins_at <= b.begins_at for a, b in pairwise(executions))
     for execution in executions:
@@ -100,21 +101,25 @@
         overload_window_ms=1000,
     )
     cold, warm = UpstreamQueue(host_class, 0), UpstreamQueue(host_class, None)
-    assert (
-        cold.speed_fraction(0) == 0.2
-        and cold.speed_fraction(5 * SECOND) == pytest.approx(0.6)
-        and cold.speed_fraction(10 * SECOND) == 1.0
-    )
+    assert cold.speed_fraction(0) == 0.2
+    assert cold.speed_fraction(5 * SECOND) == pytest.approx(0.6)
+    assert cold.speed_fraction(10 * SECOND) == 1.0
     slow, fast = cold.submit(0, 10 * MS), warm.submit(0, 10 * MS)
-    assert slow and fast and slow.ends_at == 5 * fast.ends_at
+    assert slow
+    assert fast
+    assert slow.ends_at == 5 * fast.ends_at
     for n in range(50):
         assert warm.submit(n * 20 * MS, 40 * MS)
     allowed = UpstreamQueue(host_class, 0)
     for n in range(55):  # 0.55 s of work in a second, and it could do 0.2 to 0.28: under three times that
         allowed.submit(n * 18 * MS, 10 * MS)
     with pytest.raises(OverloadCrashError):
-        for n in range(500):
-            cold.submit(n * 2 * MS, 10 * MS)
+        submit_often(cold)
+
+
+def submit_often(queue: UpstreamQueue) -> None:
+    for n in range(500):
+        queue.submit(n * 2 * MS, 10 * MS)
 
 
 @given(st.lists(st.tuples(st.integers(0, 800), st.integers(0, 3)), max_size=60))
@@ -130,8 +135,10 @@
             assert key not in executed or now - executed[key][0] >= 1000
             executed[key] = (now, f"t{n}")
         else:
-            assert first == executed[key][1] and now - executed[key][0] < 1000
-        assert len(table.first_executions) <= 4 and len(table.keys_by_age) <= 4
+            assert first == executed[key][1]
+            assert now - executed[key][0] < 1000
+        assert len(table.first_executions) <= 4
+        assert len(table.keys_by_age) <= 4
 
 
 def test_the_same_request_is_the_same_work_wherever_it_goes() -> None:
@@ -180,8 +187,10 @@
         ),
     )
     steps = timeline(FLEET, faults, 3)
-    assert steps == timeline(FLEET, faults, 3) and steps == sorted(steps, key=lambda step: step.at)
-    assert len(slowed(steps)) == 4 and slowed(steps) != slowed(timeline(FLEET, faults, 4))
+    assert steps == timeline(FLEET, faults, 3)
+    assert steps == sorted(steps, key=lambda step: step.at)
+    assert len(slowed(steps)) == 4
+    assert slowed(steps) != slowed(timeline(FLEET, faults, 4))
     starts = [(step.at, step.index, step.id) for step in steps if isinstance(step, Start)]
     assert starts == [(2800 * MS + n // 2 * SECOND, n, f"u{n}v2") for n in range(4)]
     drained_at = {step.index: step.at for step in steps if isinstance(step, Drain)}
@@ -232,4 +241,5 @@
     for n in range(3):
         ledger.write(RequestNotSent(n, n))
         ledger.flush()
-    assert ledger.error and not ledger.has_unwritten
+    assert ledger.error
+    assert not ledger.has_unwritten
--- a/tests/experiments/test_audit.py
+++ b/tests/experiments/test_audit.py
@@ -157,7 +157,8 @@
     story = Story(tmp_path)
     spoil(story)
     findings = story.audit()
-    assert not findings.held and dict(findings.breaches) == {rule: 1}
+    assert not findings.held
+    assert dict(findings.breaches) == {rule: 1}
     assert findings.examples[rule]
 
 
@@ -185,7 +186,8 @@
     story.end("f", T + 6 * SECOND, STATUS_NOT_CONNECTED)
     story.kills = (SidecarKill(0, T + 5 * SECOND + 90 * MS),)
     findings = story.audit()
-    assert findings.held and findings.excused == 1
+    assert findings.held
+    assert findings.excused == 1
     assert findings.not_connected == 1
 
 
@@ -195,4 +197,5 @@
     path = tmp_path / "load-0.jsonl"
     path.write_bytes(path.read_bytes()[:-5])
     findings = audit(tmp_path)
-    assert findings.incomplete_files == ["load-0.jsonl"] and findings.breaches[Rule.LOST] == 1
+    assert findings.incomplete_files == ["load-0.jsonl"]
+    assert findings.breaches[Rule.LOST] == 1
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -79,14 +79,18 @@
         yaml.safe_dump({**yaml.safe_load((ROOT / "experiments" / "demo.yaml").read_text()), **change})
     )
     result = CliRunner().invoke(cli, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
-    assert result.exit_code == 2 and re.search(line, result.stderr), result.stderr
-    assert result.stderr.startswith(f"linetrack: {path}: ") and not (tmp_path / "out").exists()
+    assert result.exit_code == 2
+    assert re.search(line, result.stderr), result.stderr
+    assert result.stderr.startswith(f"linetrack: {path}: ")
+    assert not (tmp_path / "out").exists()
 
 
 def test_values_are_set_by_path_and_invalid_yaml_is_located(tmp_path: Path) -> None:
     path = ROOT / "experiments" / "demo.yaml"
     found = read_experiment(path, ("load.shapes.0.rate=7", "faults=[]", "fleet.processes=2"))
-    assert found.load.shapes[0].rate == 7 and not found.faults and found.fleet.processes == 2
+    assert found.load.shapes[0].rate == 7
+    assert not found.faults
+    assert found.fleet.processes == 2
     for wrong in ("load.shapes.9.rate=7", "length_s", "name.x=1"):
         with pytest.raises(FileError, match="--set"):
             read_experiment(path, (wrong,))
@@ -110,7 +114,8 @@
 def test_an_interval_holds_the_median_and_narrows_with_more_seeds() -> None:
     generator = np.random.Generator(np.random.PCG64(2))
     few, many = (latency.interval(generator.normal(10, 1, count).tolist()) for count in (5, 80))
-    assert few.low <= few.median <= few.high and many.high - many.low < few.high - few.low
+    assert few.low <= few.median <= few.high
+    assert many.high - many.low < few.high - few.low
     assert latency.interval([3.0]) == latency.Interval(3.0, 3.0, 3.0)
 
 
@@ -144,7 +149,8 @@
         judge(experiment, results)
         return results.verdict
 
-    assert verdict(0.96) is Verdict.HELD and verdict(0.94) is Verdict.NOT_HELD
+    assert verdict(0.96) is Verdict.HELD
+    assert verdict(0.94) is Verdict.NOT_HELD
     assert verdict(0.96, other=0.97) is Verdict.NOT_HELD
     assert verdict(0.96, valid=False) is Verdict.INVALID
 
@@ -162,14 +168,17 @@
     sent = set()
     for n in range(200):
         (action,) = policy.handle(n, RequestReceived(n, 0, 1000))
-        assert isinstance(action, StartAttempt) and action.endpoint != "h0"
+        assert isinstance(action, StartAttempt)
+        assert action.endpoint != "h0"
         sent.add(action.endpoint)
         if n % 3 == 0:
             (again,) = policy.handle(n, AttemptEnded(n, 0, action.endpoint, Outcome.OVERLOADED, 1))
-            assert isinstance(again, StartAttempt) and again.endpoint != action.endpoint
+            assert isinstance(again, StartAttempt)
+            assert again.endpoint != action.endpoint
             (failed,) = policy.handle(n, AttemptEnded(n, 1, again.endpoint, Outcome.RESET, 1))
             assert failed == FailRequest(n)
-    assert len(sent) == 6 and driver.count == 0
+    assert len(sent) == 6
+    assert driver.count == 0
 
 
 # --- On loopback -------------------------------------------------------------------------------------
@@ -196,13 +205,18 @@
     done = run("experiment", "run", "demo", "--json", "--out", str(out), *(f"--set={text}" for text in sets))
     assert done.returncode == 0, done.stdout + done.stderr
     printed = json.loads(done.stdout)
-    assert printed["verdict"] == "held" and printed["figures"]["main"]["requests"][0] > 200
+    assert printed["verdict"] == "held"
+    assert printed["figures"]["main"]["requests"][0] > 200
     again = run("audit", str(out / "main" / "1"), "--json")
-    assert again.returncode == 0 and json.loads(again.stdout)["asked"] > 200
+    assert again.returncode == 0
+    assert json.loads(again.stdout)["asked"] > 200
     page = (out / "report.html").read_text()
-    assert page.count("<img") == 3 and 'src="data:' in page and "http" not in page
+    assert page.count("<img") == 3
+    assert 'src="data:' in page
+    assert "http" not in page
     lines = (out / "main" / "1" / "emulator-discovery.jsonl").read_text()
-    assert '"DRAINING"' in lines and '"DELETED"' in lines
+    assert '"DRAINING"' in lines
+    assert '"DELETED"' in lines
     # nothing that was started is left
     assert len(list((out / "main" / "1").glob("sidecar-*.json"))) == 2
     assert not listening(out / "main" / "1")
@@ -287,10 +301,12 @@
         assert len(listening(folder)) == 2
         os.killpg(running.pid, signal.SIGINT)
         _, errors = running.communicate(timeout=60)
-    assert running.returncode == 3 and "marked as partial" in errors
+    assert running.returncode == 3
+    assert "marked as partial" in errors
     assert not listening(folder)
     results = json.loads((out / "results.json").read_text())
-    assert results["partial"] is True and results["arms"]["main"]["runs"] == []
+    assert results["partial"] is True
+    assert results["arms"]["main"]["runs"] == []
     assert run("audit", str(folder), "--json").returncode in (0, 1)
 
 
@@ -331,5 +347,6 @@
         "linetrack.load",
         "linetrack.experiments",
     )
-    assert out[0] == "2" and "linetrack.policy.balancer" in out
+    assert out[0] == "2"
+    assert "linetrack.policy.balancer" in out
     assert not [name for name in out if name.split(".")[0] in tools or name.startswith(ours)]
--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -99,7 +99,8 @@
     assert all(abs(a[0] - b[0]) <= 1 for a, b in zip(found, expected, strict=True))
     bigger = with_trace(load, scale=2.5, time_compression=4.0)
     more = build_schedule(bigger, 60 * SECOND, CLASSES, 1, tmp_path)
-    assert len(more) == pytest.approx(50_000, rel=0.02) and more.due_at[-1] < 11 * SECOND
+    assert len(more) == pytest.approx(50_000, rel=0.02)
+    assert more.due_at[-1] < 11 * SECOND
     assert key_shares(more) == pytest.approx(key_shares(schedule), rel=0.1)
 
 
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -27,27 +27,31 @@
     values = platform_values()
     values["settings"]["later"] = {"added": [1]}
     found = read(tmp_path, {**values, "unknown": 1})
-    assert found.listen == ("127.0.0.1", 8081) and found.discovery == ("127.0.0.1", 8500)
+    assert found.listen == ("127.0.0.1", 8081)
+    assert found.discovery == ("127.0.0.1", 8500)
     assert found.seed == 0x8C1F30D27A5BE964
     assert found.class_names == ("look", "pay", "book")
     assert found.settings.classes[2].idempotency is Idempotency.IDEMPOTENCY_KEY
     assert found.settings.classes[2].deduplication_scope is DeduplicationScope.ALL
     assert found.settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
-    assert found.settings.must_subscribe and found.settings.may_cancel
+    assert found.settings.must_subscribe
+    assert found.settings.may_cancel
     assert found.max_class_timeout == 2 * SECOND
     assert [endpoint.name for endpoint in found.initial_endpoints.endpoints] == ["a"]
 
 
 def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
     found = read(tmp_path, platform_values(), EDGE_LISTEN="127.0.0.1:9001", EDGE_NAME="n7")
-    assert found.listen == ("127.0.0.1", 9001) and found.name == "n7"
+    assert found.listen == ("127.0.0.1", 9001)
+    assert found.name == "n7"
 
 
 def test_the_process_limit_binds_too(tmp_path: Path) -> None:
     values = platform_values()
     values["limits"] |= {"sockets": 10**9, "memory_mb": 190.7}
     found = read(tmp_path, values)
-    assert found.sockets < 10**9 and found.memory_mb == 190
+    assert found.sockets < 10**9
+    assert found.memory_mb == 190
 
 
 INVALID: list[tuple[str, object]] = [
--- a/tests/simhost/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -120,7 +120,8 @@
         lines += [f"MEMBERSHIP i=sidecar/{number} index=1 form=all slot=3"]
     lines += [f"REQ i=sidecar/{n} ref={n} kind=0 patienceLeftUs=900000" for n in (0, 1)]
     _, reply = talk([*lines, "YOUR_TURN"])
-    assert "ref=0 upstream=only:0" in reply and "ref=1 upstream=only:1" in reply
+    assert "ref=0 upstream=only:0" in reply
+    assert "ref=1 upstream=only:1" in reply
 
 
 @pytest.mark.parametrize(
@@ -144,7 +145,9 @@
     status, _ = talk(lines)
     error = capsys.readouterr().err
     assert status == EXIT_INVALID_INPUT
-    assert message in error and "line " in error and "Traceback" not in error
+    assert message in error
+    assert "line " in error
+    assert "Traceback" not in error
 
 
 def test_exception_in_the_policy_is_reported_on_the_wire(
@@ -208,7 +211,8 @@
 def test_every_outcome_is_read(word: str, outcome: Outcome) -> None:
     _, fields = split_line(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
     ended = wire.EVENT_PARSERS["FINISHED"](fields)
-    assert isinstance(ended, AttemptEnded) and ended.outcome is outcome
+    assert isinstance(ended, AttemptEnded)
+    assert ended.outcome is outcome
 
 
 @pytest.mark.parametrize(
@@ -225,7 +229,9 @@
 def test_settings_are_read_and_unknown_ones_ignored() -> None:
     _, pairs = split_line("X " + BOOT)
     settings = parse_settings(pairs)
-    assert settings.must_subscribe and settings.may_run_parallel_attempts and settings.zone_count == 2
+    assert settings.must_subscribe
+    assert settings.may_run_parallel_attempts
+    assert settings.zone_count == 2
     assert settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
     assert [c.idempotency for c in settings.classes] == [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT]
 
@@ -267,4 +273,5 @@
 def test_end_of_input_between_batches_is_a_clean_exit() -> None:
     assert run_process("", "0").returncode == 0
     broken = run_process("TICK clockUs=1\n", "0")
-    assert broken.returncode != 0 and "inside a batch" in broken.stderr
+    assert broken.returncode != 0
+    assert "inside a batch" in broken.stderr
