--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -41,7 +41,10 @@
         discovery: DiscoveryClient,
         metrics: Metrics,
     ) -> None:
-        """Make one with `config` in force; `read` returns the file's configuration or raises a ConfigError."""
+        """Make one with `config` in force.
+
+        `read` returns the configuration as its file is now, or raises a ConfigError.
+        """
         self.config = config
         self.max_timeout = config.max_class_timeout  # of any class since the start, in microseconds
         self.requested = Event()
