--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -73,7 +73,7 @@
         path = socket_path(os.environ.get(SOCKET_FOLDER_VARIABLE, ""), config.name, config.listen)
         if path is None:
             self._listener.listen(config.listen)
-            return config.known
+            return config.initial_endpoints
         self._predecessor = Predecessor(path, self._identity, self._grant_listener, self.execute)
         successor = Successor(path, self._identity(), self.execute, self._on_message)
         while (granted := successor.connect()) is None:
@@ -82,7 +82,7 @@
                 log.warning("hot_restart_foreign_process", path=str(path))
                 self._predecessor = None
             if self._listen_alone(successor):
-                return config.known
+                return config.initial_endpoints
         self._successor = successor
         self._listener.listener = socket.socket(fileno=granted.descriptor)
         return self._granted_endpoints(granted.grant)
@@ -161,12 +161,12 @@
         config = self._current_config()
         if grant.discovery_address not in (None, list(config.discovery)):
             log.warning("hot_restart_endpoint_list_ignored", discovery=grant.discovery_address)
-            return config.known
+            return config.initial_endpoints
         try:
             return parse_endpoint_list(grant.endpoint_list)
         except MalformedMessageError as fault:
             log.warning("hot_restart_endpoint_list_invalid", fault=str(fault))
-            return config.known
+            return config.initial_endpoints
 
     # --- As the successor --------------------------------------------------------------------------
     def _on_message(self, message: HotRestartMessage, descriptors: list[int]) -> None:
@@ -217,7 +217,8 @@
 
     def _hand_over(self) -> None:
         """Leave new connections, what is known and the open connections to the successor."""
-        assert self._predecessor is not None and self._predecessor.channel is not None
+        assert self._predecessor is not None
+        assert self._predecessor.channel is not None
         channel = self._predecessor.channel
         self.stop_accepting()
         self._upstreams.close_all_idle()
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -73,7 +73,7 @@
         self.budget = Budget(config.sockets, config.memory_mb)
         self.upstreams = self._make_upstream_pool(config)
         self.discovery = self._make_discovery_client(config)
-        if config.storms:
+        if config.overload_control_enabled:
             make_policy = with_overload_control(make_policy)
         self.policy_switch = SettingsSwitch(make_policy(config.settings, config.seed))
         self.dispatcher = self._make_dispatcher()
@@ -130,8 +130,8 @@
         return UpstreamPool(
             self.budget,
             config.dial_timeout,
-            config.keep_alive,
-            config.report_fields,
+            config.keep_alive_timeout,
+            config.load_report_fields,
             lambda event, seen: self.dispatcher.put(event, seen),
             self.metrics,
         )
@@ -142,7 +142,7 @@
             self.upstreams,
             lambda update, seen: self.dispatcher.put(update, seen),
             config.zone_names,
-            config.kind_names,
+            config.host_class_names,
             config.settings,
             config.seed,
         )
@@ -162,9 +162,9 @@
             self.dispatcher,
             self.budget,
             config.class_names,
-            config.deadlines,
+            config.class_timeouts,
             self.is_serving,
-            config.whole_seconds,
+            config.retry_after_in_whole_seconds,
         )
 
     # --- Start -------------------------------------------------------------------------------------
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from linetrack.server.config import config_of
+from linetrack.server.config import parse_config
 from linetrack.server.hot_restart_channel import socket_path
 from tests.server.recorded_hot_restart import (
     DIGESTS,
@@ -144,13 +144,16 @@
     old.clients.close()
     client.sock.sendall(request("/look/k", "GET", "X-Trace-Id: new", "X-Expires-In: 2.0"))
     reply = client.read()
-    assert reply is not None and reply.body == b"a"
+    assert reply is not None
+    assert reply.body == b"a"
     repeated = recorded("leave")["ids"][0]
     client.sock.sendall(request("/look/k", "GET", f"X-Trace-Id: {repeated}", "X-Expires-In: 2.0"))
     reply = client.read()
-    assert reply is not None and reply.status == 409
+    assert reply is not None
+    assert reply.status == 409
     log = sidecar.log()
-    assert '"snapshot_restored": true' in log and '"same_settings": true' in log
+    assert '"snapshot_restored": true' in log
+    assert '"same_settings": true' in log
     peer.sock.close()
     after = sidecar.talk(request("/look/k", "GET", "X-Trace-Id: after", "X-Expires-In: 2.0"))
     assert after.status == 200
@@ -184,7 +187,8 @@
         client = sidecar.connect()
         client.sock.sendall(request("/look/k", "GET", "X-Trace-Id: seen", "X-Expires-In: 2.0"))
         reply = client.read()
-        assert reply is not None and reply.status == 200
+        assert reply is not None
+        assert reply.status == 200
         peer = fixture.call()
         peer.send(recorded("hello"))
         grant = peer.receive()
@@ -232,7 +236,7 @@
 
 @pytest.mark.parametrize("recording", DIGESTS["configurations"], ids=lambda recording: recording["case"])
 def test_a_settings_digest_is_that_of_the_old_build(recording: dict[str, Any]) -> None:
-    assert config_of(recording["config"], {}).digest == recording["digest"]
+    assert parse_config(recording["config"], {}).digest == recording["digest"]
 
 
 def test_the_recorded_digests_cover_each_repeat_with_each_deduplication_scope() -> None:
@@ -254,4 +258,4 @@
         "discovery": "127.0.0.1:9",
         "settings": RECORDED["settings"],
     }
-    assert config_of(values, {}).digest == recorded("hello")["identity"]["settings"]
+    assert parse_config(values, {}).digest == recorded("hello")["identity"]["settings"]
