--- /dev/null
+++ b/linetrack/control/decaying_rate.py
@@ -0,0 +1,29 @@
+"""An event rate that forgets exponentially, with a time constant of one second.
+
+No I/O and no clock: the host passes each moment as integer microseconds, which never decrease.
+"""
+
+from __future__ import annotations
+
+import math
+
+SECOND = 1_000_000
+
+
+class DecayingRate:
+    """Events per second, over about the last second."""
+
+    def __init__(self) -> None:
+        self.value = 0.0
+        self.updated_at = 0
+
+    def per_second(self, now: int) -> float:
+        """The rate as of `now`."""
+        if now > self.updated_at:
+            self.value *= math.exp((self.updated_at - now) / SECOND)
+            self.updated_at = now
+        return self.value
+
+    def add(self, now: int, count: float = 1.0) -> None:
+        """Record `count` events at `now`."""
+        self.value = self.per_second(now) + count
--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -19,7 +19,7 @@
 from enum import Enum
 from random import Random
 
-from linetrack.control.connection_slots import DecayingRate
+from linetrack.control.decaying_rate import DecayingRate
 from linetrack.policy.events import RequestReceived
 
 SECOND = 1_000_000
@@ -180,7 +180,7 @@
         ranked = sorted(self.groups, key=lambda g: (g[0], -self.groups[g][0], g[1]))
         left = self.limit
         for each in ranked:
-            rate = self.groups[each][1].of(now)
+            rate = self.groups[each][1].per_second(now)
             part = min(1.0, SLACK * max(left, STARVED * self.limit) / max(rate, 1e-9))
             if each == group:
                 return part
@@ -192,7 +192,7 @@
         if passed < STEP:
             return
         self.stepped = now
-        good, bad, offered = self.good.of(now), self.bad.of(now), self.offered.of(now)
+        good, bad, offered = self.good.per_second(now), self.bad.per_second(now), self.offered.per_second(now)
         share = good / (good + bad) if good + bad > 0 else 1.0
         if self.phase is Phase.CALM:
             if good + bad >= EVIDENCE and share <= 1 - ENGAGE:
@@ -204,7 +204,7 @@
                     self.usual += (good - self.usual) * min(1.0, part / self.calm_for)
             return
         fewest = self._fewest()
-        quick = self.quick.of(now) / (good + bad) if good + bad > 0 else 1.0
+        quick = self.quick.per_second(now) / (good + bad) if good + bad > 0 else 1.0
         noticed = self.streak >= STREAK and self.limit <= 2 * fewest
         if good + bad < 1:
             pass  # nothing ended lately: nothing is known
@@ -250,7 +250,7 @@
 
     def _enter(self, phase: Phase, now: int) -> None:
         self.phase = phase
-        offered = self.offered.of(now)
+        offered = self.offered.per_second(now)
         self.tell(
             phase,
             {
@@ -258,7 +258,7 @@
                 "rate": round(self.limit, 1),
                 "usual": round(self.usual, 1),
                 "offered": round(offered, 1),
-                "repeats": round(self.repeats.of(now) / max(offered, 1e-9), 2),
+                "repeats": round(self.repeats.per_second(now) / max(offered, 1e-9), 2),
                 "let_in": self.let_in,
                 "turned_away": self.turned_away,
             },
--- a/linetrack/server/budget.py
+++ b/linetrack/server/budget.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from linetrack.control.connection_slots import FREE, UpstreamReserve
+from linetrack.control.connection_demand import UNCONTENDED_SHARE, UpstreamReserve
 from linetrack.server.clock import clock
 
 RESERVE = 40  # standard streams, the event loop's own, the listener, discovery, files read at start
@@ -62,20 +62,20 @@
         if self.used >= self.most and not self.shrink() and not self.make_way():
             return False
         self.used += 1
-        self.need.seen(clock(), self.used - self.clients)
+        self.need.record_in_use(clock(), self.used - self.clients)
         return True
 
     @property
     def short(self) -> bool:
         """More of the descriptors are held than are free."""
-        return self.used > self.most * FREE
+        return self.used > self.most * UNCONTENDED_SHARE
 
     def give_back(self) -> None:
         self.used -= 1
 
     def take_client(self) -> bool:
         """Room for one more client connection."""
-        if self.clients >= min(self.most_clients, self.need.room(clock(), self.most)):
+        if self.clients >= min(self.most_clients, self.need.client_capacity(clock(), self.most)):
             return False
         if self.used >= self.most and not self.shrink():
             return False
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -17,7 +17,7 @@
 from gevent import socket
 from gevent.event import AsyncResult
 
-from linetrack.control.connection_slots import State
+from linetrack.control.connection_slots import SlotState
 from linetrack.policy.events import Outcome
 from linetrack.server import messages
 from linetrack.server.budget import SMALL
@@ -61,7 +61,7 @@
         "greenlet",
         "held",
         "reader",
-        "seat",
+        "slot",
         "seen",
         "since",
         "sock",
@@ -74,7 +74,7 @@
         self.reader = RequestReader()
         self.whole: deque[ClientRequest] = deque()
         self.seen = clock()  # when the bytes that made them whole were seen; at first, when it was accepted
-        self.seat = clients.places.opened(self.seen)
+        self.slot = clients.slots.open(self.seen)
         self.since = self.seen  # when the limit on the request at hand began
         self.due = self.seen + WITHIN  # when whoever holds it up now is out of time
         self.busy = False  # a request is with the owner or its answer on the way
@@ -165,7 +165,7 @@
                 return False
             self.take(data)
             if not self.whole:
-                self.clients.places.begun(self.seat, self.seen)
+                self.clients.slots.begin_request(self.slot, self.seen)
             if self.reader.open and self.reader.headed and not self._holds_body():
                 self.reader.request.rest = Upload(self)
                 self.whole.append(self.reader.request)
@@ -227,10 +227,10 @@
         """Serve one request; whether the connection is kept."""
         self.busy, self.due = True, NEVER
         if request.path == messages.READY_PATH:
-            self.clients.places.looked(self.seat, clock())
+            self.clients.slots.finish_readiness_check(self.slot, clock())
             return self._answer(request, FinalResponse(200 if self.clients.serving() else 503))
         arrival = self.clients.intake.arrival(request)
-        self.clients.places.asked(self.seat, self.seen)
+        self.clients.slots.receive_request(self.slot, self.seen)
         result: AsyncResult[FinalResponse | None] = AsyncResult()
         gone = partial(self._gone, arrival.request_id, result, request.keep, self.seen)
         self.clients.owner.put(IncomingRequest(request, arrival, result.set, gone), self.seen)
@@ -328,9 +328,9 @@
         if keep:
             now = clock()
             self.since, self.due = now, now + WITHIN
-            if self.seat.state is State.BUSY and not self.reader.open:
-                self.due = NEVER  # the places say when its time is over
-                self.clients.places.rests_now(self.seat, now)
+            if self.slot.state is SlotState.BUSY and not self.reader.open:
+                self.due = NEVER  # the slots decide when it expires
+                self.clients.slots.mark_idle(self.slot, now)
         elif self.reader.open or readable(self.sock):
             # guards against a reset that overtakes the answer, for what comes behind the request
             self._linger()
@@ -340,10 +340,10 @@
         """Whether the connection is kept after this answer."""
         if not request.keep or not request.whole or (self.clients.closing and not self.whole):
             return False
-        if self.seat.state is not State.BUSY or self.whole or self.reader.open:
+        if self.slot.state is not SlotState.BUSY or self.whole or self.reader.open:
             return True
         # guards against closing under a request that came behind this one: it has been taken
-        return self.clients.places.answered(self.seat, clock()) or readable(self.sock)
+        return self.clients.slots.decide_keep_alive(self.slot, clock()) or readable(self.sock)
 
     def _reject(self, status: int) -> None:
         """An answer to what is no request."""
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -13,7 +13,7 @@
 import structlog
 from gevent import socket
 
-from linetrack.control.connection_slots import ConnectionSlots, ConnectionSlot, State
+from linetrack.control.connection_slots import ConnectionSlot, ConnectionSlots, SlotState
 from linetrack.server.budget import Budget
 from linetrack.server.client_connection import WITHIN, ClientConnection, HandedOverError
 from linetrack.server.clock import NEVER, clock
@@ -44,7 +44,7 @@
         self.owner, self.budget, self.serving = owner, budget, serving
         self.whole_seconds = whole_seconds
         self.intake = RequestValidator(owner, classes, deadlines)
-        self.places = ConnectionSlots(budget.callers)
+        self.slots = ConnectionSlots(budget.callers)
         self.open: dict[ConnectionSlot, ClientConnection] = {}
         # whose request is out with something unread behind it, and how to see whether it has left
         self.unread: dict[ClientConnection, Callable[[], bool]] = {}
@@ -98,7 +98,7 @@
 
     def _serve(self, sock: socket.socket) -> ClientConnection:
         client = ClientConnection(sock, self)
-        self.open[client.seat] = client
+        self.open[client.slot] = client
         client.greenlet.start()
         return client
 
@@ -109,27 +109,27 @@
         if answers:
             now = clock()
             client.answers, client.due = answers, NEVER
-            self.places.asked(client.seat, now)
-            self.places.rests_now(client.seat, now)
+            self.slots.receive_request(client.slot, now)
+            self.slots.mark_idle(client.slot, now)
 
     def ended(self, client: ClientConnection) -> None:
-        del self.open[client.seat]
-        self.places.closed(client.seat, clock())
+        del self.open[client.slot]
+        self.slots.close(client.slot, clock())
         self.budget.give_back_client()
 
     def _make_room(self) -> bool:
         """Close the connection that is to make way, where there is one that may."""
-        return self._close_one(self.places.makes_way)
+        return self._close_one(self.slots.select_eviction)
 
     def _close_one(self, which: Callable[[int], ConnectionSlot | None]) -> bool:
         now = clock()
-        while seat := which(now):
-            client = self.open[seat]
-            if seat.state is not State.HALF and not client.idle():
+        while slot := which(now):
+            client = self.open[slot]
+            if slot.state is not SlotState.PARTIAL_REQUEST and not client.idle():
                 # something has come that its greenlet has not read yet
-                self.places.begun(seat, now)
+                self.slots.begin_request(slot, now)
                 continue
-            self.places.closed(seat, now)
+            self.slots.close(slot, now)
             client.out_of_time()
             return True
         return False
@@ -154,7 +154,7 @@
         for client, gone in list(self.unread.items()):
             if gone():
                 self.unread.pop(client, None)
-        while self._close_one(self.places.lets_go):
+        while self._close_one(self.slots.select_expired):
             pass
 
     def refused_input(self, fault: str, status: int) -> None:
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -17,7 +17,9 @@
 from gevent import socket
 
 from linetrack.control.metrics import Metrics
-from linetrack.control.connection_slots import DecayingRate, IdleTimeModel, slot_price
+from linetrack.control.connection_demand import slot_price
+from linetrack.control.decaying_rate import DecayingRate
+from linetrack.control.idle_time_model import IdleTimeModel
 from linetrack.policy.events import EndpointStatus, Outcome
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
@@ -72,7 +74,7 @@
         self.known: dict[str, PooledUpstream] = {}
         # all that rest, the longest first, and the pool that each is in
         self.resting: OrderedDict[Connection, PooledUpstream] = OrderedDict()
-        self.rests, self.dials = IdleTimeModel((None,) * DEPTHS), DecayingRate()
+        self.idle_times, self.dials = IdleTimeModel((None,) * DEPTHS), DecayingRate()
         budget.shrink = self.close_oldest
 
     def set(self, dial_timeout: int, keep_alive: int, fields: tuple[str, ...]) -> None:
@@ -115,8 +117,8 @@
         connection.until = now + self.keep
         if budget.short:
             # guards against idle connections in the places of callers while the upstreams' keep-alive lasts
-            cost = slot_price(budget.used, budget.most, self.dials.of(now))
-            connection.until = now + self.rests.kept(connection.depth, cost, 0, self.keep)[0]
+            cost = slot_price(budget.used, budget.most, self.dials.per_second(now))
+            connection.until = now + self.idle_times.best_keep_time(connection.depth, cost, 0, self.keep).duration
         known.idle.append(connection)
         self.resting[connection] = known
 
@@ -124,7 +126,7 @@
         """Its rest is over, in a use or not."""
         known.idle.remove(connection)
         del self.resting[connection]
-        self.rests.ended(connection.depth, clock() - connection.idle_since, used)
+        self.idle_times.record(connection.depth, clock() - connection.idle_since, used)
 
     def _close_idle(self, known: PooledUpstream) -> None:
         for connection in list(known.idle):
--- /dev/null
+++ b/tests/control/test_connection_slots.py
@@ -0,0 +1,291 @@
+"""Connection slots in simulated time: which connections are kept, evicted or expire, and what clients pay for it."""
+
+import random
+from dataclasses import dataclass
+from enum import Enum, auto
+from heapq import heappop, heappush
+from itertools import count
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from linetrack.control.connection_slots import (
+    MAX_IDLE_US,
+    MIN_IDLE_US,
+    MIN_NEW_US,
+    SECOND,
+    ConnectionSlot,
+    ConnectionSlots,
+    SlotState,
+)
+
+MS = 1000
+EXPIRY_INTERVAL_US = 100 * MS
+RETRY_INTERVAL_US = 5 * MS
+
+
+@dataclass
+class Totals:
+    """What happened in one run of the simulation."""
+
+    requests: int = 0
+    connections: int = 0
+    rejections: int = 0  # requests that found no slot at first
+    closed_with_response: int = 0
+    evictions: int = 0
+    longest_wait: int = 0  # microseconds that a client without a slot had to wait
+
+
+class Step(Enum):
+    """What is due next for a client."""
+
+    REQUEST_ONCE = auto()
+    REQUEST_AGAIN = auto()
+    RESPONSE_TO_ONE_TIME_CLIENT = auto()
+    RESPONSE_TO_STEADY_CLIENT = auto()
+
+
+@dataclass(frozen=True)
+class Workload:
+    one_time_rate: float = 0.0  # one-time clients per second
+    gap: int = 0  # microseconds between a steady client's requests, on average
+    service_time: int = 0  # microseconds
+
+
+class ClientSimulation:
+    """Clients that hold at most `capacity` connections together, and a server that keeps them by `ConnectionSlots`.
+
+    An independent model of both ends: one-time clients never use a connection again and leave it open, steady ones
+    use what they have, each with one request at a time and a gap between them.
+    """
+
+    def __init__(self, capacity: int, seed: int) -> None:
+        self.slots = ConnectionSlots(capacity)
+        self.capacity = capacity
+        self.random = random.Random(seed)
+        self.now = SECOND
+        self.expired_at = 0
+        self.order = count()
+        self.open: set[ConnectionSlot] = set()
+        self.totals = Totals()
+        self.run_number = 0
+        self.workload = Workload()
+        self.schedule: list[tuple[int, int, int, Step, ConnectionSlot | None, int]] = []
+
+    def run(
+        self,
+        duration: int,
+        one_time_rate: float,
+        steady_clients: int,
+        gap: int = 200 * MS,
+        service_time: int = 10 * MS,
+    ) -> Totals:
+        """Replace the clients and run for `duration`.
+
+        Clients of earlier runs still get their responses, and then are silent.
+        """
+        self.run_number += 1
+        self.workload = Workload(one_time_rate, gap, service_time)
+        if one_time_rate:
+            self._schedule(0, Step.REQUEST_ONCE)
+        for _ in range(steady_clients):
+            self._schedule(self.random.uniform(0, gap), Step.REQUEST_AGAIN)
+        return self.run_on(duration)
+
+    def run_on(self, duration: int) -> Totals:
+        """Run for `duration` more, with the same clients."""
+        self.totals = Totals()
+        end = self.now + duration
+        while self.schedule and self.schedule[0][0] <= end:
+            self.now, _, run_number, step, slot, waiting_since = heappop(self.schedule)
+            self._expire()
+            if step in (Step.RESPONSE_TO_ONE_TIME_CLIENT, Step.RESPONSE_TO_STEADY_CLIENT):
+                assert slot is not None
+                self._respond(run_number, step, slot)
+            elif run_number == self.run_number:
+                self._request(step, slot, waiting_since)
+        self.now = end
+        return self.totals
+
+    def _schedule(
+        self, delay: float, step: Step, slot: ConnectionSlot | None = None, waiting_since: int = 0
+    ) -> None:
+        due = self.now + int(delay)
+        heappush(self.schedule, (due, next(self.order), self.run_number, step, slot, waiting_since))
+
+    def _expire(self) -> None:
+        if self.now >= self.expired_at + EXPIRY_INTERVAL_US:
+            self.expired_at = self.now
+            while slot := self.slots.select_expired(self.now):
+                self._close(slot)
+
+    def _respond(self, run_number: int, step: Step, slot: ConnectionSlot) -> None:
+        is_kept = self.slots.decide_keep_alive(slot, self.now)
+        if is_kept:
+            self.slots.mark_idle(slot, self.now)
+        else:
+            self.totals.closed_with_response += 1
+            self._close(slot)
+        if step is Step.RESPONSE_TO_STEADY_CLIENT and run_number == self.run_number:
+            gap = self.workload.gap
+            next_gap = self.random.uniform(gap / 2, gap * 1.5)
+            self._schedule(next_gap, Step.REQUEST_AGAIN, slot if is_kept else None)
+
+    def _request(self, step: Step, slot: ConnectionSlot | None, waiting_since: int) -> None:
+        if step is Step.REQUEST_ONCE and not waiting_since:
+            interval = self.random.expovariate(self.workload.one_time_rate) * SECOND
+            self._schedule(interval, Step.REQUEST_ONCE)
+        if slot is None or slot not in self.open:
+            slot = self._connect()
+        if slot is None:
+            since = waiting_since or self.now
+            self.totals.rejections += not waiting_since
+            self._schedule(RETRY_INTERVAL_US, step, None, since)
+            self.totals.longest_wait = max(self.totals.longest_wait, self.now - since)
+            return
+        self.totals.requests += 1
+        self.slots.receive_request(slot, self.now)
+        is_steady = step is Step.REQUEST_AGAIN
+        response = Step.RESPONSE_TO_STEADY_CLIENT if is_steady else Step.RESPONSE_TO_ONE_TIME_CLIENT
+        self._schedule(self.workload.service_time, response, slot)
+
+    def _connect(self) -> ConnectionSlot | None:
+        if len(self.open) >= self.capacity and (evicted := self.slots.select_eviction(self.now)):
+            self._close(evicted)
+            self.totals.evictions += 1
+        if len(self.open) >= self.capacity:
+            return None
+        slot = self.slots.open(self.now)
+        self.open.add(slot)
+        self.totals.connections += 1
+        return slot
+
+    def _close(self, slot: ConnectionSlot) -> None:
+        self.slots.close(slot, self.now)
+        self.open.discard(slot)
+
+
+# --- Mixes of clients --------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("capacity", [20, 128, 341])
+def test_one_time_clients_always_find_a_slot(capacity: int) -> None:
+    # connections that are never used again must not keep all the slots
+    totals = ClientSimulation(capacity, 1).run(20 * SECOND, one_time_rate=2.0 * capacity, steady_clients=0)
+    assert totals.requests > 30 * capacity
+    assert totals.rejections < totals.requests / 50 and totals.longest_wait <= MIN_IDLE_US
+    assert totals.evictions < totals.requests / 50
+
+
+@pytest.mark.parametrize("share", [0.3, 0.9, 1.0])
+def test_steady_clients_keep_their_connections(share: float) -> None:
+    simulation = ClientSimulation(128, 2)
+    simulation.run(5 * SECOND, one_time_rate=0, steady_clients=int(128 * share))
+    totals = simulation.run_on(20 * SECOND)
+    assert totals.requests > 3000
+    assert totals.closed_with_response <= totals.requests / 100 and not totals.rejections
+
+
+def test_steady_clients_keep_their_connections_among_one_time_clients() -> None:
+    simulation = ClientSimulation(128, 3)
+    simulation.run(5 * SECOND, one_time_rate=200, steady_clients=40)
+    totals = simulation.run_on(20 * SECOND)
+    steady_requests = totals.requests - 200 * 20
+    # each one-time client needs a connection of its own; any more replace a closed one of a steady client
+    assert totals.connections - 200 * 20 < steady_requests / 10
+    assert totals.rejections < totals.requests / 50
+
+
+def test_a_change_of_the_mix_is_learnt_within_seconds() -> None:
+    simulation = ClientSimulation(128, 4)
+    simulation.run(10 * SECOND, one_time_rate=0, steady_clients=100)
+    one_time = simulation.run(10 * SECOND, one_time_rate=400, steady_clients=0)
+    assert one_time.longest_wait <= MIN_IDLE_US + 50 * MS and one_time.rejections < one_time.requests / 20
+    simulation.run(3 * SECOND, one_time_rate=0, steady_clients=100)
+    steady = simulation.run_on(5 * SECOND)
+    assert steady.closed_with_response < steady.requests / 50
+
+
+def test_long_gaps_are_learnt_where_slots_are_free() -> None:
+    # clients that return after seconds are kept that long once some have shown that they do
+    simulation = ClientSimulation(128, 5)
+    simulation.run(60 * SECOND, one_time_rate=0, steady_clients=20, gap=1500 * MS)
+    simulation.run(120 * SECOND, one_time_rate=0, steady_clients=20, gap=3 * SECOND)
+    totals = simulation.run_on(60 * SECOND)
+    assert totals.connections < totals.requests / 4
+
+
+def test_busy_connections_are_never_evicted_and_slots_recover_afterwards() -> None:
+    simulation = ClientSimulation(64, 6)
+    stalled = simulation.run(5 * SECOND, one_time_rate=300, steady_clients=0, service_time=4 * SECOND)
+    assert stalled.requests <= 64 * 2 and not stalled.evictions
+    simulation.run(5 * SECOND, one_time_rate=100, steady_clients=0)
+    totals = simulation.run_on(10 * SECOND)
+    assert totals.rejections < totals.requests / 50
+
+
+# --- Order of eviction -------------------------------------------------------------------------------
+
+
+@given(st.lists(st.tuples(st.sampled_from(["open", "begin", "ask", "end", "close"]), st.integers(0, 30))))
+def test_only_evictable_slots_are_selected_and_the_counts_hold(steps: list[tuple[str, int]]) -> None:
+    slots = ConnectionSlots(8)
+    opened: list[ConnectionSlot] = []
+    now = SECOND
+    for step, number in steps:
+        now += number * 97 * MS
+        if step == "open":
+            opened.append(slots.open(now))
+        elif opened:
+            slot = opened[number % len(opened)]
+            if step == "begin" and slot.state is not SlotState.BUSY:
+                slots.begin_request(slot, now)
+            elif step == "ask" and slot.state not in (SlotState.BUSY, SlotState.CLOSED):
+                slots.receive_request(slot, now)
+            elif step == "end" and slot.state is SlotState.BUSY:
+                is_kept = slots.decide_keep_alive(slot, now)
+                (slots.mark_idle if is_kept else slots.close)(slot, now)
+            elif step == "close":
+                slots.close(slot, now)
+        states = [slot.state for slot in opened]
+        assert slots.busy_count == states.count(SlotState.BUSY)
+        assert slots.occupied_count == slots.busy_count + states.count(SlotState.IDLE)
+        assert 0 <= slots.trial_count <= 1
+        assert sum(slot.is_on_trial for slot in opened) == slots.trial_count
+        selected = slots.select_eviction(now)
+        if selected is not None:
+            age = now - selected.state_since
+            assert selected.state in (SlotState.NEW, SlotState.IDLE, SlotState.PARTIAL_REQUEST)
+            assert age >= MIN_NEW_US
+            assert selected.state is not SlotState.IDLE or age >= MIN_IDLE_US
+            same_state = [slot for slot in opened if slot.state is selected.state]
+            assert selected.state_since == min(slot.state_since for slot in same_state)
+    for slot in opened:
+        slots.close(slot, now)
+        slots.close(slot, now)
+    assert slots.occupied_count == slots.trial_count == 0
+    assert slots.select_eviction(now + MAX_IDLE_US) is None
+
+
+def test_connections_without_a_request_are_evicted_first() -> None:
+    slots = ConnectionSlots(8)
+    idle, new, partial = (slots.open(SECOND) for _ in range(3))
+    slots.receive_request(idle, SECOND)
+    assert slots.decide_keep_alive(idle, SECOND)
+    slots.mark_idle(idle, SECOND)
+    slots.begin_request(partial, SECOND)
+    order = []
+    while selected := slots.select_eviction(10 * SECOND):
+        order.append(selected)
+        slots.close(selected, 10 * SECOND)
+    assert order == [new, idle, partial]
+
+
+def test_a_readiness_check_is_no_request() -> None:
+    slots = ConnectionSlots(8)
+    slot = slots.open(SECOND)
+    slots.begin_request(slot, SECOND)
+    slots.finish_readiness_check(slot, SECOND)
+    assert slot.state is SlotState.NEW and not slots.occupied_count
+    assert slots.select_eviction(SECOND + MIN_NEW_US) is slot
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -269,10 +269,10 @@
         node.clients.look(client.due)
     else:
         later = clock() + 10 * SECOND
-        while seat := node.clients.places.makes_way(later):
-            assert seat is client.seat
+        while slot := node.clients.slots.select_eviction(later):
+            assert slot is client.slot
             assert not client.idle()
-            node.clients.places.begun(seat, later)
+            node.clients.slots.begin_request(slot, later)
     assert wire.recv(65536).startswith(b"HTTP/1.1 200")
 
 
