--- a/linetrack/server/admin.py
+++ b/linetrack/server/admin.py
@@ -14,8 +14,8 @@
 from gevent import socket
 
 from linetrack.server.clock import clock
-from linetrack.server.connection import READ_SIZE, is_transient_accept_error
 from linetrack.server.messages import ClientRequest, MalformedError, RequestReader, encode_response
+from linetrack.server.sockets import READ_SIZE, is_transient_accept_error
 
 log = structlog.get_logger()
 
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -22,9 +22,10 @@
 from linetrack.server import messages
 from linetrack.server.budget import SMALL
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import READ_SIZE, PeerState, ResponseStream, peer_state, readable, write
 from linetrack.server.messages import ClientRequest, Framing, MalformedError, RequestReader
-from linetrack.server.dispatcher import FinalResponse, DisconnectedClient, IncomingRequest
+from linetrack.server.dispatcher import DisconnectedClient, FinalResponse, IncomingRequest
+from linetrack.server.response_stream import ResponseStream
+from linetrack.server.sockets import READ_SIZE, PeerState, is_readable, peer_state, write
 
 if TYPE_CHECKING:
     from linetrack.server.listener import Listener
@@ -86,7 +87,7 @@
 
     def idle(self) -> bool:
         """Between requests, as far as can be seen."""
-        return not self.busy and not self.reader.open and not readable(self.sock)
+        return not self.busy and not self.reader.open and not is_readable(self.sock)
 
     @property
     def clean(self) -> bool:
@@ -289,18 +290,18 @@
 
     def _stream_answer(self, request: ClientRequest, stream: ResponseStream, keep: bool) -> bool:
         """Write a long answer as it comes; whether it went out whole."""
-        how, outcome = messages.framing(stream.length, request.old), Outcome.CANCELLED
+        how, outcome = messages.framing(stream.content_length, request.old), Outcome.CANCELLED
         keep = keep and how is not Framing.CLOSE
         try:
             self.due = clock() + TAKES
             write(
                 self.sock,
-                messages.encode_response_head(how, stream.length, keep, stream.content_type, request.old),
+                messages.encode_response_head(how, stream.content_length, keep, stream.content_type, request.old),
             )
             while True:
                 self.due = NEVER  # the upstream has a limit of its own
                 try:
-                    parts = stream.next()
+                    parts = stream.read_chunks()
                 except (OSError, MalformedError) as fault:
                     outcome = Outcome.RESET
                     log.warning("answer_broke_off", fault=str(fault))
@@ -318,7 +319,7 @@
             outcome = Outcome.SUCCESS
             return how is not Framing.CLOSE
         finally:
-            stream.end(outcome)
+            stream.finish(outcome)
 
     def _finish_answer(self, keep: bool) -> bool:
         """The answer has gone."""
@@ -331,7 +332,7 @@
             if self.slot.state is SlotState.BUSY and not self.reader.open:
                 self.due = NEVER  # the slots decide when it expires
                 self.clients.slots.mark_idle(self.slot, now)
-        elif self.reader.open or readable(self.sock):
+        elif self.reader.open or is_readable(self.sock):
             # guards against a reset that overtakes the answer, for what comes behind the request
             self._linger()
         return keep
@@ -343,7 +344,7 @@
         if self.slot.state is not SlotState.BUSY or self.whole or self.reader.open:
             return True
         # guards against closing under a request that came behind this one: it has been taken
-        return self.clients.slots.decide_keep_alive(self.slot, clock()) or readable(self.sock)
+        return self.clients.slots.decide_keep_alive(self.slot, clock()) or is_readable(self.sock)
 
     def _reject(self, status: int) -> None:
         """An answer to what is no request."""
--- a/linetrack/server/clock.py
+++ b/linetrack/server/clock.py
@@ -1,17 +1,19 @@
-"""The program's one clock.
+"""The program's one clock: whatever happens on sockets is stamped with it.
 
-Owns the time that everything on sockets is stamped with.  Must never go back, nor be read by decision code.
+Decision code never reads it; it is given the moments.
 """
 
 import time
 from time import monotonic_ns
 
-#: Module time is Unix time in microseconds as of this process's start, and runs on monotonically: discovery's
-#: start times need no translation, and the clock never goes back when the machine's is set.
-_START = time.time_ns() - time.monotonic_ns()
+#: Time is Unix time in microseconds as of the process's start, and advances monotonically from there: the start times
+#: that discovery reports need no translation, and the clock does not jump when the machine's clock is set.
+_UNIX_TIME_OFFSET_NS = time.time_ns() - time.monotonic_ns()
 
-NEVER = 2**63  # no time of ours
+#: Later than any moment.
+NEVER = 2**63
 
 
 def clock() -> int:
-    return (_START + monotonic_ns()) // 1000
+    """The present moment, in microseconds."""
+    return (_UNIX_TIME_OFFSET_NS + monotonic_ns()) // 1000
--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -1,154 +1,108 @@
-"""One connection out, to an upstream or to discovery: dialled, read for whole answers, looked at.
+"""One outgoing connection, to an upstream or to discovery: connecting, and reading one response at a time.
 
-Owns how a socket is dialled and read.  Must never know who is on the other side, nor when to dial or give up.
+It does not know who is on the other side, nor when to connect or to give up.
 """
 
 from __future__ import annotations
 
-import errno
-import select
 from collections.abc import Callable
-from enum import Enum
 
 from gevent import socket
-from gevent.event import AsyncResult
 
-from linetrack.policy.events import Outcome
-from linetrack.server.messages import Response, ResponseReader, MalformedError
-
-READ_SIZE = 64 * 1024
+from linetrack.server import sockets
+from linetrack.server.messages import MalformedError, Response, ResponseReader
 
 
 class StalledError(MalformedError):
-    """An answer has begun and then stood still."""
+    """A response has begun, and then nothing of it arrived for `timeout` seconds."""
+
+    def __init__(self, timeout: float) -> None:
+        super().__init__("the response stalled")
+        self.timeout = timeout
 
 
 class Connection:
-    __slots__ = ("address", "depth", "idle_since", "reader", "sock", "until")
+    """A TCP connection that carries one request and its response at a time.
+
+    Args:
+        address: Of the other side.
+        max_body_bytes: Of a response.
+        max_buffered_bytes: Up to which a response's body is held until it is complete.
+    """
 
-    def __init__(self, address: tuple[str, int], most_body: int, held: int) -> None:
+    __slots__ = ("address", "idle_depth", "idle_since", "idle_until", "reader", "sock")
+
+    def __init__(self, address: tuple[str, int], max_body_bytes: int, max_buffered_bytes: int) -> None:
         self.address = address
-        self.reader = ResponseReader(most_body, held)
-        # while it rests: since when, until when, and how many rested beside it
-        self.idle_since = self.until = self.depth = 0
+        self.reader = ResponseReader(max_body_bytes, max_buffered_bytes)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        # set by the pool while the connection is idle
+        self.idle_since = 0
+        self.idle_until = 0
+        self.idle_depth = 0  # how many connections were idle beside it
 
-    def dial(self, within: float) -> None:
-        """Connect, in so many seconds; closed where that fails."""
+    def connect(self, timeout: float) -> None:
+        """Connect within so many seconds; the connection is closed where that fails."""
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.sock.settimeout(within)
+            self.sock.settimeout(timeout)
             self.sock.connect(self.address)
-            # guards against the dial's time-out ending each read that is quiet for longer
+            # A response may take longer to begin than a connection may to be established.
             self.sock.settimeout(None)
         except BaseException:
             self.close()
             raise
 
     def close(self) -> None:
+        """Close the socket and free the parser."""
         self.sock.close()
         self.reader.close()
 
     def write(self, data: bytes | bytearray) -> None:
-        write(self.sock, data)
+        """Write all of it, waiting where needed."""
+        sockets.write(self.sock, data)
+
+    def read_response(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
+        """Wait for the response: a complete one, or a long one that has begun.
 
-    def read(self, within: float, room: Callable[[int], None]) -> Response | None:
-        """The answer, whole, or a long one that has begun; None where the connection ended first.  `room` is
-        told once of one that is large.
+        A response that has begun and then stalls would otherwise hold the connection and its request for as long as
+        the client waits.
 
-        Guards against an answer that has begun and then stands still for so many seconds: it would hold the
-        connection and its request for as long as the client waits.
+        Args:
+            stall_timeout: Seconds for which a response that has begun may stand still.
+            on_large_body: Called once, with the size of the body, where it does not arrive with its head.
+
+        Returns:
+            None where the connection ended first.
+
+        Raises:
+            StalledError: The response stood still.
+            MalformedError: It is no response.
+            OSError: The connection failed.
         """
         reader = self.reader
-        data = self.sock.recv(READ_SIZE)
-        answer = reader.feed(data) if data else reader.finish()
-        if answer is None and data and not reader.long:
-            told = False
-            self.sock.settimeout(within)
-            while answer is None and data and not reader.long:
-                if reader.answer is not None and not told:
-                    told = True
-                    room(reader.held if reader.answer.length is None else reader.answer.length)
-                try:
-                    data = self.sock.recv(READ_SIZE)
-                except TimeoutError:
-                    raise StalledError("the answer stands still") from None
-                answer = reader.feed(data) if data else reader.finish()
-            self.sock.settimeout(None)
-        return answer or (reader.answer if reader.long else None)
-
-
-class ResponseStream:
-    """A long answer on its way: whoever writes it to the client reads it here, and says how it ended."""
-
-    def __init__(
-        self, connection: Connection, answer: Response, within: float, piece: Callable[[], int]
-    ) -> None:
-        """`within` is how many seconds the upstream may give nothing; `piece` tells how many bytes to read at
-        once."""
-        self.connection, self.piece = connection, piece
-        self.length, self.content_type = answer.length, answer.content_type
-        self.over: AsyncResult[Outcome] = AsyncResult()
-        connection.sock.settimeout(within)
-
-    def next(self) -> list[bytes | bytearray]:
-        """Wait for what comes next; nothing once the answer is whole.  An OSError or a MalformedError where
-        it breaks off."""
-        reader = self.connection.reader
-        while not (parts := reader.take()) and reader.whole is None:
-            data = self.connection.sock.recv(self.piece())
-            if data:
-                reader.feed(data)
-            elif reader.finish() is None:
-                raise ConnectionResetError("the answer ended short")
-        return parts
-
-    def end(self, outcome: Outcome) -> None:
-        """How it ended; what is said first holds."""
-        if not self.over.ready():
-            self.over.set(outcome)
-
-
-def write(sock: socket.socket, data: bytes | bytearray) -> None:
-    """All of it, waiting where need be; as a rule it fits the socket's buffer and goes in one step, without
-    what `sendall` prepares for the rest."""
-    sent = sock.send(data)
-    if sent < len(data):
-        sock.sendall(memoryview(data)[sent:])
-
-
-def is_transient_accept_error(fault: OSError) -> bool:
-    """Whether what kept a connection from being accepted passes: no descriptor or memory left, or one
-    that left the backlog.  Guards against a process that ends, or a listener that dies, of it."""
-    return fault.errno in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ECONNABORTED)
-
-
-def _shows(sock: socket.socket, events: int) -> int:
-    """Which of these have come, without waiting, also that the connection is broken; a socket already closed
-    here shows all of them."""
-    if sock.fileno() < 0:
-        return events | select.POLLHUP
-    poll = select.poll()
-    poll.register(sock.fileno(), events | select.POLLHUP | select.POLLERR)
-    return sum(shown for _, shown in poll.poll(0))
-
-
-def readable(sock: socket.socket) -> bool:
-    """Whether a read would not wait: bytes or the end have come, or the socket is already closed here."""
-    return bool(_shows(sock, select.POLLIN))
-
-
-class PeerState(Enum):
-    """What the other side of a connection has done with it, whatever it sent before."""
-
-    OPEN = "open"
-    HALF_CLOSED = "sends no more: it may have closed, or may still read"
-    BROKEN = "nothing can be sent to it any more"
-
-
-def peer_state(sock: socket.socket) -> PeerState:
-    """As far as can be seen without waiting."""
-    shown = _shows(sock, select.POLLRDHUP)
-    if shown & ~select.POLLRDHUP:
-        return PeerState.BROKEN
-    return PeerState.HALF_CLOSED if shown else PeerState.OPEN
+        data = self.sock.recv(sockets.READ_SIZE)
+        response = reader.feed(data) if data else reader.finish()
+        if response is None and data and not reader.long:
+            response = self._read_rest(stall_timeout, on_large_body)
+        return response or (reader.answer if reader.long else None)
+
+    def _read_rest(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
+        """Read on until the response is complete or long, or the connection ends."""
+        reader = self.reader
+        response: Response | None = None
+        has_more = True
+        is_reported = False
+        self.sock.settimeout(stall_timeout)
+        while response is None and has_more and not reader.long:
+            if reader.answer is not None and not is_reported:
+                is_reported = True
+                on_large_body(reader.held if reader.answer.length is None else reader.answer.length)
+            try:
+                data = self.sock.recv(sockets.READ_SIZE)
+            except TimeoutError:
+                raise StalledError(stall_timeout) from None
+            has_more = bool(data)
+            response = reader.feed(data) if data else reader.finish()
+        self.sock.settimeout(None)
+        return response
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -157,7 +157,7 @@
         try:
             # guards against ending with the process where no descriptor is left
             line = Connection(self.address, messages.MOST_LIST, messages.MOST_LIST)
-            line.dial(poll.connect_timeout / SECOND)
+            line.connect(poll.connect_timeout / SECOND)
         except OSError as fault:
             raise PollError(PollFailure.UNREACHABLE, fault) from None
         return line
@@ -176,7 +176,7 @@
                 socket.wait_read(line.sock.fileno())
             fault = PollFailure.TRUNCATED
             with gevent.Timeout(poll.transfer_timeout / SECOND, TimeoutError("the answer takes too long")):
-                answer = line.read(poll.stall_timeout / SECOND, lambda size: None)
+                answer = line.read_response(poll.stall_timeout / SECOND, lambda size: None)
         except TimeoutError as late:
             raise PollError(fault, late) from None
         except OSError as broken:
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -43,7 +43,7 @@
 from linetrack.policy.settings import Settings
 from linetrack.control.metrics import RequestOutcome, Metrics
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import ResponseStream
+from linetrack.server.response_stream import ResponseStream
 from linetrack.server.messages import Response, ClientRequest
 
 log = structlog.get_logger()
@@ -273,7 +273,7 @@
                     self.figures.left += 1
                     self._handle(seen, ClientDisconnected(number))
                     if open_.stream is not None:
-                        open_.stream.end(Outcome.CANCELLED)
+                        open_.stream.finish(Outcome.CANCELLED)
                     self._forget(open_)
             case SentBody(attempt):
                 self._sent(seen, attempt)
@@ -300,7 +300,7 @@
         """An attempt's answer has begun: it is the answer, unless the request has one."""
         open_ = attempt.open
         if open_.over or attempt.ended or open_.stream is not None:
-            stream.end(Outcome.CANCELLED)
+            stream.finish(Outcome.CANCELLED)
             return
         attempt.begun, open_.stream = True, stream
         open_.reply(FinalResponse(200, content_type=stream.content_type, stream=stream))
--- a/linetrack/server/hot_restart_channel.py
+++ b/linetrack/server/hot_restart_channel.py
@@ -25,7 +25,7 @@
 
 from linetrack.control.hot_restart import NEVER, VERSION, Command, Identity, SuccessorStateMachine, PredecessorStateMachine
 from linetrack.server.clock import clock
-from linetrack.server.connection import is_transient_accept_error
+from linetrack.server.sockets import is_transient_accept_error
 
 log = structlog.get_logger()
 
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -17,9 +17,9 @@
 from linetrack.server.budget import Budget
 from linetrack.server.client_connection import WITHIN, ClientConnection, HandedOverError
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import is_transient_accept_error, readable
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.request_validation import RequestValidator
+from linetrack.server.sockets import is_readable, is_transient_accept_error
 
 log = structlog.get_logger()
 
@@ -74,7 +74,7 @@
             # guards against one connection a turn of the event loop, which is long when there is much to do:
             # those that wait longest give up and come again
             for _ in range(AT_ONCE):
-                if not readable(self.listener):
+                if not is_readable(self.listener):
                     break
                 while not self.budget.take_client():
                     gevent.sleep(0 if self._make_room() else ROOM_WAIT)
@@ -149,7 +149,7 @@
         """Close whoever is out of time or no longer worth a place, and see who has left."""
         for client in [client for client in self.open.values() if client.due <= now]:
             # guards against closing under what has come in the very moment in which its time was over
-            if client.busy or client.reader.open or not readable(client.sock):
+            if client.busy or client.reader.open or not is_readable(client.sock):
                 client.out_of_time()
         for client, gone in list(self.unread.items()):
             if gone():
@@ -177,7 +177,7 @@
         time until the process's end for one of them to make way."""
         assert self.listener is not None
         self.listener.setblocking(False)
-        while readable(self.listener) and clock() < self.owner.ends:
+        while is_readable(self.listener) and clock() < self.owner.ends:
             if not self.budget.take_client():
                 gevent.sleep(0 if self._make_room() else ROOM_WAIT)
                 continue
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -23,7 +23,7 @@
 from linetrack.policy.events import EndpointStatus, Outcome
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import Connection, ResponseStream, readable
+from linetrack.server.connection import Connection
 from linetrack.server.messages import (
     HELD,
     LAST_CHUNK,
@@ -36,6 +36,8 @@
     encode_request,
     parse_load_report,
 )
+from linetrack.server.response_stream import ResponseStream
+from linetrack.server.sockets import is_readable
 from linetrack.server.dispatcher import Attempt, FinishedAttempt, SentBody, StartedResponse
 
 log = structlog.get_logger()
@@ -112,13 +114,13 @@
 
     def _rest(self, connection: Connection, known: PooledUpstream, now: int) -> None:
         """A connection whose answer has come whole waits for its next use, while that is worth it."""
-        connection.idle_since, connection.depth = now, min(len(known.idle), DEPTHS - 1)
+        connection.idle_since, connection.idle_depth = now, min(len(known.idle), DEPTHS - 1)
         budget = self.budget
-        connection.until = now + self.keep
+        connection.idle_until = now + self.keep
         if budget.short:
             # guards against idle connections in the places of callers while the upstreams' keep-alive lasts
             cost = slot_price(budget.used, budget.most, self.dials.per_second(now))
-            connection.until = now + self.idle_times.best_keep_time(connection.depth, cost, 0, self.keep).duration
+            connection.idle_until = now + self.idle_times.best_keep_time(connection.idle_depth, cost, 0, self.keep).duration
         known.idle.append(connection)
         self.resting[connection] = known
 
@@ -126,7 +128,7 @@
         """Its rest is over, in a use or not."""
         known.idle.remove(connection)
         del self.resting[connection]
-        self.idle_times.record(connection.depth, clock() - connection.idle_since, used)
+        self.idle_times.record(connection.idle_depth, clock() - connection.idle_since, used)
 
     def _close_idle(self, known: PooledUpstream) -> None:
         for connection in list(known.idle):
@@ -161,7 +163,7 @@
         while True:
             gevent.sleep(SWEEP)
             now = clock()
-            for connection, known in [item for item in self.resting.items() if item[0].until < now]:
+            for connection, known in [item for item in self.resting.items() if item[0].idle_until < now]:
                 self._leave(connection, known, False)
                 self._close(connection)
 
@@ -175,7 +177,7 @@
             connection = known.idle[at]
             at -= 1
             # guards against a stale connection: readable means closed, or an answer that nobody asked for
-            sound = connection.idle_since >= now - self.keep and not readable(connection.sock)
+            sound = connection.idle_since >= now - self.keep and not is_readable(connection.sock)
             self._leave(connection, known, sound)
             if sound:
                 return connection
@@ -229,7 +231,7 @@
                 self.tell(SentBody(attempt), attempt.sent)
             written = True
             self.figures.relayed += 1
-            answer = connection.read(self.dial_timeout / 1_000_000, room)
+            answer = connection.read_response(self.dial_timeout / 1_000_000, room)
             seen = clock()
             if answer is None:
                 self._finish(attempt, Outcome.RESET, seen=seen)
@@ -275,7 +277,7 @@
         self.budget.streams += 1
         try:
             while parts := request.rest.next():
-                if readable(connection.sock):
+                if is_readable(connection.sock):
                     # an answer ahead of the request's end, or a close: it has not run
                     self._finish(attempt, Outcome.CONNECT_FAILED)
                     return False
@@ -294,7 +296,7 @@
         self.budget.streams += 1
         try:
             self.tell(StartedResponse(attempt, latency, stream), seen)
-            outcome = stream.over.get()
+            outcome = stream.outcome.get()
         finally:
             self.budget.streams -= 1
         connection.sock.settimeout(None)
@@ -321,7 +323,7 @@
             connection = Connection(known.address, MOST_BODY, HELD)
             attempt.sock = connection.sock
             self.dials.add(clock())
-            connection.dial(self.dial_timeout / 1_000_000)
+            connection.connect(self.dial_timeout / 1_000_000)
             return connection
         except BaseException:
             self.budget.give_back()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -33,11 +33,12 @@
 from linetrack.server.listener import Listener
 from linetrack.server.clock import clock
 from linetrack.server.config import config_of
-from linetrack.server.connection import Connection, readable
+from linetrack.server.connection import Connection
 from linetrack.server.hot_restart_channel import Predecessor, Successor
 from linetrack.server.messages import EndpointRecord, address
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.lifecycle import Sidecar
+from linetrack.server.sockets import is_readable
 from linetrack.server.upstream_pool import REST, UpstreamPool
 from tests.stand_ins import (
     MS,
@@ -366,7 +367,7 @@
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
     turns_until(lambda: node.budget.used == 1)
     assert node.policy.ends() == [Outcome.TIMEOUT] and not node.upstreams.known["a"].idle
-    assert not readable(wire)
+    assert not is_readable(wire)
     node.server.script = lambda message, wire: answer(b"next")
     node.send(node.ask(wire))
     assert wire.recv(65536).endswith(b"next")
@@ -380,10 +381,10 @@
     wire = node.connect()
     number = node.ask(wire)
     sock = client_side(node).sock
-    dial = Connection.dial
+    connect = Connection.connect
 
-    def crossing(self: Connection, within: float) -> None:
-        dial(self, within)
+    def crossing(self: Connection, timeout: float) -> None:
+        connect(self, timeout)
         (attempt,) = node.owner.open[number].attempts
         if ends == "given up":
             attempt.ended = True
@@ -394,7 +395,7 @@
             wire.close()
             shows(sock, select.POLLRDHUP)
 
-    monkeypatch.setattr(Connection, "dial", crossing)
+    monkeypatch.setattr(Connection, "connect", crossing)
     node.send(number)
     turns_until(lambda: node.server.closed == 1)
     turns_until(lambda: node.budget.used == node.budget.clients)
@@ -431,7 +432,7 @@
 ) -> None:
     wire = node.connect()
     number = node.ask(wire)
-    called = fails_once(monkeypatch, Connection, "dial")
+    called = fails_once(monkeypatch, Connection, "connect")
     node.send(number)
     turns_until(node.policy.ends)
     assert called and node.policy.ends() == [Outcome.CONNECT_FAILED] and node.budget.used == 1
@@ -490,7 +491,7 @@
     try:
         idlers = [node.connect() for _ in range(30)]
         assert node.clients.listener is not None
-        turns_until(lambda: node.budget.used >= 4 and readable(node.clients.listener))
+        turns_until(lambda: node.budget.used >= 4 and is_readable(node.clients.listener))
         wire = node.connect()
         node.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
         wire.sendall(call(expires="20.0"))
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -15,7 +15,7 @@
 from linetrack.server.budget import CLIENT_KB, FEWEST, PROGRAM_MB, Budget
 from linetrack.server.listener import Listener
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import readable
+from linetrack.server.sockets import is_readable
 from linetrack.server.messages import ClientRequest
 from linetrack.server.dispatcher import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
@@ -159,7 +159,7 @@
     began = clock()
     data = iter(call(body=b"x" * 10_000))
     with gevent.Timeout(PATIENCE), contextlib.suppress(OSError):
-        while not readable(wire):
+        while not is_readable(wire):
             wire.sendall(bytes([next(data)]))
             gevent.sleep(0.01)
     assert wire.recv(65536).startswith(b"HTTP/1.1 408") and wire.recv(1) == b""
@@ -203,7 +203,7 @@
     late = connect(clients)
     late.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
     assert late.recv(65536).startswith(b"HTTP/1.1 200")
-    assert not readable(asking) and readable(silent[0])
+    assert not is_readable(asking) and is_readable(silent[0])
     ask(clients, asking)
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from linetrack.server.connection import readable
+from linetrack.server.sockets import is_readable
 from tests.stand_ins import (
     MS,
     ROOT,
@@ -363,7 +363,7 @@
     held: list[Wire] = []
     with world as sidecar:
         for _ in range(400):
-            held = [wire for wire in held if not readable(wire.sock)]
+            held = [wire for wire in held if not is_readable(wire.sock)]
             assert len(held) < 64
             held.append(sidecar.connect())
             held[-1].sock.sendall(call())
@@ -385,7 +385,7 @@
             for _ in range(3):
                 reply = wires[-1].read()
                 assert reply and reply.status == 200
-        assert any(readable(wire.sock) for wire in wires)
+        assert any(is_readable(wire.sock) for wire in wires)
         for wire in wires:
             wire.sock.close()
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -12,7 +12,8 @@
 from linetrack.server import upstream_pool as upstreams_module
 from linetrack.server.budget import COPIES, RESERVE, Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import ResponseStream, readable
+from linetrack.server.response_stream import ResponseStream
+from linetrack.server.sockets import is_readable
 from linetrack.server.messages import ClientRequest, MalformedError, EndpointRecord, address
 from linetrack.server.dispatcher import Attempt, FinishedAttempt, ActiveRequest, SentBody, StartedResponse
 from linetrack.server.upstream_pool import REST, UpstreamPool
@@ -48,11 +49,11 @@
     def take(self, stream: ResponseStream) -> None:
         """In the client's place: a long answer, to its end."""
         try:
-            while stream.next():
+            while stream.read_chunks():
                 pass
         except (OSError, MalformedError):
-            stream.end(Outcome.RESET)
-        stream.end(Outcome.SUCCESS)
+            stream.finish(Outcome.RESET)
+        stream.finish(Outcome.SUCCESS)
 
     def attempt(self, name: str = "a", patience: int = 20 * SECOND) -> Attempt:
         now = clock()
@@ -349,9 +350,9 @@
 def test_a_socket_closed_here_is_no_idle_one() -> None:
     # guards against looking at the descriptor of a connection that is already being closed
     one, other = gevent.socket.socketpair()
-    assert not readable(one)
+    assert not is_readable(one)
     one.close()
-    assert readable(one)
+    assert is_readable(one)
     other.close()
 
 
