--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -20,9 +20,9 @@
 from linetrack.control.connection_slots import SlotState
 from linetrack.policy.events import Outcome
 from linetrack.server import messages
-from linetrack.server.budget import SMALL
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.messages import ClientRequest, Framing, MalformedError, RequestReader
+from linetrack.server.memory_budget import SMALL_BODY_BYTES
 from linetrack.server.dispatcher import DisconnectedClient, FinalResponse, IncomingRequest
 from linetrack.server.response_stream import ResponseStream
 from linetrack.server.sockets import READ_SIZE, PeerState, is_readable, peer_state, write
@@ -127,7 +127,7 @@
 
     def let_go(self) -> None:
         """What was large on this connection is over."""
-        self.clients.budget.held -= self.held
+        self.clients.budget.memory.release(self.held)
         self.held = 0
 
     def out_of_time(self) -> None:
@@ -170,8 +170,8 @@
             if self.reader.open and self.reader.headed and not self._holds_body():
                 self.reader.request.rest = Upload(self)
                 self.whole.append(self.reader.request)
-            elif self.reader.size > SMALL and not self.held:
-                self.held = self.clients.budget.hold(messages.HELD)
+            elif self.reader.size > SMALL_BODY_BYTES and not self.held:
+                self.held = self.clients.budget.memory.wait_and_reserve(messages.HELD)
         return True
 
     def invite(self) -> None:
@@ -205,21 +205,21 @@
 
     def _holds_body(self) -> bool:
         """Whether the body at hand is held until it is whole; where not, it goes on as it comes."""
-        reader, budget = self.reader, self.clients.budget
+        reader, memory = self.reader, self.clients.budget.memory
         length = reader.announced()
         size = reader.size if length is None else length
-        if size <= SMALL:
+        if size <= SMALL_BODY_BYTES:
             return True
         if not self.held:
             # guards against reading a long body of what is no request
             self.clients.intake.check(reader.request)
             if size <= messages.HELD:
-                self.held = budget.hold(messages.HELD)
+                self.held = memory.wait_and_reserve(messages.HELD)
                 return True
         if size <= self.held:
             return True
         more = size - self.held if length is not None else GROWS
-        if not budget.holds(more):
+        if not memory.try_reserve(more):
             return False
         self.held += more
         return True
@@ -392,7 +392,7 @@
                 earned = WITHIN + client.reader.size * 1_000_000 // SLOWEST - self.waited
                 began = clock()
                 client.due = began + min(WITHIN, earned)
-                data = client.sock.recv(client.clients.budget.piece())
+                data = client.sock.recv(client.clients.budget.memory.chunk_size())
                 client.due, self.waited = NEVER, self.waited + clock() - began
                 if not data:
                     raise ConnectionResetError("the client left within its request")
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -267,12 +267,12 @@
                 self._be_found()
                 self._accept()
             case Command.WHOLE:
-                self.budget.whole()
+                self.budget.restore()
             case Command.HAND_ON:
                 self._hand_on()
             case Command.KEEP:
                 # guards against having no room for those who come back from a successor that has ended
-                self.budget.whole()
+                self.budget.restore()
                 self.handover.alone(clock())
                 self.clients.passes = None
                 self._accept()
@@ -287,7 +287,7 @@
         self.upstreams.close_all_idle()
         link.say(
             "leave",
-            sockets=self.budget.leave_to_successor(),
+            sockets=self.budget.descriptors.yield_to_successor(),
             ids=self.clients.intake.marks(),
             learnt=self.handover.learnt(),
             settings=self.config.digest,
@@ -296,7 +296,7 @@
         def passes(fd: int, answers: int) -> bool:
             gone = link.say("client", (fd,), answers=answers)
             if gone:
-                self.budget.hand_client_on()
+                self.budget.descriptors.migrate_client()
             return gone
 
         self.clients.hand_on(passes)
@@ -316,7 +316,7 @@
                 for fd in fds:
                     self.clients.adopt(fd, values["answers"])
             case "leave":
-                self.budget.share(values["sockets"])
+                self.budget.share_with_other_process(values["sockets"])
                 self.clients.intake.remember(values["ids"])
                 # guards against taking over under one number what was learnt of another class or place: what
                 # does not go by name goes over under the very same settings only
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -44,11 +44,11 @@
         self.owner, self.budget, self.serving = owner, budget, serving
         self.whole_seconds = whole_seconds
         self.intake = RequestValidator(owner, classes, deadlines)
-        self.slots = ConnectionSlots(budget.callers)
+        self.slots = ConnectionSlots(budget.descriptors.client_slots)
         self.open: dict[ConnectionSlot, ClientConnection] = {}
         # whose request is out with something unread behind it, and how to see whether it has left
         self.unread: dict[ClientConnection, Callable[[], bool]] = {}
-        budget.make_way = self._make_room
+        budget.descriptors.evict_client = self._make_room
         # hands a connection, by descriptor and answers given on it, to another process; whether it went
         self.passes: Callable[[int, int], bool] | None = None
         self.closing = False
@@ -76,7 +76,7 @@
             for _ in range(AT_ONCE):
                 if not is_readable(self.listener):
                     break
-                while not self.budget.take_client():
+                while not self.budget.descriptors.try_acquire_client():
                     gevent.sleep(0 if self._make_room() else ROOM_WAIT)
                 try:
                     self._take_one()
@@ -92,7 +92,7 @@
         try:
             sock, _ = self.listener.accept()
         except BaseException:
-            self.budget.give_back_client()
+            self.budget.descriptors.release_client()
             raise
         self._serve(sock)
 
@@ -104,7 +104,7 @@
 
     def adopt(self, fd: int, answers: int) -> None:
         """A connection that another process served until now."""
-        self.budget.adopt_client()
+        self.budget.descriptors.adopt_client()
         client = self._serve(socket.socket(fileno=fd))
         if answers:
             now = clock()
@@ -115,7 +115,7 @@
     def ended(self, client: ClientConnection) -> None:
         del self.open[client.slot]
         self.slots.close(client.slot, clock())
-        self.budget.give_back_client()
+        self.budget.descriptors.release_client()
 
     def _make_room(self) -> bool:
         """Close the connection that is to make way, where there is one that may."""
@@ -178,7 +178,7 @@
         assert self.listener is not None
         self.listener.setblocking(False)
         while is_readable(self.listener) and clock() < self.owner.ends:
-            if not self.budget.take_client():
+            if not self.budget.descriptors.try_acquire_client():
                 gevent.sleep(0 if self._make_room() else ROOM_WAIT)
                 continue
             try:
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -77,7 +77,7 @@
         # all that rest, the longest first, and the pool that each is in
         self.resting: OrderedDict[Connection, PooledUpstream] = OrderedDict()
         self.idle_times, self.dials = IdleTimeModel((None,) * DEPTHS), DecayingRate()
-        budget.shrink = self.close_oldest
+        budget.descriptors.close_idle_upstream = self.close_oldest
 
     def set(self, dial_timeout: int, keep_alive: int, fields: tuple[str, ...]) -> None:
         """These times, in microseconds, and names of a report's values from here on; what rests is not closed
@@ -110,16 +110,16 @@
     # --- Idle connections --------------------------------------------------------------------------
     def _close(self, connection: Connection) -> None:
         connection.close()
-        self.budget.give_back()
+        self.budget.descriptors.release()
 
     def _rest(self, connection: Connection, known: PooledUpstream, now: int) -> None:
         """A connection whose answer has come whole waits for its next use, while that is worth it."""
         connection.idle_since, connection.idle_depth = now, min(len(known.idle), DEPTHS - 1)
-        budget = self.budget
+        descriptors = self.budget.descriptors
         connection.idle_until = now + self.keep
-        if budget.short:
+        if descriptors.is_contended:
             # guards against idle connections in the places of callers while the upstreams' keep-alive lasts
-            cost = slot_price(budget.used, budget.most, self.dials.per_second(now))
+            cost = slot_price(descriptors.in_use, descriptors.limit, self.dials.per_second(now))
             connection.idle_until = now + self.idle_times.best_keep_time(connection.idle_depth, cost, 0, self.keep).duration
         known.idle.append(connection)
         self.resting[connection] = known
@@ -203,7 +203,7 @@
 
         def room(size: int) -> None:
             nonlocal held
-            held = self.budget.hold(size)
+            held = self.budget.memory.wait_and_reserve(size)
 
         try:
             known = self.known.get(attempt.upstream)
@@ -263,7 +263,7 @@
             log.exception("attempt_broke", upstream=attempt.upstream)
             self._finish(attempt, Outcome.RESET if written else Outcome.CONNECT_FAILED)
         finally:
-            self.budget.held -= held
+            self.budget.memory.release(held)
             if connection is not None:
                 self._close(connection)
 
@@ -274,8 +274,7 @@
                 connection.write(part)
             return True
         chunked = request.rest.length is None
-        self.budget.streams += 1
-        try:
+        with self.budget.memory.streaming():
             while parts := request.rest.next():
                 if is_readable(connection.sock):
                     # an answer ahead of the request's end, or a close: it has not run
@@ -285,20 +284,15 @@
                     connection.write(chunk(part) if chunked else part)
             if chunked:
                 connection.write(LAST_CHUNK)
-        finally:
-            self.budget.streams -= 1
         return True
 
     def _stream(self, attempt: Attempt, connection: Connection, answer: Response, seen: int) -> None:
         """A long answer goes on from its first bytes; whoever writes it to the client reads it."""
-        stream = ResponseStream(connection, answer, STALLED, self.budget.piece)
+        stream = ResponseStream(connection, answer, STALLED, self.budget.memory.chunk_size)
         latency = seen - attempt.sent
-        self.budget.streams += 1
-        try:
+        with self.budget.memory.streaming():
             self.tell(StartedResponse(attempt, latency, stream), seen)
             outcome = stream.outcome.get()
-        finally:
-            self.budget.streams -= 1
         connection.sock.settimeout(None)
         self._finish(attempt, outcome, answer, attempt.sent + latency)
 
@@ -315,7 +309,7 @@
         if self._forbidden(attempt, known):
             self._finish(attempt, Outcome.NOT_SENT)
             return None
-        if not self.budget.take():
+        if not self.budget.descriptors.try_acquire():
             log.warning("no_descriptor", upstream=attempt.upstream)
             self._finish(attempt, Outcome.CONNECT_FAILED)
             return None
@@ -326,7 +320,7 @@
             connection.connect(self.dial_timeout / 1_000_000)
             return connection
         except BaseException:
-            self.budget.give_back()
+            self.budget.descriptors.release()
             raise
 
     def _finish(
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,11 +29,12 @@
 )
 from linetrack.server import client_connection
 from linetrack.server.admin import AdminServer
-from linetrack.server.budget import RESERVE, Budget
+from linetrack.server.budget import Budget
 from linetrack.server.listener import Listener
 from linetrack.server.clock import clock
 from linetrack.server.config import config_of
 from linetrack.server.connection import Connection
+from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
 from linetrack.server.hot_restart_channel import Predecessor, Successor
 from linetrack.server.messages import EndpointRecord, address
 from linetrack.server.dispatcher import Dispatcher
@@ -202,7 +203,7 @@
     """Guards against a long body after which nobody looks whether its client is still there."""
     node.served().close()
     turns_until(lambda: not node.clients.open)
-    node.budget.most_held = 0
+    node.budget.memory.max_bytes = 0
     wire = node.connect()
     number = node.ask(wire, call(expires="20.0", body=b"x" * 100_000))
     sock = client_side(node).sock
@@ -217,7 +218,7 @@
 
 def test_one_that_leaves_once_its_long_body_is_whole_is_told_of(node: Node) -> None:
     node.server.script = silent
-    node.budget.most_held = 0
+    node.budget.memory.max_bytes = 0
     wire = node.connect()
     node.send(node.ask(wire, call(expires="20.0", body=b"x" * 100_000)))
     turns_until(lambda: node.server.seen)
@@ -280,7 +281,7 @@
 def test_what_stands_in_the_backlog_has_a_place_though_all_are_taken(node: Node) -> None:
     """At SIGTERM: guards against a request that has come to the backlog, which is lost with the listener
     because clients that say nothing hold all places."""
-    node.budget.most_clients = 2
+    node.budget.descriptors.max_clients = 2
     idlers = [node.connect(), node.connect()]
     turns_until(lambda: len(node.clients.open) == 2)
     waiting = node.connect()
@@ -308,7 +309,7 @@
     late.sendall(call(expires="20.0"))
     assert late.recv(65536).startswith(b"HTTP/1.1 503") and len(node.arrivals()) == 1
     # a body that goes on as it comes has its time from its last byte on
-    node.budget.most_held = 0
+    node.budget.memory.max_bytes = 0
     node.owner.ends = clock() + 2 * SECOND
     node.server.script = silent
     slow = node.connect()
@@ -365,7 +366,7 @@
     node.owner._expire(attempt, attempt.until)
     node.owner._act(RejectRequest(number, 0))
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
-    turns_until(lambda: node.budget.used == 1)
+    turns_until(lambda: node.budget.descriptors.in_use == 1)
     assert node.policy.ends() == [Outcome.TIMEOUT] and not node.upstreams.known["a"].idle
     assert not is_readable(wire)
     node.server.script = lambda message, wire: answer(b"next")
@@ -398,7 +399,7 @@
     monkeypatch.setattr(Connection, "connect", crossing)
     node.send(number)
     turns_until(lambda: node.server.closed == 1)
-    turns_until(lambda: node.budget.used == node.budget.clients)
+    turns_until(lambda: node.budget.descriptors.in_use == node.budget.descriptors.client_count)
     assert not node.server.seen and Outcome.SUCCESS not in node.policy.ends()
 
 
@@ -435,7 +436,7 @@
     called = fails_once(monkeypatch, Connection, "connect")
     node.send(number)
     turns_until(node.policy.ends)
-    assert called and node.policy.ends() == [Outcome.CONNECT_FAILED] and node.budget.used == 1
+    assert called and node.policy.ends() == [Outcome.CONNECT_FAILED] and node.budget.descriptors.in_use == 1
     node.send(number)
     assert wire.recv(65536).startswith(b"HTTP/1.1 200")
 
@@ -487,16 +488,16 @@
 
 def test_clients_that_say_nothing_keep_no_attempt_from_its_descriptor() -> None:
     """While every place is taken by them, they come at once for each one that goes, and discovery is down."""
-    node = Node(sockets=RESERVE + 8)
+    node = Node(sockets=RESERVED_DESCRIPTORS + 8)
     try:
         idlers = [node.connect() for _ in range(30)]
         assert node.clients.listener is not None
-        turns_until(lambda: node.budget.used >= 4 and is_readable(node.clients.listener))
+        turns_until(lambda: node.budget.descriptors.in_use >= 4 and is_readable(node.clients.listener))
         wire = node.connect()
         node.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
         wire.sendall(call(expires="20.0"))
         assert wire.recv(65536).startswith(b"HTTP/1.1 200")
-        assert node.budget.used <= 8
+        assert node.budget.descriptors.in_use <= 8
         for idler in idlers:
             idler.close()
     finally:
@@ -511,9 +512,9 @@
     values = config("127.0.0.1:9", [])
     sidecar = Sidecar(lambda: config_of({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.clients.listen(("127.0.0.1", 0))
-    whole = sidecar.budget.most
-    sidecar.budget.leave_to_successor()
-    assert sidecar.budget.most < whole
+    whole = sidecar.budget.descriptors.limit
+    sidecar.budget.descriptors.yield_to_successor()
+    assert sidecar.budget.descriptors.limit < whole
     sidecar._act(Command.KEEP)
-    assert sidecar.budget.most == whole and sidecar.clients.passes is None
+    assert sidecar.budget.descriptors.limit == whole and sidecar.clients.passes is None
     sidecar._stop_accepting()
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -15,8 +15,7 @@
 
 from linetrack.policy.actions import CancelAttempt, RejectRequest, SetTimer
 from linetrack.policy.events import Outcome, RequestBodySent, RequestReceived, ResponseStarted, TimerFired
-from linetrack.server import budget as budget_module
-from linetrack.server.budget import Budget
+from linetrack.server.memory_budget import MAX_LONG_BODY_SHARE, MIN_CHUNK_BYTES, MemoryBudget
 from linetrack.server.messages import HELD, ResponseReader, MalformedError, RequestReader
 from tests.helpers import KEYED, MS, SAFE, SECOND, Driver, sends
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, request, until
@@ -401,17 +400,17 @@
 @pytest.mark.parametrize("memory_mb", [32, 64, 192])
 @given(steps=st.lists(st.tuples(st.integers(1, 32 * MB), st.booleans()), max_size=30))
 def test_bodies_held_never_exceed_their_part_of_memory(memory_mb: int, steps: list[tuple[int, bool]]) -> None:
-    budget, held = Budget(1024, memory_mb), 0
+    budget, reserved = MemoryBudget(memory_mb), 0
     for size, back in steps:
-        if budget.holds(size):
-            held += size
+        if budget.try_reserve(size):
+            reserved += size
             if back:
-                budget.held -= size
-                held -= size
-        assert budget.held == held <= budget.most_held * budget_module.BODIES
-        assert budget.most_held <= memory_mb * MB
-    budget.streams = 400
-    assert budget.piece() * budget.streams <= max(budget.most_held, 400 * budget_module.PIECES[0])
+                budget.release(size)
+                reserved -= size
+        assert budget.reserved_bytes == reserved <= budget.max_bytes * MAX_LONG_BODY_SHARE
+        assert budget.max_bytes <= memory_mb * MB
+    budget.stream_count = 400
+    assert budget.chunk_size() * budget.stream_count <= max(budget.max_bytes, 400 * MIN_CHUNK_BYTES)
 
 
 def test_too_long_is_told_at_its_head_or_at_the_byte_that_is_too_many() -> None:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,10 +12,11 @@
 from linetrack.policy.events import RequestReceived
 from linetrack.server import client_connection
 from linetrack.server import listener as clients_module
-from linetrack.server.budget import CLIENT_KB, FEWEST, PROGRAM_MB, Budget
+from linetrack.server.budget import CLIENT_CONNECTION_KB, MIN_CLIENTS, Budget
 from linetrack.server.listener import Listener
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.sockets import is_readable
+from linetrack.server.memory_budget import BASE_MEMORY_MB
 from linetrack.server.messages import ClientRequest
 from linetrack.server.dispatcher import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
@@ -60,14 +61,16 @@
     # guards against places reckoned by the largest request there may be, when most are small: clients hold up
     # to a third of the descriptors for requests
     budget = Budget(sockets, memory_mb)
-    assert budget.most_clients >= clients and budget.most_held >= held_mb * 2**20
-    assert budget.most_clients * CLIENT_KB * 1024 + budget.most_held <= (memory_mb - PROGRAM_MB) * 2**20
-    assert Budget(64, 192).most_clients >= 10 and Budget(256, 16).most_clients == FEWEST
+    max_clients, max_bytes = budget.descriptors.max_clients, budget.memory.max_bytes
+    assert max_clients >= clients and max_bytes >= held_mb * 2**20
+    assert max_clients * CLIENT_CONNECTION_KB * 1024 + max_bytes <= (memory_mb - BASE_MEMORY_MB) * 2**20
+    assert Budget(64, 192).descriptors.max_clients >= 10
+    assert Budget(256, 16).descriptors.max_clients == MIN_CLIENTS
 
 
 def test_large_requests_wait_for_room_and_small_ones_do_not(clients: Listener) -> None:
     # guards against large requests that together need more memory than there is
-    clients.budget.most_held = 300_000
+    clients.budget.memory.max_bytes = 300_000
     first, second, small = (connect(clients) for _ in range(3))
     first.sendall(call(body=b"x" * 60_000))
     turns_until(lambda: len(clients.owner.told) == 1)  # type: ignore[attr-defined]
@@ -82,7 +85,7 @@
     assert told[2].request.body == b"y" * 60_000
     second.close()
     told[2].reply(FinalResponse(200, b"done"))
-    turns_until(lambda: clients.budget.held == 0)
+    turns_until(lambda: clients.budget.memory.reserved_bytes == 0)
 
 
 class Deaf:
@@ -116,7 +119,7 @@
 
 def test_without_room_the_longest_idle_makes_way_and_only_for_one_that_waits(clients: Listener) -> None:
     # guards against closing an idle connection that nobody's place depends on, the newest even
-    clients.budget.most_clients = 3
+    clients.budget.descriptors.max_clients = 3
     first, second, third = (connect(clients) for _ in range(3))
     turns_until(lambda: len(clients.open) >= 3)
     gevent.sleep(5 * clients_module.ROOM_WAIT)
@@ -196,7 +199,7 @@
 
 def test_silent_ones_make_way_before_any_that_has_asked(clients: Listener) -> None:
     # guards against connections by the hundred that say nothing in the places of those that ask
-    clients.budget.most_clients = 20
+    clients.budget.descriptors.max_clients = 20
     asking = connect(clients)
     ask(clients, asking)
     silent = [connect(clients) for _ in range(100)]
@@ -209,7 +212,7 @@
 
 def test_those_that_asked_and_stay_make_way_although_new_ones_come(clients: Listener) -> None:
     # guards against a house full of connections that asked once, kept from closing by each young new one
-    clients.budget.most_clients = 10
+    clients.budget.descriptors.max_clients = 10
     for _ in range(30):
         ask(clients, connect(clients))
         connect(clients).sendall(b"GET")
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -10,8 +10,10 @@
 
 from linetrack.policy.events import EndpointStatus, Outcome, RequestReceived
 from linetrack.server import upstream_pool as upstreams_module
-from linetrack.server.budget import COPIES, RESERVE, Budget
+from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
+from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
+from linetrack.server.memory_budget import COPIES_PER_LARGE_BODY
 from linetrack.server.response_stream import ResponseStream
 from linetrack.server.sockets import is_readable
 from linetrack.server.messages import ClientRequest, MalformedError, EndpointRecord, address
@@ -69,7 +71,7 @@
         return [done.outcome for done in self.done]
 
     def used(self) -> int:
-        return self.budget.used
+        return self.budget.descriptors.in_use
 
     def idle(self, name: str = "a") -> int:
         return len(self.upstreams.known[name].idle)
@@ -244,7 +246,7 @@
     server.script = stop
     pool = Pool(server)
     pool.attempt()
-    assert pool.ends() == [Outcome.ERROR] and pool.used() == pool.budget.held == 0
+    assert pool.ends() == [Outcome.ERROR] and pool.used() == pool.budget.memory.reserved_bytes == 0
     assert 250 * MS <= pool.done[0].latency < 10 * SECOND
 
 
@@ -252,16 +254,16 @@
     # guards against large answers that together need more memory than there is
     server.script = lambda request, wire: answer(b"x" * 300_000)
     pool = Pool(server)
-    pool.budget.most_held = 0
+    pool.budget.memory.max_bytes = 0
     most = 0
     for _ in range(5):
         pool.attempt()
     with gevent.Timeout(PATIENCE):
-        while len(pool.done) < 5 or pool.budget.held:
-            most = max(most, pool.budget.held)
+        while len(pool.done) < 5 or pool.budget.memory.reserved_bytes:
+            most = max(most, pool.budget.memory.reserved_bytes)
             gevent.sleep(0)
     assert pool.ends(5) == [Outcome.SUCCESS] * 5
-    assert most <= COPIES * 300_000
+    assert most <= COPIES_PER_LARGE_BODY * 300_000
 
 
 def test_a_connection_stands_idle_for_less_than_the_keep_alive(server: Upstream) -> None:
@@ -329,7 +331,7 @@
 
 def test_idle_connections_are_closed_for_want_of_descriptors() -> None:
     servers = [Upstream(name) for name in "abc"]
-    pool = Pool(*servers, sockets=RESERVE + 2)
+    pool = Pool(*servers, sockets=RESERVED_DESCRIPTORS + 2)
     for count, name in enumerate("abc", 1):
         pool.attempt(name)
         pool.ends(count)
@@ -341,7 +343,7 @@
 
 def test_without_a_descriptor_an_attempt_never_ran(server: Upstream) -> None:
     server.script = silent
-    pool = Pool(server, sockets=RESERVE + 1)
+    pool = Pool(server, sockets=RESERVED_DESCRIPTORS + 1)
     pool.attempt()
     pool.attempt()
     assert pool.ends() == [Outcome.CONNECT_FAILED]
