--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -10,10 +10,11 @@
 from gevent import socket
 
 from linetrack.server import sockets
-from linetrack.server.messages import MalformedError, Response, ResponseReader
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.responses import Response, ResponseReader
 
 
-class StalledError(MalformedError):
+class StalledError(MalformedMessageError):
     """A response has begun, and then nothing of it arrived for `timeout` seconds."""
 
     def __init__(self, timeout: float) -> None:
@@ -27,14 +28,14 @@
     Args:
         address: Of the other side.
         max_body_bytes: Of a response.
-        max_buffered_bytes: Up to which a response's body is held until it is complete.
+        max_buffered_body_bytes: Up to which a response's body is held until it is complete.
     """
 
     __slots__ = ("address", "idle_depth", "idle_since", "idle_until", "reader", "sock")
 
-    def __init__(self, address: tuple[str, int], max_body_bytes: int, max_buffered_bytes: int) -> None:
+    def __init__(self, address: tuple[str, int], max_body_bytes: int, max_buffered_body_bytes: int) -> None:
         self.address = address
-        self.reader = ResponseReader(max_body_bytes, max_buffered_bytes)
+        self.reader = ResponseReader(max_body_bytes, max_buffered_body_bytes)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         # set by the pool while the connection is idle
         self.idle_since = 0
@@ -77,15 +78,15 @@
 
         Raises:
             StalledError: The response stood still.
-            MalformedError: It is no response.
+            MalformedMessageError: It is no response.
             OSError: The connection failed.
         """
         reader = self.reader
         data = self.sock.recv(sockets.READ_SIZE)
-        response = reader.feed(data) if data else reader.finish()
-        if response is None and data and not reader.long:
+        response = reader.feed(data) if data else reader.feed_eof()
+        if response is None and data and not reader.exceeds_body_buffer:
             response = self._read_rest(stall_timeout, on_large_body)
-        return response or (reader.answer if reader.long else None)
+        return response or (reader.response if reader.exceeds_body_buffer else None)
 
     def _read_rest(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
         """Read on until the response is complete or long, or the connection ends."""
@@ -94,15 +95,16 @@
         has_more = True
         is_reported = False
         self.sock.settimeout(stall_timeout)
-        while response is None and has_more and not reader.long:
-            if reader.answer is not None and not is_reported:
+        while response is None and has_more and not reader.exceeds_body_buffer:
+            if reader.response is not None and not is_reported:
                 is_reported = True
-                on_large_body(reader.held if reader.answer.length is None else reader.answer.length)
+                length = reader.response.content_length
+                on_large_body(reader.max_buffered_body_bytes if length is None else length)
             try:
                 data = self.sock.recv(sockets.READ_SIZE)
             except TimeoutError:
                 raise StalledError(stall_timeout) from None
             has_more = bool(data)
-            response = reader.feed(data) if data else reader.finish()
+            response = reader.feed(data) if data else reader.feed_eof()
         self.sock.settimeout(None)
         return response
--- a/linetrack/server/response_stream.py
+++ b/linetrack/server/response_stream.py
@@ -8,7 +8,7 @@
 
 from linetrack.policy.events import Outcome
 from linetrack.server.connection import Connection
-from linetrack.server.messages import Response
+from linetrack.server.http1.responses import Response
 
 
 class ResponseStream:
@@ -29,7 +29,7 @@
         read_size: Callable[[], int],
     ) -> None:
         self.connection = connection
-        self.content_length = response.length
+        self.content_length = response.content_length
         self.content_type = response.content_type
         self.read_size = read_size
         self.outcome: AsyncResult[Outcome] = AsyncResult()
@@ -40,14 +40,14 @@
 
         Raises:
             OSError: The connection failed or ended early, or the upstream stalled.
-            MalformedError: The body is not well-formed.
+            MalformedMessageError: The body is not well-formed.
         """
         reader = self.connection.reader
-        while not (chunks := reader.take()) and reader.whole is None:
+        while not (chunks := reader.take_body_chunks()) and reader.completed_response is None:
             data = self.connection.sock.recv(self.read_size())
             if data:
                 reader.feed(data)
-            elif reader.finish() is None:
+            elif reader.feed_eof() is None:
                 raise ConnectionResetError("the response ended early")
         return chunks
 
--- a/tests/test_upstreams.py
+++ b/tests/test_upstreams.py
@@ -16,7 +16,10 @@
 from linetrack.server.memory_budget import COPIES_PER_LARGE_BODY
 from linetrack.server.response_stream import ResponseStream
 from linetrack.server.sockets import is_readable
-from linetrack.server.messages import ClientRequest, MalformedError, EndpointRecord, address
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import EndpointRecord
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.dispatcher import Attempt, FinishedAttempt, ActiveRequest, SentBody, StartedResponse
 from linetrack.server.upstream_pool import REST, UpstreamPool
 from tests.stand_ins import MS, PATIENCE, SECOND, Message, Upstream, Wire, answer, silent, turns_until, until
@@ -25,7 +28,7 @@
 
 
 def member(name: str, where: str, health: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
-    return EndpointRecord(name, address(where), "north", "plain", 1, health, 1.0, 0)
+    return EndpointRecord(name, parse_address(where), "north", "plain", 1, health, 1.0, 0)
 
 
 class Pool:
@@ -53,7 +56,7 @@
         try:
             while stream.read_chunks():
                 pass
-        except (OSError, MalformedError):
+        except (OSError, MalformedMessageError):
             stream.finish(Outcome.RESET)
         stream.finish(Outcome.SUCCESS)
 
