--- a/linetrack/server/admin.py
+++ b/linetrack/server/admin.py
@@ -1,13 +1,14 @@
-"""The operators' address: whether this process serves, and its figures.
+"""The operators' listener: whether this process serves, and its metrics.
 
-Owns a listener of its own and its callers, one call a connection.  Must never count anything, nor take a
-place from the application: its few descriptors are in the budget's reserve.
+It has a listener of its own and serves one request a connection.  Its few descriptors are reserved, so that
+it takes no connection slot from the application, and it counts nothing itself.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from collections.abc import Callable
+from http import HTTPStatus
 
 import gevent
 import structlog
@@ -21,90 +22,117 @@
 
 log = structlog.get_logger()
 
-HEALTH, STATS = "/admin/health", "/admin/stats"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
-MOST = 16  # callers at once; the one longest there makes way for a new one
-WITHIN = 2.0  # seconds for a call to come whole, and as long for its answer to be taken
-FRESH = 250_000  # microseconds for which a text of the figures serves again
-BACKLOG = 128
-BEHIND = 64 * 1024  # bytes behind a call that are read away, so that no reset overtakes the answer
-PAUSE = 0.05  # seconds after a descriptor could not be had
+HEALTH_PATH = "/admin/health"
+METRICS_PATH = "/admin/stats"
+METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+MAX_ADMIN_CONNECTIONS = 16  # at once; the oldest is closed for a new one
+ADMIN_TIMEOUT_SECONDS = 2.0  # for a request to be complete, and as long for its response to be taken
+METRICS_CACHE_US = 250_000  # for which the text of the metrics is served again
+LISTEN_BACKLOG = 128
+MAX_DISCARDED_BYTES = 64 * 1024  # behind a request, read so that no reset overtakes the response
+ACCEPT_RETRY_SECONDS = 0.05  # after accepting failed
 
 
 class AdminServer:
+    """Serves the operators' requests.
+
+    Args:
+        address: Where to listen.
+        is_serving: Whether this process serves the application.
+        render_metrics: Returns the metrics in Prometheus's text format.
+    """
+
     def __init__(
-        self, address: tuple[str, int], serving: Callable[[], bool], figures: Callable[[], str]
+        self,
+        address: tuple[str, int],
+        is_serving: Callable[[], bool],
+        render_metrics: Callable[[], str],
     ) -> None:
-        self.serving, self.figures = serving, figures
-        self.callers: OrderedDict[socket.socket, None] = OrderedDict()
-        self.text, self.made = b"", -FRESH
+        self.is_serving = is_serving
+        self.render_metrics = render_metrics
+        self.connections: OrderedDict[socket.socket, None] = OrderedDict()
+        self.metrics_text = b""
+        self.metrics_rendered_at = -METRICS_CACHE_US
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
-        self.listener.listen(BACKLOG)
+        self.listener.listen(LISTEN_BACKLOG)
 
     def accept(self) -> None:
-        """Take calls, for ever."""
+        """Accept connections, for ever."""
         while True:
             try:
-                caller, _ = self.listener.accept()
-            except OSError as fault:
-                if not is_transient_accept_error(fault):
+                sock, _ = self.listener.accept()
+            except OSError as error:
+                if not is_transient_accept_error(error):
                     raise
-                gevent.sleep(PAUSE)
+                gevent.sleep(ACCEPT_RETRY_SECONDS)
                 continue
-            if len(self.callers) >= MOST:
-                # guards against callers that say nothing: closing wakes the greenlet that waits on it
-                oldest, _ = self.callers.popitem(last=False)
+            if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
+                # Clients that send nothing must not keep others out; closing wakes the greenlet that waits.
+                oldest, _ = self.connections.popitem(last=False)
                 oldest.close()
-            self.callers[caller] = None
-            gevent.spawn_raw(self._serve, caller)
+            self.connections[sock] = None
+            gevent.spawn_raw(self._serve, sock)
 
-    def _serve(self, caller: socket.socket) -> None:
+    def _serve(self, sock: socket.socket) -> None:
         try:
-            caller.settimeout(WITHIN)
-            with gevent.Timeout(WITHIN, TimeoutError("the call did not come")):
+            sock.settimeout(ADMIN_TIMEOUT_SECONDS)
+            with gevent.Timeout(ADMIN_TIMEOUT_SECONDS, TimeoutError("the request was not complete in time")):
                 try:
-                    answer = self._answer(_call(caller))
-                except MalformedMessageError as fault:
-                    answer = encode_response(fault.status, keep_alive=False)
-            with gevent.Timeout(WITHIN, TimeoutError("the answer was not taken")):
-                caller.sendall(answer)
-                caller.shutdown(socket.SHUT_WR)
-                left = BEHIND
-                while left > 0 and (data := caller.recv(READ_SIZE)):
-                    left -= len(data)
+                    response = self._respond(_read_request(sock))
+                except MalformedMessageError as error:
+                    response = encode_response(error.status, keep_alive=False)
+            with gevent.Timeout(ADMIN_TIMEOUT_SECONDS, TimeoutError("the response was not taken in time")):
+                sock.sendall(response)
+                sock.shutdown(socket.SHUT_WR)
+                _discard_input(sock)
         except (OSError, EOFError):
-            pass  # it has gone, stalled, or made way
+            pass  # the client has closed or stalled, or was closed for a newer one
         except Exception:
-            # guards against a greenlet that ends silently
-            log.exception("admin_call_broke")
+            # A greenlet that fails would otherwise end silently.
+            log.exception("admin_request_failed")
         finally:
-            self.callers.pop(caller, None)
-            caller.close()
-
-    def _answer(self, call: ClientRequest) -> bytes:
-        if call.path not in (HEALTH, STATS):
-            return encode_response(404, keep_alive=False)
-        if call.method != "GET":
-            return encode_response(405, keep_alive=False)
-        if call.path == HEALTH:
-            return encode_response(200 if self.serving() else 503, keep_alive=False)
+            self.connections.pop(sock, None)
+            sock.close()
+
+    def _respond(self, request: ClientRequest) -> bytes:
+        if request.path not in (HEALTH_PATH, METRICS_PATH):
+            return encode_response(HTTPStatus.NOT_FOUND, keep_alive=False)
+        if request.method != "GET":
+            return encode_response(HTTPStatus.METHOD_NOT_ALLOWED, keep_alive=False)
+        if request.path == HEALTH_PATH:
+            status = HTTPStatus.OK if self.is_serving() else HTTPStatus.SERVICE_UNAVAILABLE
+            return encode_response(status, keep_alive=False)
+        return encode_response(
+            HTTPStatus.OK, self._metrics(), keep_alive=False, content_type=METRICS_CONTENT_TYPE
+        )
+
+    def _metrics(self) -> bytes:
+        """The text of the metrics, rendered anew once it is too old."""
         now = clock()
-        if now - self.made >= FRESH:
-            self.text, self.made = self.figures().encode(), now
-        return encode_response(200, self.text, keep_alive=False, content_type=TEXT)
+        if now - self.metrics_rendered_at >= METRICS_CACHE_US:
+            self.metrics_text = self.render_metrics().encode()
+            self.metrics_rendered_at = now
+        return self.metrics_text
 
 
-def _call(caller: socket.socket) -> ClientRequest:
-    """The one call of a connection; EOFError where it ends before."""
+def _read_request(sock: socket.socket) -> ClientRequest:
+    """Read a connection's one request; raises an EOFError where the connection ends before it is complete."""
     reader = RequestReader()
     try:
         while True:
-            data = caller.recv(READ_SIZE)
+            data = sock.recv(READ_SIZE)
             if not data:
                 raise EOFError
-            if calls := reader.feed(data):
-                return calls[0]
+            if requests := reader.feed(data):
+                return requests[0]
     finally:
         reader.close()
+
+
+def _discard_input(sock: socket.socket) -> None:
+    """Read what came behind the request, up to a limit."""
+    remaining = MAX_DISCARDED_BYTES
+    while remaining > 0 and (data := sock.recv(READ_SIZE)):
+        remaining -= len(data)
