--- a/linetrack/control/connection_demand.py
+++ b/linetrack/control/connection_demand.py
@@ -1,7 +1,7 @@
 """Demand for connections: what a slot is worth, and how many descriptors upstream connections need.
 
-No I/O and no clock: the host passes each moment as integer microseconds, which never decrease.  Nothing here belongs
-to one protocol, and every call takes constant time.
+No I/O and no clock: the host passes each moment as integer microseconds, which never decrease.  Nothing
+here belongs to one protocol, and every call takes constant time.
 """
 
 from __future__ import annotations
@@ -60,7 +60,10 @@
 
 
 class UpstreamReserve:
-    """How many connections to upstreams were in use at once, lately: clients may have the other descriptors."""
+    """How many connections to upstreams were in use at once, lately.
+
+    Clients may have the other descriptors.
+    """
 
     def __init__(self) -> None:
         self.peak = 0.0
@@ -73,7 +76,8 @@
 
     def client_capacity(self, now: int, descriptors: int) -> int:
         """How many of `descriptors` client connections may hold."""
-        reserved = max(descriptors // MIN_UPSTREAM_SHARE, int(self._decayed_peak(now) * UPSTREAM_HEADROOM) + 1)
+        needed = int(self._decayed_peak(now) * UPSTREAM_HEADROOM) + 1
+        reserved = max(descriptors // MIN_UPSTREAM_SHARE, needed)
         return max(descriptors - reserved, descriptors // 2)
 
     def _decayed_peak(self, now: int) -> float:
--- a/linetrack/control/connection_slots.py
+++ b/linetrack/control/connection_slots.py
@@ -1,14 +1,15 @@
 """Slots for client connections: which are kept alive after a response, for how long, and which are evicted.
 
-Holds the state of each connection and the order in which connections would give up their slots.  It does no I/O and
-reads no clock: the host reports what happens and when (integer microseconds, which never decrease) and carries out
-what is decided.  Nothing here belongs to one protocol.
+Holds the state of each connection and the order in which connections would give up their slots.  It does no
+I/O and reads no clock: the host reports what happens and when (integer microseconds, which never decrease)
+and carries out what is decided.  Nothing here belongs to one protocol.
 
-A kept connection saves a reconnect if it is used again, and costs a slot while it is idle.  `IdleTimeModel` estimates
-how likely it is to be used again; demand for new connections sets the price of a second of a slot, which rises as
-free slots become few.  After a response a connection is kept if its expected use within the time for which it must
-then be kept is worth more than its slot; otherwise it is closed with the response, which cannot race with a request.
-Once it may be closed without notice, it stays while the next second of its slot is worth its price at that time.
+A kept connection saves a reconnect if it is used again, and costs a slot while it is idle.  `IdleTimeModel`
+estimates how likely it is to be used again; demand for new connections sets the price of a second of a
+slot, which rises as free slots become few.  After a response a connection is kept if its expected use
+within the time for which it must then be kept is worth more than its slot; otherwise it is closed with the
+response, which cannot race with a request.  Once it may be closed without notice, it stays while the next
+second of its slot is worth its price at that time.
 
 Every call takes constant time: at most one step for each of the fixed number of groups and buckets.
 """
@@ -36,8 +37,8 @@
 def _group_parents() -> tuple[int | None, ...]:
     """The parent of each group of connections, which `ConnectionSlot.reuse_group` numbers.
 
-    An old connection's parent is the group of young ones with as many requests; a young one's is that of young ones
-    with fewer.
+    An old connection's parent is the group of young ones with as many requests; a young one's is that of
+    young ones with fewer.
     """
     group_count = (len(REQUEST_COUNT_BOUNDS) + 1) * 2
     return (None, 0, *(group - 2 if group % 2 == 0 else group - 1 for group in range(2, group_count)))
@@ -71,7 +72,8 @@
         self.state_since = now
         self.request_count = 0
         self.is_on_trial = False  # kept only to observe whether it is used again
-        self.queue: OrderedDict[ConnectionSlot, None] | None = None  # slots in the same state, the oldest first
+        # the slots in the same state, the oldest first
+        self.queue: OrderedDict[ConnectionSlot, None] | None = None
 
     def reuse_group(self, now: int) -> int:
         """The group of the idle-time model, by requests so far and age."""
@@ -164,8 +166,8 @@
     def select_eviction(self, now: int) -> ConnectionSlot | None:
         """The connection to close for a new one, or None where none may be closed yet.
 
-        One without any request goes first, then the idle one that is least likely to be used again, then one whose
-        request has stopped half-way.  The host closes it, or reports what has happened on it.
+        One without any request goes first, then the idle one that is least likely to be used again, then
+        one whose request has stopped half-way.  The host closes it, or reports what has happened on it.
         """
         return (
             _first_after(self.new, now, MIN_NEW_US)
@@ -174,7 +176,10 @@
         )
 
     def select_expired(self, now: int) -> ConnectionSlot | None:
-        """An idle connection that is no longer worth its slot; the host closes it, or reports what has happened."""
+        """An idle connection that is no longer worth its slot.
+
+        The host closes it, or reports what has happened on it.
+        """
         return self._least_likely_reused(now, self.price(now))
 
     # --- Internals ---------------------------------------------------------------------------------------
@@ -212,7 +217,7 @@
             self.trial_count -= 1
 
     def _least_likely_reused(self, now: int, max_rate: float) -> ConnectionSlot | None:
-        """The idle connection with the lowest reuse rate, of those that may be closed, if it is below `max_rate`.
+        """The closable idle connection with the lowest reuse rate, if that is below `max_rate`.
 
         One that has been idle for the longest time that is allowed counts as never used again.
         """
--- a/linetrack/control/idle_time_model.py
+++ b/linetrack/control/idle_time_model.py
@@ -1,8 +1,9 @@
 """How likely an idle connection is to be used again, learnt from how earlier idle times ended.
 
-Keeping a connection saves a reconnect if it is used again, and costs a slot while it is idle.  The model estimates
-the rate of reuse by the time a connection has been idle, and from it how long keeping one pays at a given price of a
-slot.  It does no I/O and reads no clock; times are integer microseconds.  It is independent of any protocol.
+Keeping a connection saves a reconnect if it is used again, and costs a slot while it is idle.  The model
+estimates the rate of reuse by the time a connection has been idle, and from it how long keeping one pays at
+a given price of a slot.  It does no I/O and reads no clock; times are integer microseconds.  It is
+independent of any protocol.
 
 Every call takes constant time: at most one step for each of the fixed number of buckets.
 """
@@ -14,7 +15,8 @@
 from dataclasses import dataclass
 
 SECOND = 1_000_000
-#: Ends of the buckets of idle time, in microseconds; a connection is kept to the end of one of them, or not at all.
+#: Ends of the buckets of idle time, in microseconds; a connection is kept to the end of one of them, or not
+#: at all.
 IDLE_BUCKET_ENDS_US = tuple(1000 * ms for ms in (10, 30, 100, 300, 1000, 2000, 4000, 8000, 16000, 30000))
 SAMPLE_MEMORY = 128  # idle times after which an older one counts 1/e
 PRIOR_SAMPLES = 4.0  # idle times that the prior counts as
@@ -36,10 +38,10 @@
 class IdleTimeModel:
     """Reuse rates by group of connections and bucket of idle time.
 
-    A group is a number that the host chooses.  A group without samples of its own takes the rates of its parent:
-    a group of a smaller number, or None.  Time in a bucket counts whether the idle time ended in a use or was cut
-    short, so closing connections early does not bias the rates (the usual estimate of a hazard from censored
-    lifetimes).
+    A group is a number that the host chooses.  A group without samples of its own takes the rates of its
+    parent: a group of a smaller number, or None.  Time in a bucket counts whether the idle time ended in a
+    use or was cut short, so closing connections early does not bias the rates (the usual estimate of a
+    hazard from censored lifetimes).
     """
 
     def __init__(self, parents: tuple[int | None, ...]) -> None:
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -1,363 +1,390 @@
-"""One connection of the application: reading its requests and writing their answers, one at a time.
+"""One connection of the application: reads its requests and writes their responses, one at a time.
 
-Owns the limits of time on whatever a client sends or takes.  Must never decide what becomes of a request: it
-goes to the owner, whose final answer is written.
+It keeps the deadline for whatever the client sends or takes.  What becomes of a request is decided
+elsewhere: it goes to the dispatcher, whose final response is written.
 """
 
 from __future__ import annotations
 
-import struct
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING
+from http import HTTPStatus
+from typing import Protocol
 
 import gevent
 import structlog
 from gevent import socket
-from gevent.event import AsyncResult
 
-from linetrack.control.connection_slots import SlotState
-from linetrack.policy.events import Outcome
+from linetrack.control.connection_slots import ConnectionSlots, SlotState
+from linetrack.policy.events import RequestReceived
+from linetrack.server import client_timeouts
+from linetrack.server.budget import Budget
+from linetrack.server.client_timeouts import body_timeout
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
+from linetrack.server.dispatcher import Dispatcher, FinalResponse, IncomingRequest
 from linetrack.server.http1.errors import MalformedMessageError
-from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
 from linetrack.server.http1.requests import READINESS_PATH, ClientRequest, RequestReader
-from linetrack.server.http1.responses import (
-    CONTINUE_RESPONSE,
-    BodyFraming,
-    encode_response,
-    encode_response_head,
-    select_framing,
-)
-from linetrack.server.dispatcher import DisconnectedClient, FinalResponse, IncomingRequest
+from linetrack.server.http1.responses import CONTINUE_RESPONSE, encode_response
+from linetrack.server.lingering_close import discard_until_close
 from linetrack.server.memory_budget import SMALL_BODY_BYTES
-from linetrack.server.response_stream import ResponseStream
-from linetrack.server.sockets import READ_SIZE, PeerState, is_readable, peer_state, write
-
-if TYPE_CHECKING:
-    from linetrack.server.listener import Listener
+from linetrack.server.pending_request import PendingRequest
+from linetrack.server.request_upload import RequestUpload
+from linetrack.server.request_validation import RequestValidator
+from linetrack.server.response_writer import write_response, write_stream
+from linetrack.server.sockets import READ_SIZE, is_readable
 
 log = structlog.get_logger()
 
-# microseconds for a request to come whole (the first one's from connecting, a later one's from its first
-# byte), and for an answer to be taken; who says nothing must be let go of after 3 s
-WITHIN = 2_250_000
-SLOWEST = 16 * 1024  # bytes of a body that earn a second more for the rest of it
-BODY_BEGINS = 500_000  # microseconds after its head in which a body is to begin, if the head took long
-TAKES = 10_000_000  # microseconds in which a client is to take some of a long answer
-GROWS = 256 * 1024  # bytes for which memory is asked at a time, of a body of untold length
-LAST_WORD = 500_000  # microseconds in which a client that was turned away may read why
-LAST_BYTES = 256 * 1024  # and how much of what it still sends is read away meanwhile
-READ = 1  # the event loop's name for it
-# microseconds after its request in which one that sends no more, as it had said, is still sent on for: it may
-# have closed its own side only, and what begins over 0.1 s after a client has left is not to begin
-SHUT_FOR = 80_000
-
-
-class HandedOverError(Exception):
+BODY_RESERVATION_BYTES = 256 * 1024  # reserved at a time for a body of unknown length
+EVENT_LOOP_READ = 1  # the event loop's constant for "readable"
+
+
+class ConnectionMigratedError(Exception):
     """Wakes a connection's greenlet that waits for a request: the connection goes to another process."""
 
 
+class ConnectionHost(Protocol):
+    """What a connection needs of the listener that accepted it.
+
+    Attributes:
+        budget: Of the process.
+        dispatcher: Gets the requests.
+        slots: Decides which connections are kept.
+        validator: Checks the requests.
+        is_serving: Whether the process is ready for requests.
+        is_closing: Whether connections are closed once no request is on them.
+        rounds_retry_after: Whether advice to retry is given in whole seconds.
+        migrate: Hands a connection, by descriptor and number of responses, to another process and returns
+            whether that succeeded; None while connections stay here.
+        run_soon: Runs a function in the event loop.
+        unread_connections: Connections with a request pending and unread bytes behind it, which hide from
+            the event loop whether the client disconnects.
+    """
+
+    budget: Budget
+    dispatcher: Dispatcher
+    slots: ConnectionSlots
+    validator: RequestValidator
+    is_serving: Callable[[], bool]
+    is_closing: bool
+    rounds_retry_after: bool
+    migrate: Callable[[int, int], bool] | None
+    run_soon: Callable[[Callable[[], None]], object]
+    unread_connections: dict[ClientConnection, PendingRequest]
+
+    def connection_ended(self, connection: ClientConnection) -> None:
+        """The connection is closed."""
+        ...
+
+
 class ClientConnection:
-    """One connection of the application."""
+    """One connection of the application.
+
+    Attributes:
+        reader: Parses what arrives.
+        pending_requests: Complete requests that are not served yet.
+        received_at: When the bytes that completed them were read; at first, when the connection was accepted.
+        timeout_started_at: From when on the time of the current request counts.
+        deadline: After which whoever holds the connection up is out of time.
+        is_busy: Whether a request is being served.
+        reserved_bytes: Of memory, for a large request.
+        response_count: Responses of any kind that were written on it.
+    """
 
     __slots__ = (
-        "answers",
-        "busy",
-        "clients",
-        "due",
+        "deadline",
         "greenlet",
-        "held",
+        "host",
+        "is_busy",
+        "pending_requests",
         "reader",
+        "received_at",
+        "reserved_bytes",
+        "response_count",
         "slot",
-        "seen",
-        "since",
         "sock",
-        "watch",
-        "whole",
+        "timeout_started_at",
+        "watcher",
     )
 
-    def __init__(self, sock: socket.socket, clients: Listener) -> None:
-        self.sock, self.clients = sock, clients
+    def __init__(self, sock: socket.socket, host: ConnectionHost) -> None:
+        now = clock()
+        self.sock = sock
+        self.host = host
         self.reader = RequestReader()
-        self.whole: deque[ClientRequest] = deque()
-        self.seen = clock()  # when the bytes that made them whole were seen; at first, when it was accepted
-        self.slot = clients.slots.open(self.seen)
-        self.since = self.seen  # when the limit on the request at hand began
-        self.due = self.seen + WITHIN  # when whoever holds it up now is out of time
-        self.busy = False  # a request is with the owner or its answer on the way
-        self.held = 0  # memory held for a large request
-        self.answers = 0  # given on it, of whatever kind
+        self.pending_requests: deque[ClientRequest] = deque()
+        self.slot = host.slots.open(now)
+        self.received_at = now
+        self.timeout_started_at = now
+        self.deadline = now + client_timeouts.REQUEST_TIMEOUT_US
+        self.is_busy = False
+        self.reserved_bytes = 0
+        self.response_count = 0
         self.greenlet = gevent.Greenlet(self.serve)
-        # one watcher a connection, not a greenlet a request: it runs in the event loop and must never wait
-        self.watch = gevent.get_hub().loop.io(sock.fileno(), READ)
+        # One watcher for the connection in place of a greenlet for each request; its callback never waits.
+        self.watcher = gevent.get_hub().loop.io(sock.fileno(), EVENT_LOOP_READ)
+
+    # --- State, as the listener sees it ------------------------------------------------------------------
+    def is_idle(self) -> bool:
+        """Whether it is between requests, as far as can be seen."""
+        return not self.is_busy and not self.reader.has_partial_request and not is_readable(self.sock)
+
+    def is_between_requests(self) -> bool:
+        """Whether no request is being served and nothing of the next one was read."""
+        return not (self.is_busy or self.pending_requests or self.reader.has_partial_request)
+
+    def is_reading_request(self) -> bool:
+        """Whether it waits for the rest of a request."""
+        return self.reader.has_partial_request and not self.is_busy
+
+    def expire(self) -> None:
+        """Called by the listener once the deadline has passed: end whatever waits for the client."""
+        if self.is_reading_request():
+            error = MalformedMessageError("the request stalled", HTTPStatus.REQUEST_TIMEOUT)
+            self.interrupt(error, ClientConnection.is_reading_request)
+        else:
+            self.sock.close()
+
+    def interrupt(self, error: Exception, still_applies: Callable[[ClientConnection], bool]) -> None:
+        """Raise the error in the connection's greenlet, if that still applies once the event loop runs.
+
+        Until then a request may be complete, and a greenlet that waits for its response must not be
+        interrupted.
+        """
 
-    def idle(self) -> bool:
-        """Between requests, as far as can be seen."""
-        return not self.busy and not self.reader.has_partial_request and not is_readable(self.sock)
+        def raise_in_greenlet() -> None:
+            if still_applies(self) and not self.greenlet.dead:
+                self.greenlet.throw(error)
 
-    @property
-    def clean(self) -> bool:
-        """Between requests, and nothing of the next one has been read."""
-        return not (self.busy or self.whole or self.reader.has_partial_request)
+        self.host.run_soon(raise_in_greenlet)
 
+    # --- The connection's greenlet -----------------------------------------------------------------------
     def serve(self) -> None:
+        """Serve requests until the connection ends or is migrated."""
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            while not (self.clients.passes and self.clean and self._handed_over()):
-                try:
-                    if not (self.whole or self._read()) or not self._serve_request(self.whole.popleft()):
-                        break
-                except HandedOverError:
-                    pass  # woken where it waited for a request
-        except MalformedMessageError as fault:
-            self.clients.refused_input(str(fault), fault.status)
-            self._reject(fault.status)
+            self._serve_requests()
+        except MalformedMessageError as error:
+            log.warning("request_malformed", error=str(error), status=error.status)
+            self._reject(error.status)
         except OSError:
-            pass  # the client has gone, or takes nothing, or its time was over
+            pass  # the client has disconnected, takes nothing, or was closed by the listener
         except Exception:
-            # guards against a greenlet that ends silently
-            log.exception("client_broke")
+            # A greenlet that fails would otherwise end silently.
+            log.exception("client_connection_failed")
         finally:
-            self.watch.close()
+            self.watcher.close()
             self.sock.close()
             self.reader.close()
-            self.let_go()
-            self.clients.ended(self)
-
-    def _handed_over(self) -> bool:
-        """Whether another process has this connection from here on, with all that waits on it unread."""
-        self.busy = True
-        passed = self.clients.passes is not None and self.clients.passes(self.sock.fileno(), self.answers)
-        self.busy = False
-        return passed
-
-    def let_go(self) -> None:
-        """What was large on this connection is over."""
-        self.clients.budget.memory.release(self.held)
-        self.held = 0
-
-    def out_of_time(self) -> None:
-        """Called by the sweep: what waits for the client ends."""
-        if self.stalls:
-            # guards against a request that drips in for ever
-            self.wake(MalformedMessageError("the request stalled", 408), lambda client: client.stalls)
-        else:
-            self.sock.close()
-
-    @property
-    def stalls(self) -> bool:
-        """It waits for the rest of a request."""
-        return self.reader.has_partial_request and not self.busy
-
-    def wake(self, why: Exception, still: Callable[[ClientConnection], bool]) -> None:
-        """Raise this in its greenlet, if that still holds once the event loop comes to it.
-
-        Guards against a request that came whole meanwhile: whoever waits for its answer must not be woken."""
-
-        def now() -> None:
-            if still(self) and not self.greenlet.dead:
-                self.greenlet.throw(why)
-
-        self.clients.later(now)
-
-    def _read(self) -> bool:
-        """Read until at least one request is whole; False where the connection ends first."""
-        while not self.whole:
-            if self.reader.deferred_error is not None:
-                raise self.reader.deferred_error
-            if self.reader.request.expects_continue:
-                self.invite()
+            self.release_memory()
+            self.host.connection_ended(self)
+
+    def _serve_requests(self) -> None:
+        while not self._try_migrate():
+            try:
+                if not self.pending_requests and not self._read_requests():
+                    return
+                if not self._serve_request(self.pending_requests.popleft()):
+                    return
+            except ConnectionMigratedError:
+                pass  # interrupted while it waited for a request
+
+    def _try_migrate(self) -> bool:
+        """Whether another process has the connection from here on, with all that is unread on it."""
+        if self.host.migrate is None or not self.is_between_requests():
+            return False
+        self.is_busy = True  # so that nothing else closes or interrupts it meanwhile
+        is_migrated = self.host.migrate(self.sock.fileno(), self.response_count)
+        self.is_busy = False
+        return is_migrated
+
+    def release_memory(self) -> None:
+        """Give back what was reserved for a large request."""
+        self.host.budget.memory.release(self.reserved_bytes)
+        self.reserved_bytes = 0
+
+    # --- Reading requests --------------------------------------------------------------------------------
+    def _read_requests(self) -> bool:
+        """Read until there is a request to serve; False where the connection ends first."""
+        reader = self.reader
+        while not self.pending_requests:
+            if reader.deferred_error is not None:
+                raise reader.deferred_error
+            if reader.request.expects_continue:
+                self.send_continue()
             data = self.sock.recv(READ_SIZE)
             if not data:
                 return False
-            self.take(data)
-            if not self.whole:
-                self.clients.slots.begin_request(self.slot, self.seen)
-            if self.reader.has_partial_request and self.reader.is_head_complete and not self._holds_body():
-                self.reader.request.body_stream = Upload(self)
-                self.whole.append(self.reader.request)
-            elif self.reader.body_size > SMALL_BODY_BYTES and not self.held:
-                self.held = self.clients.budget.memory.wait_and_reserve(MAX_BUFFERED_BODY_BYTES)
+            self.receive(data)
+            if not self.pending_requests:
+                self.host.slots.begin_request(self.slot, self.received_at)
+            if reader.has_partial_request and reader.is_head_complete and not self._reserve_for_body():
+                reader.request.body_stream = RequestUpload(self, self.host.budget.memory.chunk_size)
+                self.pending_requests.append(reader.request)
+            elif reader.body_size > SMALL_BODY_BYTES and not self.reserved_bytes:
+                self.reserved_bytes = self.host.budget.memory.wait_and_reserve(MAX_BUFFERED_BODY_BYTES)
         return True
 
-    def invite(self) -> None:
-        """Ask for the body of whoever waits to be asked."""
+    def send_continue(self) -> None:
+        """Ask for the body, if the client waits to be asked."""
         request = self.reader.request
-        if request.expects_continue and self.reader.has_partial_request and self.reader.is_head_complete:
+        is_reading_body = self.reader.has_partial_request and self.reader.is_head_complete
+        if request.expects_continue and is_reading_body:
             request.expects_continue = False
             if not self.reader.body_size:
                 self.sock.sendall(CONTINUE_RESPONSE)
 
-    def take(self, data: bytes) -> None:
-        """Bytes have come: the requests that they complete, and the time that is left for the one at hand."""
+    def receive(self, data: bytes) -> None:
+        """Parse bytes that have arrived, and set the deadline of a request that is incomplete."""
         reader = self.reader
-        begun, headed, self.seen = reader.has_partial_request, reader.is_head_complete, clock()
-        self.whole.extend(reader.feed(data))
+        had_partial_request = reader.has_partial_request
+        had_head = reader.is_head_complete
+        self.received_at = clock()
+        self.pending_requests.extend(reader.feed(data))
         if not reader.has_partial_request:
             return
-        if self.whole or (not begun and self.answers):
-            # guards against a limit that starts anew with each byte, or that a first byte puts off
-            self.since = self.seen
-        if self.busy:
-            return
+        if self.pending_requests or (not had_partial_request and self.response_count):
+            # A new request has begun; the time of a connection's first one counts from when it was accepted.
+            self.timeout_started_at = self.received_at
+        if not self.is_busy:
+            self._set_request_deadline(had_head)
+
+    def _set_request_deadline(self, had_head: bool) -> None:
+        """Set the deadline for the rest of the incomplete request."""
+        reader = self.reader
         if not reader.is_head_complete:
-            self.due = self.since + WITHIN
+            self.deadline = self.timeout_started_at + client_timeouts.REQUEST_TIMEOUT_US
             return
-        # guards against a body that drips in for ever, and against cutting off one that is only slow
-        earned = self.since + WITHIN + reader.body_size * 1_000_000 // SLOWEST
-        self.due = min(earned, self.seen + WITHIN)
-        if not headed:
-            self.due = max(self.due, self.seen + BODY_BEGINS)
-
-    def _holds_body(self) -> bool:
-        """Whether the body at hand is held until it is whole; where not, it goes on as it comes."""
-        reader, memory = self.reader, self.clients.budget.memory
+        earned = self.timeout_started_at + body_timeout(reader.body_size)
+        self.deadline = min(earned, self.received_at + client_timeouts.REQUEST_TIMEOUT_US)
+        if not had_head:
+            body_start_deadline = self.received_at + client_timeouts.BODY_START_TIMEOUT_US
+            self.deadline = max(self.deadline, body_start_deadline)
+
+    def _reserve_for_body(self) -> bool:
+        """Whether the current body is buffered until it is complete, with memory reserved for it.
+
+        One that does not fit is forwarded as it arrives.
+
+        Raises:
+            RejectedRequestError: The request of a large body is invalid, so that its body need not be read.
+        """
+        reader = self.reader
+        memory = self.host.budget.memory
         length = reader.declared_content_length()
         size = reader.body_size if length is None else length
         if size <= SMALL_BODY_BYTES:
             return True
-        if not self.held:
-            # guards against reading a long body of what is no request
-            self.clients.intake.check(reader.request)
+        if not self.reserved_bytes:
+            self.host.validator.validate(reader.request)
             if size <= MAX_BUFFERED_BODY_BYTES:
-                self.held = memory.wait_and_reserve(MAX_BUFFERED_BODY_BYTES)
+                self.reserved_bytes = memory.wait_and_reserve(MAX_BUFFERED_BODY_BYTES)
                 return True
-        if size <= self.held:
+        if size <= self.reserved_bytes:
             return True
-        more = size - self.held if length is not None else GROWS
-        if not memory.try_reserve(more):
+        missing = size - self.reserved_bytes if length is not None else BODY_RESERVATION_BYTES
+        if not memory.try_reserve(missing):
             return False
-        self.held += more
+        self.reserved_bytes += missing
         return True
 
+    # --- Serving a request -------------------------------------------------------------------------------
     def _serve_request(self, request: ClientRequest) -> bool:
         """Serve one request; whether the connection is kept."""
-        self.busy, self.due = True, NEVER
+        self.is_busy = True
+        self.deadline = NEVER
         if request.path == READINESS_PATH:
-            self.clients.slots.finish_readiness_check(self.slot, clock())
-            return self._answer(request, FinalResponse(200 if self.clients.serving() else 503))
-        arrival = self.clients.intake.arrival(request)
-        self.clients.slots.receive_request(self.slot, self.seen)
-        result: AsyncResult[FinalResponse | None] = AsyncResult()
-        gone = partial(self._gone, arrival.request_id, result, request.keep_alive, self.seen)
-        self.clients.owner.put(IncomingRequest(request, arrival, result.set, gone), self.seen)
-        if isinstance(upload := request.body_stream, Upload):
-            upload.left = partial(self._left, arrival.request_id, result)
-            upload.came = partial(self.watch.start, self._look_whether_gone, gone)
+            self.host.slots.finish_readiness_check(self.slot, clock())
+            status = HTTPStatus.OK if self.host.is_serving() else HTTPStatus.SERVICE_UNAVAILABLE
+            return self._respond(request, FinalResponse(status))
+        event = self.host.validator.accept(request)
+        self.host.slots.receive_request(self.slot, self.received_at)
+        response = self._dispatch(request, event)
+        return response is not None and self._respond(request, response)
+
+    def _dispatch(self, request: ClientRequest, event: RequestReceived) -> FinalResponse | None:
+        """Hand the request to the dispatcher and wait for its final response.
+
+        Returns:
+            None if the client disconnects first.
+        """
+        pending = PendingRequest(
+            self.host.dispatcher, self.sock, event.request_id, request.keep_alive, self.received_at
+        )
+        incoming = IncomingRequest(request, event, pending.result.set, pending.is_abandoned)
+        self.host.dispatcher.put(incoming, self.received_at)
+        upload = request.body_stream
+        if isinstance(upload, RequestUpload):
+            # While the body is read, that shows whether the client is connected; the watcher takes over
+            # behind it.
+            upload.on_aborted = pending.abandon
+            upload.on_complete = partial(self.watcher.start, self._on_readable, pending)
         else:
-            self.watch.start(self._look_whether_gone, gone)
+            self.watcher.start(self._on_readable, pending)
         try:
-            final = result.get()
+            response = pending.result.get()
         finally:
-            self.watch.stop()
-            self.clients.unread.pop(self, None)
-            self.clients.intake.over(request.trace_id)
-        if isinstance(upload, Upload) and upload.fault is not None:
-            raise upload.fault
-        return final is not None and self._answer(request, final)
-
-    def _look_whether_gone(self, gone: Callable[[], bool]) -> None:
-        """While the request is out something came: a client that closes has gone away, and the owner is told.
-        What is no end stays unread, and would hide one that comes behind it: the sweep looks from here on."""
-        self.watch.stop()
-        if not gone():
-            self.clients.unread[self] = gone
-
-    def _gone(self, number: int, result: AsyncResult[FinalResponse | None], keep: bool, seen: int) -> bool:
-        """Whether the client has left, as far as its socket shows; then the owner hears so ahead of whatever
-        is told later.  One that said that nothing more would come (`keep` is False) may have closed its own
-        side only, and is owed an answer; but nothing more is begun for it once it may as well have gone."""
-        if result.ready():
-            return True
-        side = peer_state(self.sock)
-        if side is PeerState.BROKEN or (keep and side is PeerState.HALF_CLOSED):
-            self._left(number, result)
+            self.watcher.stop()
+            self.host.unread_connections.pop(self, None)
+            self.host.validator.finish(request.trace_id)
+        if isinstance(upload, RequestUpload) and upload.error is not None:
+            raise upload.error
+        return response
+
+    def _on_readable(self, pending: PendingRequest) -> None:
+        """Called by the event loop when something has arrived while a request is pending.
+
+        If the client has not disconnected, what has arrived stays unread and would hide a later disconnect
+        from the
+        watcher: the listener checks from here on.
+        """
+        self.watcher.stop()
+        if not pending.is_abandoned():
+            self.host.unread_connections[self] = pending
+
+    # --- Writing the response ----------------------------------------------------------------------------
+    def _respond(self, request: ClientRequest, response: FinalResponse) -> bool:
+        """Write the response; whether the connection is kept."""
+        keep_alive = self._decide_keep_alive(request)
+        if response.stream is None:
+            write_response(self, request, response, keep_alive, self.host.rounds_retry_after)
+        elif not write_stream(self, request, response.stream, keep_alive):
+            return False
+        self._finish_response(keep_alive)
+        return keep_alive
+
+    def _decide_keep_alive(self, request: ClientRequest) -> bool:
+        """Whether the connection is kept after the response."""
+        if not request.keep_alive or not request.is_complete:
+            return False
+        if self.host.is_closing and not self.pending_requests:
+            return False
+        has_next_request = bool(self.pending_requests) or self.reader.has_partial_request
+        if self.slot.state is not SlotState.BUSY or has_next_request:
             return True
-        return side is PeerState.HALF_CLOSED and clock() - seen > SHUT_FOR
-
-    def _left(self, number: int, result: AsyncResult[FinalResponse | None]) -> None:
-        self.clients.owner.put(DisconnectedClient(number), clock())
-        result.set(None)
-
-    def _answer(self, request: ClientRequest, final: FinalResponse) -> bool:
-        keep = self._keeps_connection(request)
-        if final.stream is not None:
-            return self._stream_answer(request, final.stream, keep) and self._finish_answer(keep)
-        after = final.retry_after
-        if self.clients.whole_seconds:
-            after = -(-after // 1_000_000) * 1_000_000
-        length = final.length if request.method == "HEAD" else None
-        data = encode_response(
-            final.status, final.body, after, keep, final.content_type, request.is_http10, length
-        )
-        self.due = clock() + WITHIN
-        write(self.sock, data)
-        return self._finish_answer(keep)
-
-    def _stream_answer(self, request: ClientRequest, stream: ResponseStream, keep: bool) -> bool:
-        """Write a long answer as it comes; whether it went out whole."""
-        how, outcome = select_framing(stream.content_length, request.is_http10), Outcome.CANCELLED
-        keep = keep and how is not BodyFraming.CONNECTION_CLOSE
-        try:
-            self.due = clock() + TAKES
-            write(
-                self.sock,
-                encode_response_head(how, stream.content_length, keep, stream.content_type, request.is_http10),
-            )
-            while True:
-                self.due = NEVER  # the upstream has a limit of its own
-                try:
-                    parts = stream.read_chunks()
-                except (OSError, MalformedMessageError) as fault:
-                    outcome = Outcome.RESET
-                    log.warning("answer_broke_off", fault=str(fault))
-                    if how is BodyFraming.CONNECTION_CLOSE:
-                        # guards against an end that cannot be told from a whole one
-                        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                    return False
-                if not parts:
-                    break
-                for part in parts:
-                    self.due = clock() + TAKES
-                    write(self.sock, encode_chunk(part) if how is BodyFraming.CHUNKED else part)
-            if how is BodyFraming.CHUNKED:
-                write(self.sock, LAST_CHUNK)
-            outcome = Outcome.SUCCESS
-            return how is not BodyFraming.CONNECTION_CLOSE
-        finally:
-            stream.finish(outcome)
-
-    def _finish_answer(self, keep: bool) -> bool:
-        """The answer has gone."""
-        self.busy = False
-        self.answers += 1
-        self.let_go()
-        if keep:
+        # A request that has arrived behind this one must not be lost by closing.
+        return self.host.slots.decide_keep_alive(self.slot, clock()) or is_readable(self.sock)
+
+    def _finish_response(self, keep_alive: bool) -> None:
+        """The response was written: wait for the next request, or close."""
+        self.is_busy = False
+        self.response_count += 1
+        self.release_memory()
+        if keep_alive:
             now = clock()
-            self.since, self.due = now, now + WITHIN
+            self.timeout_started_at = now
+            self.deadline = now + client_timeouts.REQUEST_TIMEOUT_US
             if self.slot.state is SlotState.BUSY and not self.reader.has_partial_request:
-                self.due = NEVER  # the slots decide when it expires
-                self.clients.slots.mark_idle(self.slot, now)
+                self.deadline = NEVER  # the slots decide how long it is kept
+                self.host.slots.mark_idle(self.slot, now)
         elif self.reader.has_partial_request or is_readable(self.sock):
-            # guards against a reset that overtakes the answer, for what comes behind the request
             self._linger()
-        return keep
-
-    def _keeps_connection(self, request: ClientRequest) -> bool:
-        """Whether the connection is kept after this answer."""
-        if not request.keep_alive or not request.is_complete or (self.clients.closing and not self.whole):
-            return False
-        if self.slot.state is not SlotState.BUSY or self.whole or self.reader.has_partial_request:
-            return True
-        # guards against closing under a request that came behind this one: it has been taken
-        return self.clients.slots.decide_keep_alive(self.slot, clock()) or is_readable(self.sock)
 
     def _reject(self, status: int) -> None:
-        """An answer to what is no request."""
-        self.busy = True
+        """Respond to what is no valid request, and close."""
+        self.is_busy = True
         try:
             self.sock.sendall(encode_response(status, keep_alive=False))
             self._linger()
@@ -365,67 +392,7 @@
             pass
 
     def _linger(self) -> None:
-        """After the last answer some of what still comes is read away, so that no reset of the connection
-        overtakes it, and nothing that comes behind is taken for a request."""
-        self.busy, began = True, clock()
-        # one who still sends a body that is not wanted may go on at the pace of any other
-        is_streamed = self.reader.has_partial_request and self.reader.request.body_stream is not None
-        left = MAX_BODY_BYTES if is_streamed else LAST_BYTES
-        self.due, read = began + LAST_WORD, 0
-        try:
-            self.sock.shutdown(socket.SHUT_WR)
-            while read < left and (data := self.sock.recv(READ_SIZE)):
-                read += len(data)
-                if left > LAST_BYTES:
-                    self.due = min(clock(), began + read * 1_000_000 // SLOWEST) + WITHIN
-        except OSError:
-            pass
-
-
-class Upload:
-    """A body that goes on as it comes: read from the client by whoever sends its request on."""
-
-    def __init__(self, client: ClientConnection) -> None:
-        self.client, self.request = client, client.reader.request
-        self.content_length = client.reader.declared_content_length()
-        self.fault: OSError | MalformedMessageError | None = None
-        self.waited = 0  # microseconds for the client
-        self.left: Callable[[], None] = lambda: None  # called once it breaks off
-        self.came: Callable[[], None] = lambda: None  # called once it is whole
-
-    def read_chunks(self) -> list[bytes | bytearray]:
-        """Wait for what comes next; nothing once it is whole.  An OSError or a MalformedMessageError where it
-        breaks off."""
-        client, request = self.client, self.request
-        try:
-            while not (parts := self._come()) and not request.is_complete:
-                client.invite()
-                earned = WITHIN + client.reader.body_size * 1_000_000 // SLOWEST - self.waited
-                began = clock()
-                client.due = began + min(WITHIN, earned)
-                data = client.sock.recv(client.clients.budget.memory.chunk_size())
-                client.due, self.waited = NEVER, self.waited + clock() - began
-                if not data:
-                    raise ConnectionResetError("the client left within its request")
-                try:
-                    client.take(data)
-                except MalformedMessageError as fault:
-                    if not request.is_complete:
-                        raise
-                    client.reader.deferred_error = fault  # what is wrong stands behind the request
-        except (OSError, MalformedMessageError) as fault:
-            self.fault = fault
-            self.left()
-            raise
-        if request.is_complete:
-            came, self.came = self.came, lambda: None
-            came()
-        return parts
-
-    def _come(self) -> list[bytes | bytearray]:
-        if self.request.is_complete:
-            parts, self.request.body_chunks = list(self.request.body_chunks), []
-        else:
-            parts = self.client.reader.take_body_chunks()
-        self.client.let_go()
-        return parts
+        """Discard what the client still sends; nothing of it is taken for a request."""
+        self.is_busy = True
+        is_body_incomplete = self.reader.has_partial_request and self.reader.request.body_stream is not None
+        discard_until_close(self, is_body_incomplete)
--- a/linetrack/server/clock.py
+++ b/linetrack/server/clock.py
@@ -6,8 +6,9 @@
 import time
 from time import monotonic_ns
 
-#: Time is Unix time in microseconds as of the process's start, and advances monotonically from there: the start times
-#: that discovery reports need no translation, and the clock does not jump when the machine's clock is set.
+#: Time is Unix time in microseconds as of the process's start, and advances monotonically from there: the
+#: start times that discovery reports need no translation, and the clock does not jump when the machine's
+#: clock is set.
 _UNIX_TIME_OFFSET_NS = time.time_ns() - time.monotonic_ns()
 
 #: Later than any moment.
--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -66,8 +66,8 @@
     def read_response(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
         """Wait for the response: a complete one, or a long one that has begun.
 
-        A response that has begun and then stalls would otherwise hold the connection and its request for as long as
-        the client waits.
+        A response that has begun and then stalls would otherwise hold the connection and its request for as
+        long as the client waits.
 
         Args:
             stall_timeout: Seconds for which a response that has begun may stand still.
--- a/linetrack/server/descriptor_budget.py
+++ b/linetrack/server/descriptor_budget.py
@@ -10,7 +10,8 @@
 from linetrack.control.connection_demand import UNCONTENDED_SHARE, UpstreamReserve
 from linetrack.server.clock import clock
 
-#: Not for connections: standard streams, the event loop's own, listeners, discovery, admin, files read at the start.
+#: Not for connections: standard streams, the event loop's own, listeners, discovery, admin, files read at
+#: the start.
 RESERVED_DESCRIPTORS = 40
 DESCRIPTORS_PER_CLIENT_SLOT = 3  # clients may hold one descriptor in so many for requests
 HANDOVER_DESCRIPTORS = 8  # beyond those in use, for a process whose successor takes over
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -161,7 +161,7 @@
                 self.clients.stop_accepting()
             self.clients.close_between_requests()
             self._enter(Phase.EMPTYING)
-            while self.clients.open and clock() < limit:
+            while self.clients.connections and clock() < limit:
                 gevent.sleep(LOOK)
         self._enter(Phase.ENDED)
         return 0
@@ -193,7 +193,7 @@
                 self.predecessor = None
             self._prepare_to_give()
             try:
-                self.clients.listen(config.listen, beside=self.predecessor is None)
+                self.clients.listen(config.listen, reuse_port=self.predecessor is None)
             except BaseException as fault:
                 if self.predecessor is None:
                     raise
@@ -273,7 +273,7 @@
                 # guards against having no room for those who come back from a successor that has ended
                 self.budget.restore()
                 self.handover.alone(clock())
-                self.clients.passes = None
+                self.clients.migrate = None
                 self._accept()
         if do in (Command.HAND_ON, Command.KEEP, Command.LEAVE):
             self.handed = do
@@ -287,7 +287,7 @@
         link.say(
             "leave",
             sockets=self.budget.descriptors.yield_to_successor(),
-            ids=self.clients.intake.marks(),
+            ids=self.clients.validator.recent_ids.export(),
             learnt=self.handover.learnt(),
             settings=self.config.digest,
         )
@@ -298,11 +298,11 @@
                 self.budget.descriptors.migrate_client()
             return gone
 
-        self.clients.hand_on(passes)
+        self.clients.migrate_connections(passes)
 
     def _until_handed(self, limit: int) -> bool:
         """Wait until nothing is left here; False where the successor has ended before."""
-        while self.clients.open and clock() < limit:
+        while self.clients.connections and clock() < limit:
             if self.handed is Command.KEEP:
                 return False
             gevent.sleep(LOOK)
@@ -316,7 +316,7 @@
                     self.clients.adopt(fd, values["answers"])
             case "leave":
                 self.budget.share_with_other_process(values["sockets"])
-                self.clients.intake.remember(values["ids"])
+                self.clients.validator.recent_ids.restore(values["ids"])
                 # guards against taking over under one number what was learnt of another class or place: what
                 # does not go by name goes over under the very same settings only
                 same = values.get("settings") == self.config.digest
@@ -352,7 +352,7 @@
         self.upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
         self.discovery.set(new.zone_names, new.kind_names, new.settings)
         self.figures.declare(new.class_names)
-        self.clients.intake.set(new.class_names, new.deadlines)
+        self.clients.validator.configure(new.class_names, new.deadlines)
         self.owner.put(SerializedCallback(partial(self._succeed, new)), clock())
         self.config, self.longest = new, max(self.longest, new.longest)
 
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -1,7 +1,8 @@
-"""The listener and the connections that it takes.
+"""The application's listener and the connections that it has accepted.
 
-Owns accepting, the room for connections, and who makes way or is out of time.  Must never answer for the
-module; what is on one connection is `client_connection.py`'s, what is a request `request_intake.py`'s.
+It accepts connections within the budget, and closes those that are evicted, have expired or are out of
+time.  What happens on one connection is `client_connection.py`'s, what a valid request is
+`request_validation.py`'s.
 """
 
 from __future__ import annotations
@@ -14,80 +15,98 @@
 from gevent import socket
 
 from linetrack.control.connection_slots import ConnectionSlot, ConnectionSlots, SlotState
+from linetrack.server import client_timeouts
 from linetrack.server.budget import Budget
-from linetrack.server.client_connection import WITHIN, ClientConnection, HandedOverError
+from linetrack.server.client_connection import ClientConnection, ConnectionMigratedError
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.pending_request import PendingRequest
 from linetrack.server.request_validation import RequestValidator
 from linetrack.server.sockets import is_readable, is_transient_accept_error
 
 log = structlog.get_logger()
 
-BACKLOG = 1024
-SWEEP = 0.1  # seconds between looks for connections whose time is over
-AT_ONCE = 64  # connections taken in one turn of the event loop
-ROOM_WAIT = 0.01  # seconds until it is looked again whether there is room for a connection
+LISTEN_BACKLOG = 1024
+SWEEP_INTERVAL_SECONDS = 0.1  # between checks for connections that are out of time
+ACCEPT_BATCH_SIZE = 64  # connections accepted in one turn of the event loop
+ACCEPT_RETRY_SECONDS = 0.01  # until accepting is tried again where the budget or the process had no room
 
 
 class Listener:
-    """The listener, and all connections that were taken on it."""
+    """Accepts connections and keeps all that are open; the `ConnectionHost` of its connections.
+
+    Args:
+        dispatcher: Gets the requests.
+        budget: Of the process.
+        class_names: The request classes, in the order of their indices.
+        deadlines: Microseconds that a request of each class may take.
+        is_serving: Whether the process is ready for requests.
+        rounds_retry_after: Whether advice to retry is given in whole seconds.
+    """
 
     def __init__(
         self,
-        owner: Dispatcher,
+        dispatcher: Dispatcher,
         budget: Budget,
-        classes: tuple[str, ...],
+        class_names: tuple[str, ...],
         deadlines: tuple[int, ...],
-        serving: Callable[[], bool],
-        whole_seconds: bool = False,
+        is_serving: Callable[[], bool],
+        rounds_retry_after: bool = False,
     ) -> None:
-        self.owner, self.budget, self.serving = owner, budget, serving
-        self.whole_seconds = whole_seconds
-        self.intake = RequestValidator(owner, classes, deadlines)
+        self.dispatcher = dispatcher
+        self.budget = budget
+        self.is_serving = is_serving
+        self.rounds_retry_after = rounds_retry_after
+        self.validator = RequestValidator(dispatcher, class_names, deadlines)
         self.slots = ConnectionSlots(budget.descriptors.client_slots)
-        self.open: dict[ConnectionSlot, ClientConnection] = {}
-        # whose request is out with something unread behind it, and how to see whether it has left
-        self.unread: dict[ClientConnection, Callable[[], bool]] = {}
-        budget.descriptors.evict_client = self._make_room
-        # hands a connection, by descriptor and answers given on it, to another process; whether it went
-        self.passes: Callable[[int, int], bool] | None = None
-        self.closing = False
+        self.connections: dict[ConnectionSlot, ClientConnection] = {}
+        self.unread_connections: dict[ClientConnection, PendingRequest] = {}
+        self.migrate: Callable[[int, int], bool] | None = None
+        self.is_closing = False
         self.listener: socket.socket | None = None
-        self.later = gevent.get_hub().loop.run_callback
+        self.run_soon: Callable[[Callable[[], None]], object] = gevent.get_hub().loop.run_callback
+        budget.descriptors.evict_client = self._evict
 
-    def listen(self, address: tuple[str, int], beside: bool = False) -> None:
-        """Open the listener; where it may be needed, so that another process can listen beside it."""
+    # --- Accepting ---------------------------------------------------------------------------------------
+    def listen(self, address: tuple[str, int], reuse_port: bool = False) -> None:
+        """Open the listening socket; with `reuse_port` another process can listen on the same address."""
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if beside:
+        if reuse_port:
             with contextlib.suppress(OSError):
                 self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self.listener.bind(address)
-        self.listener.listen(BACKLOG)
+        self.listener.listen(LISTEN_BACKLOG)
 
     def accept(self) -> None:
-        """Take connections for ever; beyond the budget they wait in the backlog."""
+        """Accept connections, for ever; beyond the budget they wait in the backlog."""
         assert self.listener is not None
         while True:
-            # room is made only once somebody waits for it
+            # Connections are evicted only once another one waits.
             socket.wait_read(self.listener.fileno())
-            # guards against one connection a turn of the event loop, which is long when there is much to do:
-            # those that wait longest give up and come again
-            for _ in range(AT_ONCE):
-                if not is_readable(self.listener):
-                    break
-                while not self.budget.descriptors.try_acquire_client():
-                    gevent.sleep(0 if self._make_room() else ROOM_WAIT)
-                try:
-                    self._take_one()
-                except OSError as fault:
-                    if not is_transient_accept_error(fault):
-                        raise
-                    log.error("accept_failed", fault=str(fault))
-                    gevent.sleep(ROOM_WAIT)
-
-    def _take_one(self) -> None:
-        """Accept one connection, for which there is room."""
+            self._accept_batch(self.listener)
+
+    def _accept_batch(self, listener: socket.socket) -> None:
+        """Accept several connections in one turn of the event loop.
+
+        A turn is long when there is much to do, and clients that wait a turn each would give up and come
+        again.
+        """
+        for _ in range(ACCEPT_BATCH_SIZE):
+            if not is_readable(listener):
+                return
+            while not self.budget.descriptors.try_acquire_client():
+                gevent.sleep(0 if self._evict() else ACCEPT_RETRY_SECONDS)
+            try:
+                self._accept_one()
+            except OSError as error:
+                if not is_transient_accept_error(error):
+                    raise
+                log.error("accept_failed", error=str(error))
+                gevent.sleep(ACCEPT_RETRY_SECONDS)
+
+    def _accept_one(self) -> None:
+        """Accept one connection, whose descriptor was acquired; it is released where that fails."""
         assert self.listener is not None
         try:
             sock, _ = self.listener.accept()
@@ -97,100 +116,104 @@
         self._serve(sock)
 
     def _serve(self, sock: socket.socket) -> ClientConnection:
-        client = ClientConnection(sock, self)
-        self.open[client.slot] = client
-        client.greenlet.start()
-        return client
-
-    def adopt(self, fd: int, answers: int) -> None:
-        """A connection that another process served until now."""
-        self.budget.descriptors.adopt_client()
-        client = self._serve(socket.socket(fileno=fd))
-        if answers:
-            now = clock()
-            client.answers, client.due = answers, NEVER
-            self.slots.receive_request(client.slot, now)
-            self.slots.mark_idle(client.slot, now)
-
-    def ended(self, client: ClientConnection) -> None:
-        del self.open[client.slot]
-        self.slots.close(client.slot, clock())
+        connection = ClientConnection(sock, self)
+        self.connections[connection.slot] = connection
+        connection.greenlet.start()
+        return connection
+
+    def connection_ended(self, connection: ClientConnection) -> None:
+        """The connection is closed: free its slot and its descriptor."""
+        del self.connections[connection.slot]
+        self.slots.close(connection.slot, clock())
         self.budget.descriptors.release_client()
 
-    def _make_room(self) -> bool:
-        """Close the connection that is to make way, where there is one that may."""
-        return self._close_one(self.slots.select_eviction)
+    # --- Closing -----------------------------------------------------------------------------------------
+    def sweep(self) -> None:
+        """Close connections that are out of time, for ever."""
+        sweeps_since_forgetting = 0
+        while True:
+            gevent.sleep(SWEEP_INTERVAL_SECONDS)
+            self.close_expired(clock())
+            sweeps_since_forgetting += 1
+            elapsed = sweeps_since_forgetting * SWEEP_INTERVAL_SECONDS * client_timeouts.SECOND
+            if elapsed >= client_timeouts.REQUEST_TIMEOUT_US:
+                sweeps_since_forgetting = 0
+                self.validator.recent_ids.forget_older()
+
+    def close_expired(self, now: int) -> None:
+        """Close whoever is out of time or not worth its slot, and find clients that have disconnected."""
+        out_of_time = [connection for connection in self.connections.values() if connection.deadline <= now]
+        for connection in out_of_time:
+            is_reading = connection.is_busy or connection.reader.has_partial_request
+            # A request may have arrived just as the time was over.
+            if is_reading or not is_readable(connection.sock):
+                connection.expire()
+        for connection, pending in list(self.unread_connections.items()):
+            if pending.is_abandoned():
+                self.unread_connections.pop(connection, None)
+        while self._close_selected(self.slots.select_expired):
+            pass
 
-    def _close_one(self, which: Callable[[int], ConnectionSlot | None]) -> bool:
+    def _evict(self) -> bool:
+        """Close a connection for another one; False where none may be closed yet."""
+        return self._close_selected(self.slots.select_eviction)
+
+    def _close_selected(self, select: Callable[[int], ConnectionSlot | None]) -> bool:
         now = clock()
-        while slot := which(now):
-            client = self.open[slot]
-            if slot.state is not SlotState.PARTIAL_REQUEST and not client.idle():
-                # something has come that its greenlet has not read yet
+        while slot := select(now):
+            connection = self.connections[slot]
+            if slot.state is not SlotState.PARTIAL_REQUEST and not connection.is_idle():
+                # Something has arrived that its greenlet has not read yet.
                 self.slots.begin_request(slot, now)
                 continue
             self.slots.close(slot, now)
-            client.out_of_time()
+            connection.expire()
             return True
         return False
 
-    def sweep(self) -> None:
-        """Let go of whoever is out of time, for ever; a client's own time costs no timer of its own."""
-        turn = 0
-        while True:
-            gevent.sleep(SWEEP)
-            self.look(clock())
-            turn += 1
-            if turn * SWEEP * 1_000_000 >= WITHIN:
-                turn = 0
-                self.intake.forget_older()
-
-    def look(self, now: int) -> None:
-        """Close whoever is out of time or no longer worth a place, and see who has left."""
-        for client in [client for client in self.open.values() if client.due <= now]:
-            # guards against closing under what has come in the very moment in which its time was over
-            if client.busy or client.reader.open or not is_readable(client.sock):
-                client.out_of_time()
-        for client, gone in list(self.unread.items()):
-            if gone():
-                self.unread.pop(client, None)
-        while self._close_one(self.slots.select_expired):
-            pass
-
-    def refused_input(self, fault: str, status: int) -> None:
-        log.warning("request_malformed", fault=fault, status=status)
-
-    # --- The end -----------------------------------------------------------------------------------
-    def hand_on(self, passes: Callable[[int, int], bool]) -> None:
-        """From now on each connection goes to another process as soon as no request is on it."""
-        self.passes = passes
-        # one whose greenlet has not begun would never begin if it were woken first
+    # --- Hot restart and shutdown ------------------------------------------------------------------------
+    def adopt(self, fd: int, response_count: int) -> None:
+        """Serve a connection that another process has served so far."""
+        self.budget.descriptors.adopt_client()
+        connection = self._serve(socket.socket(fileno=fd))
+        if response_count:
+            now = clock()
+            connection.response_count = response_count
+            connection.deadline = NEVER
+            self.slots.receive_request(connection.slot, now)
+            self.slots.mark_idle(connection.slot, now)
+
+    def migrate_connections(self, migrate: Callable[[int, int], bool]) -> None:
+        """From now on hand each connection to another process as soon as no request is on it."""
+        self.migrate = migrate
+        # A greenlet that was interrupted before it began would never begin.
         gevent.sleep(0)
-        for client in list(self.open.values()):
-            if client.clean:
-                client.wake(HandedOverError(), lambda client: client.clean)
+        for connection in list(self.connections.values()):
+            if connection.is_between_requests():
+                connection.interrupt(ConnectionMigratedError(), ClientConnection.is_between_requests)
 
     def stop_accepting(self) -> None:
-        """Take what still stands in the backlog, then close the listener.
+        """Accept what is in the backlog, then close the listening socket.
 
-        Guards against a request that has come there and is lost because others hold all the places: there is
-        time until the process's end for one of them to make way."""
+        A request in the backlog must not be lost because other connections have all the slots: until the
+        process ends there is time to evict one of them.
+        """
         assert self.listener is not None
         self.listener.setblocking(False)
-        while is_readable(self.listener) and clock() < self.owner.ends:
+        while is_readable(self.listener) and clock() < self.dispatcher.ends:
             if not self.budget.descriptors.try_acquire_client():
-                gevent.sleep(0 if self._make_room() else ROOM_WAIT)
+                gevent.sleep(0 if self._evict() else ACCEPT_RETRY_SECONDS)
                 continue
             try:
-                self._take_one()
-            except OSError as fault:
-                log.error("accept_failed", fault=str(fault))
-                gevent.sleep(ROOM_WAIT)
+                self._accept_one()
+            except OSError as error:
+                log.error("accept_failed", error=str(error))
+                gevent.sleep(ACCEPT_RETRY_SECONDS)
         self.listener.close()
 
     def close_between_requests(self) -> None:
-        """From now on each connection is closed as soon as no request is on it."""
-        self.closing = True
-        for client in list(self.open.values()):
-            if client.idle():
-                client.sock.close()
+        """From now on close each connection as soon as no request is on it."""
+        self.is_closing = True
+        for connection in list(self.connections.values()):
+            if connection.is_idle():
+                connection.sock.close()
--- a/linetrack/server/memory_budget.py
+++ b/linetrack/server/memory_budget.py
@@ -14,7 +14,8 @@
 BASE_MEMORY_MB = 20  # the program itself, with nothing on its connections
 SMALL_BODY_BYTES = 8 * 1024  # up to which a body is part of its connection's memory; most are far smaller
 COPIES_PER_LARGE_BODY = 4  # held at once: as received, joined, as forwarded, as sent
-MAX_LONG_BODY_SHARE = 0.75  # of the memory for large messages; the rest is for responses that wait to be complete
+#: Of the memory for large messages; the rest is for responses that are buffered until they are complete.
+MAX_LONG_BODY_SHARE = 0.75
 STREAM_MEMORY_DIVISOR = 8  # the chunks of all streamed messages together are at most this part of the memory
 MIN_CHUNK_BYTES = 4 * 1024  # of a streamed message, read at once
 MAX_CHUNK_BYTES = 64 * 1024
@@ -22,7 +23,10 @@
 
 
 def connection_memory(memory_mb: int) -> int:
-    """Half of what the program leaves of its memory, in bytes, for connections; the other half is for large bodies."""
+    """Half of what the program leaves of its memory, in bytes.
+
+    One half is for connections, the other for large bodies.
+    """
     return max(0, memory_mb - BASE_MEMORY_MB) * MIB // 2
 
 
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -1,133 +1,168 @@
-"""Checks what clients send and turns it into the arrivals that the decision module is told of.
+"""Checks of what clients send, which turn a message into the event that the policy handles.
 
-Owns the ids of open requests and of those that are lately over.  Must never read a socket or write an answer:
-what is no request raises a `RejectedRequestError` with the status that answers it.
+A message that fails a check raises a `RejectedRequestError` with the status to respond with; nothing is
+read from or written to a socket here.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from hashlib import blake2b
+from enum import Enum, auto
+from http import HTTPStatus
 
 from linetrack.control.metrics import RequestOutcome
 from linetrack.policy.events import RequestReceived
 from linetrack.server.clock import clock
+from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import parse_timeout
 from linetrack.server.http1.requests import ClientRequest
-from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.recent_request_ids import RecentRequestIds
+
+MAX_LOGGED_PATH_LENGTH = 80
+MAX_INTEGER_DIGITS = 15
+
+# Names on the wire, in the header of properties.
+TENANT_PROPERTY = "party"
+WORK_PROPERTY = "workUs"
+WRITE_PROPERTY = "update"
+WRITE_VALUES = ("1", "true")
 
-LONGEST_ID = 128  # characters of an id that are kept as they are
 
-BAD_REQUEST, CONFLICT, UNAVAILABLE, GATEWAY_TIMEOUT = 400, 409, 503, 504
+class RejectionReason(Enum):
+    """Why a message is no request that the policy could handle."""
+
+    UNKNOWN_CLASS = auto()
+    MISSING_REQUEST_ID = auto()
+    INVALID_TIMEOUT = auto()
+    DUPLICATE_REQUEST_ID = auto()
+    TIMEOUT_EXPIRED = auto()
+    PROCESS_ENDING = auto()
+
+
+REJECTION_STATUSES = {
+    RejectionReason.UNKNOWN_CLASS: HTTPStatus.BAD_REQUEST,
+    RejectionReason.MISSING_REQUEST_ID: HTTPStatus.BAD_REQUEST,
+    RejectionReason.INVALID_TIMEOUT: HTTPStatus.BAD_REQUEST,
+    RejectionReason.DUPLICATE_REQUEST_ID: HTTPStatus.CONFLICT,
+    RejectionReason.TIMEOUT_EXPIRED: HTTPStatus.GATEWAY_TIMEOUT,
+    RejectionReason.PROCESS_ENDING: HTTPStatus.SERVICE_UNAVAILABLE,
+}
 
 
 class RejectedRequestError(MalformedMessageError):
-    """A message that the decision module is not told of, as its class, id or deadline makes no sense."""
+    """A message that is not forwarded.
+
+    Attributes:
+        rejection: Which check it failed.
+        path: Its path.
+    """
 
-    def __init__(self, request: ClientRequest, status: int) -> None:
-        super().__init__(f"class, id or deadline of {request.path[:80]!r}", status)
+    def __init__(self, rejection: RejectionReason, path: str) -> None:
+        status = REJECTION_STATUSES[rejection].value
+        super().__init__(f"{rejection.name.lower()}: {path[:MAX_LOGGED_PATH_LENGTH]!r}", status)
+        self.rejection = rejection
+        self.path = path
 
 
 @dataclass(slots=True, frozen=True)
-class CheckedRequest:
-    """What a request that passed the checks says.  `patience` is in microseconds."""
+class ValidRequest:
+    """What a message that passed the checks says."""
 
     class_name: str
-    klass: int
-    key: str
-    id_mark: str
-    patience: int
+    class_index: int
+    affinity_key: str
+    timeout: int
+    """Microseconds for which the client waits."""
 
 
 class RequestValidator:
-    """The checks of one process; the ids that it has seen are its own."""
-
-    def __init__(self, owner: Dispatcher, classes: tuple[str, ...], deadlines: tuple[int, ...]) -> None:
-        self.owner = owner
-        self.set(classes, deadlines)
-        # the ids of open requests and of those lately over: a copy may have been sent meanwhile
-        self.ids: set[str] = set()
-        self.lately: tuple[set[str], set[str]] = (set(), set())
-
-    def set(self, classes: tuple[str, ...], deadlines: tuple[int, ...]) -> None:
-        """The classes of what is read from here on, and their deadlines in microseconds."""
-        self.classes = {name: n for n, name in enumerate(classes)}
+    """The checks of one process.
+
+    Args:
+        dispatcher: Numbers the requests, counts them and has the moment at which the process ends.
+        class_names: The request classes, in the order of their indices.
+        deadlines: Microseconds that a request of each class may take.
+    """
+
+    def __init__(
+        self, dispatcher: Dispatcher, class_names: tuple[str, ...], deadlines: tuple[int, ...]
+    ) -> None:
+        self.dispatcher = dispatcher
+        self.recent_ids = RecentRequestIds()
+        self.configure(class_names, deadlines)
+
+    def configure(self, class_names: tuple[str, ...], deadlines: tuple[int, ...]) -> None:
+        """Use these classes and deadlines for what is checked from here on."""
+        self.class_indices = {name: index for index, name in enumerate(class_names)}
         self.deadlines = deadlines
 
-    def check(self, request: ClientRequest) -> CheckedRequest:
-        """Return what a request says; raises a `RejectedRequestError` where it is none."""
-        steps, mark = request.path_segments(), _mark(request.trace_id)
-        klass = self.classes.get(steps[0]) if steps else None
-        patience = parse_timeout(request.expires_in)
-        if klass is None or not request.trace_id or patience is None or patience < 0:
-            raise RejectedRequestError(request, BAD_REQUEST)
-        if mark in self.ids or mark in self.lately[0] or mark in self.lately[1]:
-            # guards against running a request of this id twice, and against an answer for the wrong one
-            raise RejectedRequestError(request, CONFLICT)
-        if patience == 0:
-            raise RejectedRequestError(request, GATEWAY_TIMEOUT)
-        key = steps[-1] if len(steps) > 1 else ""
-        return CheckedRequest(steps[0], klass, key, mark, patience)
-
-    def arrival(self, request: ClientRequest) -> RequestReceived:
-        """Return what the module is told of a request, whose id is open from here on; raises a
-        `RejectedRequestError` where it is none, or where its time is over."""
-        try:
-            checked = self.check(request)
-        except RejectedRequestError as rejected:
-            if rejected.status == GATEWAY_TIMEOUT:
-                # it was a request, whose time was over when it came
-                self._count_as_over(request.path_segments()[0], RequestOutcome.FAILED)
-            raise
-        request.class_name = checked.class_name
-        # guards against a request that comes late in this process's end and outlasts it
-        patience = min(checked.patience, self.deadlines[checked.klass], self.owner.ends - clock())
-        if patience <= 0:
-            self._count_as_over(request.class_name, RequestOutcome.REJECTED)
-            raise RejectedRequestError(request, UNAVAILABLE)
-        self.ids.add(checked.id_mark)
+    def validate(self, request: ClientRequest) -> ValidRequest:
+        """Return what a message says; raises a `RejectedRequestError` where it fails a check."""
+        segments = request.path_segments()
+        class_index = self.class_indices.get(segments[0]) if segments else None
+        timeout = parse_timeout(request.expires_in)
+        if class_index is None:
+            raise RejectedRequestError(RejectionReason.UNKNOWN_CLASS, request.path)
+        if not request.trace_id:
+            raise RejectedRequestError(RejectionReason.MISSING_REQUEST_ID, request.path)
+        if timeout is None or timeout < 0:
+            raise RejectedRequestError(RejectionReason.INVALID_TIMEOUT, request.path)
+        if request.trace_id in self.recent_ids:
+            # It could be executed twice, or get the response to the other request of this identifier.
+            raise RejectedRequestError(RejectionReason.DUPLICATE_REQUEST_ID, request.path)
+        if timeout == 0:
+            raise RejectedRequestError(RejectionReason.TIMEOUT_EXPIRED, request.path)
+        affinity_key = segments[-1] if len(segments) > 1 else ""
+        return ValidRequest(segments[0], class_index, affinity_key, timeout)
+
+    def accept(self, request: ClientRequest) -> RequestReceived:
+        """Return the event for the policy; the request is open until `finish` is called with its identifier.
+
+        Raises:
+            RejectedRequestError: It fails a check, or there is no time left to serve it.
+        """
+        valid = self._validate_and_count(request)
+        request.class_name = valid.class_name
+        # A request that arrives while the process ends must get its response before the end.
+        time_left = self.dispatcher.ends - clock()
+        timeout = min(valid.timeout, self.deadlines[valid.class_index], time_left)
+        if timeout <= 0:
+            self._count(request.class_name, RequestOutcome.REJECTED)
+            raise RejectedRequestError(RejectionReason.PROCESS_ENDING, request.path)
+        self.recent_ids.add(request.trace_id)
         return RequestReceived(
-            self.owner.number(),
-            checked.klass,
-            patience,
-            _whole(request.properties.get("party", "")),
-            checked.key,
-            _whole(request.properties.get("workUs", "")),
-            request.is_client_retry,
-            request.properties.get("update") in ("1", "true"),
-            hash(request.idempotency_key) if request.idempotency_key else 0,
-            request.body_stream is None,
+            request_id=self.dispatcher.number(),
+            class_index=valid.class_index,
+            timeout=timeout,
+            tenant=_parse_integer(request.properties.get(TENANT_PROPERTY, "")),
+            affinity_key=valid.affinity_key,
+            work=_parse_integer(request.properties.get(WORK_PROPERTY, "")),
+            is_retry=request.is_client_retry,
+            is_write=request.properties.get(WRITE_PROPERTY) in WRITE_VALUES,
+            idempotency_key=hash(request.idempotency_key) if request.idempotency_key else 0,
+            is_replayable=request.body_stream is None,
         )
 
-    def over(self, request_id: str) -> None:
-        """The request of this id is over; the id is remembered until `forget_older` was called twice."""
-        mark = _mark(request_id)
-        self.ids.discard(mark)
-        self.lately[0].add(mark)
-
-    def forget_older(self) -> None:
-        """Forget the ids of requests that were over before the last call."""
-        self.lately = set(), self.lately[0]
-
-    def marks(self) -> list[str]:
-        """The ids that are open or were a moment ago."""
-        return [*self.ids, *self.lately[0], *self.lately[1]]
-
-    def remember(self, marks: list[str]) -> None:
-        """Take over the ids that another process remembers."""
-        self.lately[0].update(marks)
-
-    def _count_as_over(self, class_name: str, fate: RequestOutcome) -> None:
-        self.owner.figures.taken += 1
-        self.owner.figures.over(class_name, fate)
+    def finish(self, request_id: str) -> None:
+        """The request with this identifier is finished."""
+        self.recent_ids.finish(request_id)
 
+    def _validate_and_count(self, request: ClientRequest) -> ValidRequest:
+        """Validate, and count a request whose time was over when it arrived."""
+        try:
+            return self.validate(request)
+        except RejectedRequestError as error:
+            if error.rejection is RejectionReason.TIMEOUT_EXPIRED:
+                self._count(request.path_segments()[0], RequestOutcome.FAILED)
+            raise
 
-def _mark(trace: str) -> str:
-    """Stands for an id, here and in a process that takes this one's place: the id itself, but for long ones,
-    of which many would cost memory."""
-    return trace if len(trace) <= LONGEST_ID else blake2b(trace.encode("latin-1", "replace")).hexdigest()
+    def _count(self, class_name: str, outcome: RequestOutcome) -> None:
+        """Count a request that ends here."""
+        self.dispatcher.figures.taken += 1
+        self.dispatcher.figures.over(class_name, outcome)
 
 
-def _whole(text: str) -> int:
-    return int(text) if text.isdecimal() and len(text) < 16 else 0
+def _parse_integer(text: str) -> int:
+    """The value of a property that is a number of at most 15 digits; 0 for anything else."""
+    return int(text) if text.isdecimal() and len(text) <= MAX_INTEGER_DIGITS else 0
--- /dev/null
+++ b/linetrack/server/response_writer.py
@@ -0,0 +1,109 @@
+"""Writing a request's final response to its client."""
+
+from __future__ import annotations
+
+import struct
+
+import structlog
+from gevent import socket
+
+from linetrack.policy.events import Outcome
+from linetrack.server import client_timeouts
+from linetrack.server.client_timeouts import SECOND, DeadlineSocket
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.dispatcher import FinalResponse
+from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.requests import ClientRequest
+from linetrack.server.http1.responses import (
+    BodyFraming,
+    encode_response,
+    encode_response_head,
+    select_framing,
+)
+from linetrack.server.response_stream import ResponseStream
+from linetrack.server.sockets import write
+
+log = structlog.get_logger()
+
+#: SO_LINGER with no time: closing resets the connection.
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+
+
+def write_response(
+    client: DeadlineSocket,
+    request: ClientRequest,
+    response: FinalResponse,
+    keep_alive: bool,
+    rounds_retry_after: bool,
+) -> None:
+    """Write a complete response; `rounds_retry_after` rounds its advice up to whole seconds.
+
+    Raises:
+        OSError: The client has disconnected, or was closed as it did not take the response in time.
+    """
+    retry_after = response.retry_after
+    if rounds_retry_after:
+        retry_after = -(-retry_after // SECOND) * SECOND
+    data = encode_response(
+        response.status,
+        response.body,
+        retry_after,
+        keep_alive,
+        response.content_type,
+        request.is_http10,
+        response.length if request.method == "HEAD" else None,
+    )
+    client.deadline = clock() + client_timeouts.REQUEST_TIMEOUT_US
+    write(client.sock, data)
+
+
+def write_stream(
+    client: DeadlineSocket, request: ClientRequest, stream: ResponseStream, keep_alive: bool
+) -> bool:
+    """Write a streamed response as it arrives from the upstream.
+
+    Returns:
+        Whether it was written completely and the connection can be used further.
+
+    Raises:
+        OSError: As `write_response`.
+    """
+    framing = select_framing(stream.content_length, request.is_http10)
+    keep_alive = keep_alive and framing is not BodyFraming.CONNECTION_CLOSE
+    head = encode_response_head(
+        framing, stream.content_length, keep_alive, stream.content_type, request.is_http10
+    )
+    outcome = Outcome.CANCELLED  # unless the stream ends below: the client has disconnected
+    try:
+        _write_part(client, head)
+        while chunks := _read_chunks(client, stream):
+            for chunk in chunks:
+                _write_part(client, encode_chunk(chunk) if framing is BodyFraming.CHUNKED else chunk)
+        if chunks is None:
+            outcome = Outcome.RESET
+            if framing is BodyFraming.CONNECTION_CLOSE:
+                # An ordinary close would look like the end of a complete response.
+                client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+            return False
+        if framing is BodyFraming.CHUNKED:
+            write(client.sock, LAST_CHUNK)
+        outcome = Outcome.SUCCESS
+        return framing is not BodyFraming.CONNECTION_CLOSE
+    finally:
+        stream.finish(outcome)
+
+
+def _read_chunks(client: DeadlineSocket, stream: ResponseStream) -> list[bytes | bytearray] | None:
+    """The next chunks from the upstream; none at the end, None where it aborted the response."""
+    client.deadline = NEVER  # the upstream has a timeout of its own
+    try:
+        return stream.read_chunks()
+    except (OSError, MalformedMessageError) as error:
+        log.warning("response_aborted", error=str(error))
+        return None
+
+
+def _write_part(client: DeadlineSocket, data: bytes | bytearray) -> None:
+    client.deadline = clock() + client_timeouts.STREAM_WRITE_TIMEOUT_US
+    write(client.sock, data)
--- a/linetrack/server/sockets.py
+++ b/linetrack/server/sockets.py
@@ -27,7 +27,8 @@
 def write(sock: socket.socket, data: bytes | bytearray) -> None:
     """Write all of it, waiting where needed.
 
-    Usually it fits the socket's buffer and goes out with one `send`, without what `sendall` prepares for the rest.
+    Usually it fits the socket's buffer and goes out with one `send`, without what `sendall` prepares for
+    the rest.
     """
     sent = sock.send(data)
     if sent < len(data):
--- a/tests/control/test_connection_slots.py
+++ b/tests/control/test_connection_slots.py
@@ -1,4 +1,4 @@
-"""Connection slots in simulated time: which connections are kept, evicted or expire, and what clients pay for it."""
+"""Connection slots in simulated time: which connections are kept, evicted or expire, and what clients pay."""
 
 import random
 from dataclasses import dataclass
@@ -54,10 +54,10 @@
 
 
 class ClientSimulation:
-    """Clients that hold at most `capacity` connections together, and a server that keeps them by `ConnectionSlots`.
+    """Clients that hold at most `capacity` connections, and a server that keeps them by `ConnectionSlots`.
 
-    An independent model of both ends: one-time clients never use a connection again and leave it open, steady ones
-    use what they have, each with one request at a time and a gap between them.
+    An independent model of both ends: one-time clients never use a connection again and leave it open,
+    steady ones use what they have, each with one request at a time and a gap between them.
     """
 
     def __init__(self, capacity: int, seed: int) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -27,7 +27,7 @@
     Outcome,
     RequestReceived,
 )
-from linetrack.server import client_connection
+from linetrack.server import client_timeouts
 from linetrack.server.admin import AdminServer
 from linetrack.server.budget import Budget
 from linetrack.server.listener import Listener
@@ -128,9 +128,9 @@
     def close(self) -> None:
         gevent.killall(self.running)
         self.server.close()
-        for client in list(self.clients.open.values()):
+        for client in list(self.clients.connections.values()):
             client.sock.close()
-        turns_until(lambda: not self.clients.open)
+        turns_until(lambda: not self.clients.connections)
 
 
 @pytest.fixture
@@ -148,7 +148,7 @@
 
 
 def client_side(node: Node) -> Any:
-    (client,) = node.clients.open.values()
+    (client,) = node.clients.connections.values()
     return client
 
 
@@ -170,7 +170,7 @@
         turns_until(lambda: node.upstreams.known["a"].idle)
     if behind:
         wire.sendall(behind)
-        turns_until(lambda: node.clients.unread)
+        turns_until(lambda: node.clients.unread_connections)
     seen = len(node.server.seen)
     sock = client_side(node).sock
     wire.close()
@@ -179,7 +179,7 @@
     turns_until(node.policy.left)
     turns_until(lambda: Outcome.NOT_SENT in node.policy.ends() or Outcome.CANCELLED in node.policy.ends())
     assert len(node.server.seen) == seen and not node.owner.open
-    turns_until(lambda: not node.clients.open)
+    turns_until(lambda: not node.clients.connections)
 
 
 def test_one_that_leaves_with_bytes_unread_behind_its_request_is_told_of_and_its_attempt_given_up(
@@ -192,18 +192,18 @@
     node.send(number)
     turns_until(lambda: node.server.seen)
     wire.sendall(b"GET /look HT")
-    turns_until(lambda: node.clients.unread)
+    turns_until(lambda: node.clients.unread_connections)
     wire.close()
     sweeping = gevent.spawn(node.clients.sweep)
     turns_until(node.policy.left)
     sweeping.kill()
-    assert not node.clients.unread
+    assert not node.clients.unread_connections
 
 
 def test_nothing_begins_for_one_that_left_behind_a_body_that_goes_on_as_it_came(node: Node) -> None:
     """Guards against a long body after which nobody looks whether its client is still there."""
     node.served().close()
-    turns_until(lambda: not node.clients.open)
+    turns_until(lambda: not node.clients.connections)
     node.budget.memory.max_bytes = 0
     wire = node.connect()
     number = node.ask(wire, call(expires="20.0", body=b"x" * 100_000))
@@ -237,13 +237,13 @@
     first, second = node.connect(), node.connect()
     number = node.ask(first, data)
     first.shutdown(socket.SHUT_WR)
-    monkeypatch.setattr(client_connection, "SHUT_FOR", 20 * SECOND)
+    monkeypatch.setattr(client_timeouts, "HALF_CLOSE_GRACE_US", 20 * SECOND)
     node.send(number)
     assert first.recv(65536).startswith(b"HTTP/1.1 200")
     number = node.ask(second, data.replace(b": h", b": i"))
     second.shutdown(socket.SHUT_WR)
-    shows(next(c for c in node.clients.open.values() if c.busy).sock, select.POLLRDHUP)
-    monkeypatch.setattr(client_connection, "SHUT_FOR", 0)
+    shows(next(c for c in node.clients.connections.values() if c.is_busy).sock, select.POLLRDHUP)
+    monkeypatch.setattr(client_timeouts, "HALF_CLOSE_GRACE_US", 0)
     seen = len(node.server.seen)
     node.send(number)
     turns_until(lambda: node.policy.ends()[-1] is Outcome.NOT_SENT)
@@ -260,7 +260,7 @@
     """Guards against a close over bytes that have come and were not read: a reset, and a request lost."""
     if ends == "its time is over":
         wire = node.connect()
-        turns_until(lambda: node.clients.open)
+        turns_until(lambda: node.clients.connections)
     else:
         wire = node.served()
     client = client_side(node)
@@ -269,12 +269,12 @@
     wire.sendall(call(expires="20.0"))
     shows(client.sock, select.POLLIN)
     if ends == "its time is over":
-        node.clients.look(client.due)
+        node.clients.close_expired(client.deadline)
     else:
         later = clock() + 10 * SECOND
         while slot := node.clients.slots.select_eviction(later):
             assert slot is client.slot
-            assert not client.idle()
+            assert not client.is_idle()
             node.clients.slots.begin_request(slot, later)
     assert wire.recv(65536).startswith(b"HTTP/1.1 200")
 
@@ -284,7 +284,7 @@
     because clients that say nothing hold all places."""
     node.budget.descriptors.max_clients = 2
     idlers = [node.connect(), node.connect()]
-    turns_until(lambda: len(node.clients.open) == 2)
+    turns_until(lambda: len(node.clients.connections) == 2)
     waiting = node.connect()
     node.policy.wants = lambda event: [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
     waiting.sendall(call(expires="20.0"))
@@ -329,20 +329,20 @@
     wire = node.served()
     client = client_side(node)
     planned: list[Callable[[], None]] = []
-    later, node.clients.later = node.clients.later, planned.append
+    run_soon, node.clients.run_soon = node.clients.run_soon, planned.append
     data = call(expires="20.0")
     if ends == "its time is over":
         wire.sendall(data[:20])
         turns_until(lambda: client.reader.has_partial_request)
-        client.out_of_time()
+        client.expire()
         data = data[20:]
     else:
-        node.clients.hand_on(lambda fd, answers: True)
+        node.clients.migrate_connections(lambda fd, response_count: True)
     (now,) = planned
     number = node.ask(wire, data)
-    later(now)
+    run_soon(now)
     gevent.sleep(0)
-    node.clients.passes = None
+    node.clients.migrate = None
     node.owner._act(RejectRequest(number, 0))
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
 
@@ -423,7 +423,7 @@
 def test_without_a_descriptor_for_a_client_it_waits_and_is_served(
     node: Node, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    called = fails_once(monkeypatch, node.clients, "_take_one")
+    called = fails_once(monkeypatch, node.clients, "_accept_one")
     wire = node.connect()
     wire.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
     assert wire.recv(65536).startswith(b"HTTP/1.1 200") and called
@@ -442,8 +442,8 @@
     assert wire.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-class Listener:
-    """A listening socket whose first call finds no descriptor."""
+class FailingListener:
+    """A listening socket whose first `accept` finds no descriptor."""
 
     def __init__(self, sock: Any) -> None:
         self.sock, self.failed = sock, 0
@@ -458,7 +458,7 @@
 def test_without_a_descriptor_for_an_operators_call_it_waits_and_is_answered() -> None:
     admin = AdminServer(("127.0.0.1", 0), lambda: True, lambda: "")
     where = admin.listener.getsockname()
-    admin.listener = made = Listener(admin.listener)
+    admin.listener = made = FailingListener(admin.listener)
     accepting = gevent.spawn(admin.accept)
     caller = gevent.socket.create_connection(where)
     caller.settimeout(PATIENCE)
@@ -474,7 +474,7 @@
     old = Predecessor(path, lambda: own, lambda: (0, {}), lambda do: None)
     old.prepare()
     old.appear()
-    old.listener = made = Listener(old.listener)
+    old.listener = made = FailingListener(old.listener)
     running = gevent.spawn(old.run)
     new = Successor(path, own, lambda do: None, lambda what, values, fds: None)
     with gevent.Timeout(PATIENCE):
@@ -517,5 +517,5 @@
     sidecar.budget.descriptors.yield_to_successor()
     assert sidecar.budget.descriptors.limit < whole
     sidecar._act(Command.KEEP)
-    assert sidecar.budget.descriptors.limit == whole and sidecar.clients.passes is None
+    assert sidecar.budget.descriptors.limit == whole and sidecar.clients.migrate is None
     sidecar._stop_accepting()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -10,8 +10,8 @@
 import structlog
 
 from linetrack.policy.events import RequestReceived
-from linetrack.server import client_connection
-from linetrack.server import listener as clients_module
+from linetrack.server import client_timeouts
+from linetrack.server import listener as listener_module
 from linetrack.server.budget import CLIENT_CONNECTION_KB, MIN_CLIENTS, Budget
 from linetrack.server.listener import Listener
 from linetrack.server.clock import NEVER, clock
@@ -73,12 +73,12 @@
     clients.budget.memory.max_bytes = 300_000
     first, second, small = (connect(clients) for _ in range(3))
     first.sendall(call(body=b"x" * 60_000))
-    turns_until(lambda: len(clients.owner.told) == 1)  # type: ignore[attr-defined]
+    turns_until(lambda: len(clients.dispatcher.told) == 1)  # type: ignore[attr-defined]
     second.sendall(call(body=b"y" * 60_000))
     gevent.sleep(0.05)
     small.sendall(call(body=b"z" * 1000))
-    turns_until(lambda: len(clients.owner.told) == 2)  # type: ignore[attr-defined]
-    told = clients.owner.told  # type: ignore[attr-defined]
+    turns_until(lambda: len(clients.dispatcher.told) == 2)  # type: ignore[attr-defined]
+    told = clients.dispatcher.told  # type: ignore[attr-defined]
     assert told[1].request.body == b"z" * 1000
     told[0].reply(FinalResponse(200, b"done"))
     turns_until(lambda: len(told) == 3)
@@ -121,9 +121,9 @@
     # guards against closing an idle connection that nobody's place depends on, the newest even
     clients.budget.descriptors.max_clients = 3
     first, second, third = (connect(clients) for _ in range(3))
-    turns_until(lambda: len(clients.open) >= 3)
-    gevent.sleep(5 * clients_module.ROOM_WAIT)
-    assert len(clients.open) == 3
+    turns_until(lambda: len(clients.connections) >= 3)
+    gevent.sleep(5 * listener_module.ACCEPT_RETRY_SECONDS)
+    assert len(clients.connections) == 3
     fourth = connect(clients)
     assert first.recv(1) == b""
     for wire in (second, third, fourth):
@@ -135,17 +135,17 @@
     clients: Listener, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # guards against places held for good, and against closing under a request that has come
-    monkeypatch.setattr(client_connection, "WITHIN", 150 * MS)
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 150 * MS)
     gevent.spawn(clients.sweep)
     silent, asking = connect(clients), connect(clients)
     asking.sendall(call())
     assert silent.recv(1) == b""
-    turns_until(lambda: clients.owner.told)  # type: ignore[attr-defined]
+    turns_until(lambda: clients.dispatcher.told)  # type: ignore[attr-defined]
     gevent.sleep(0.4)
-    clients.owner.told[0].reply(FinalResponse(200, b"late"))  # type: ignore[attr-defined]
+    clients.dispatcher.told[0].reply(FinalResponse(200, b"late"))  # type: ignore[attr-defined]
     assert asking.recv(65536).endswith(b"late")
     assert asking.recv(1) == b""  # idle since
-    turns_until(lambda: not clients.open)
+    turns_until(lambda: not clients.connections)
 
 
 @pytest.mark.parametrize("first", [True, False])
@@ -153,7 +153,7 @@
     clients: Listener, monkeypatch: pytest.MonkeyPatch, first: bool
 ) -> None:
     # guards against a time limit that starts anew with each byte
-    monkeypatch.setattr(client_connection, "WITHIN", 300 * MS)
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 300 * MS)
     gevent.spawn(clients.sweep)
     wire = connect(clients)
     if not first:
@@ -166,12 +166,12 @@
             wire.sendall(bytes([next(data)]))
             gevent.sleep(0.01)
     assert wire.recv(65536).startswith(b"HTTP/1.1 408") and wire.recv(1) == b""
-    assert not clients.owner.told  # type: ignore[attr-defined]
+    assert not clients.dispatcher.told  # type: ignore[attr-defined]
     assert clock() - began >= 150 * MS
 
 
 def test_a_client_that_takes_no_answer_is_let_go(clients: Listener, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "WITHIN", 50 * MS)
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 50 * MS)
     gevent.spawn(clients.sweep)
     wire = connect(clients)
     wire.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -179,17 +179,17 @@
         for _ in range(200):
             wire.sendall(call())
             gevent.sleep(0.005)
-            for taken in clients.owner.told:  # type: ignore[attr-defined]
+            for taken in clients.dispatcher.told:  # type: ignore[attr-defined]
                 taken.reply(FinalResponse(200, b"x" * 65536))
-            clients.owner.told.clear()  # type: ignore[attr-defined]
-            if not clients.open:
+            clients.dispatcher.told.clear()  # type: ignore[attr-defined]
+            if not clients.connections:
                 break
-    turns_until(lambda: not clients.open)
+    turns_until(lambda: not clients.connections)
 
 
 def ask(clients: Listener, wire: Any) -> None:
     """One request on this connection, answered."""
-    told = clients.owner.told  # type: ignore[attr-defined]
+    told = clients.dispatcher.told  # type: ignore[attr-defined]
     before = len(told)
     wire.sendall(call())
     turns_until(lambda: len(told) > before)
@@ -216,7 +216,7 @@
     for _ in range(30):
         ask(clients, connect(clients))
         connect(clients).sendall(b"GET")
-    assert len(clients.open) <= 10
+    assert len(clients.connections) <= 10
 
 
 def test_all_that_wait_are_taken_in_one_turn(clients: Listener) -> None:
@@ -225,7 +225,7 @@
     assert clients.listener is not None
     waiting = [socket.create_connection(clients.listener.getsockname()) for _ in range(40)]
     gevent.sleep(0.001)
-    taken = len(clients.open)
+    taken = len(clients.connections)
     for wire in waiting:
         wire.close()
     assert taken == 40
@@ -234,20 +234,20 @@
 def test_ids_are_forgotten_once_no_copy_can_be_on_its_way(
     clients: Listener, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients_module, "WITHIN", 100 * MS)
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 100 * MS)
     gevent.spawn(clients.sweep)
     request = ClientRequest("GET", "/look", "1", expires_in="0.5")
-    intake = clients.intake
-    assert isinstance(intake.arrival(request), RequestReceived)
+    validator = clients.validator
+    assert isinstance(validator.accept(request), RequestReceived)
     with pytest.raises(RejectedRequestError) as rejected:
-        intake.arrival(request)
+        validator.accept(request)
     assert rejected.value.status == 409
-    intake.over("1")
+    validator.finish("1")
     with pytest.raises(RejectedRequestError) as rejected:
-        intake.arrival(request)
+        validator.accept(request)
     assert rejected.value.status == 409
-    turns_until(lambda: not intake.ids and not any(intake.lately))
-    assert isinstance(intake.arrival(request), RequestReceived)
+    turns_until(lambda: not validator.recent_ids)
+    assert isinstance(validator.accept(request), RequestReceived)
 
 
 def test_what_the_module_is_told_of_a_request(clients: Listener) -> None:
@@ -255,6 +255,6 @@
     request = ClientRequest(
         "GET", "/look/a/k7?q=1", "1", expires_in="0.5", is_client_retry=True, properties=props
     )
-    assert clients.intake.arrival(request) == RequestReceived(1, 0, SECOND // 2, 3, "k7", 12000, True, True)
+    assert clients.validator.accept(request) == RequestReceived(1, 0, SECOND // 2, 3, "k7", 12000, True, True)
     odd = ClientRequest("GET", "/look", "2", expires_in="9e99", properties={"party": "-1", "workUs": "x" * 99})
-    assert clients.intake.arrival(odd) == RequestReceived(1, 0, 2 * SECOND)
+    assert clients.validator.accept(odd) == RequestReceived(1, 0, 2 * SECOND)
