--- /dev/null
+++ b/tests/server/in_process.py
@@ -0,0 +1,136 @@
+"""The sidecar's network code in the test's own process: its greenlets run only where the test waits.
+
+So a test knows what has arrived in the kernel and was not read yet, and can force two things to happen at once.
+"""
+
+from __future__ import annotations
+
+import select
+from collections.abc import Callable
+from typing import Any
+
+import gevent
+
+from linetrack.policy.actions import Action, StartAttempt
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointStatus,
+    Event,
+    Outcome,
+    RequestReceived,
+)
+from linetrack.server.address import parse_address
+from linetrack.server.budget import Budget
+from linetrack.server.client_connection import ClientConnection
+from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.endpoint_list import EndpointRecord
+from linetrack.server.listener import Listener
+from linetrack.server.upstream_pool import REST, UpstreamPool
+from tests.stand_ins import MS, PATIENCE, SECOND, Upstream, call, turns_until
+
+ENDPOINT = "a"
+
+
+class ScriptedPolicy:
+    """Takes the policy's place: records the events and returns what the test says."""
+
+    def __init__(self) -> None:
+        self.events: list[Event] = []
+        self.respond: Callable[[Event], list[Action]] = lambda event: []
+
+    def handle(self, now: int, event: Event) -> list[Action]:
+        self.events.append(event)
+        return self.respond(event)
+
+    def forward_all(self) -> None:
+        """Start an attempt for each request from here on."""
+        self.respond = lambda event: (
+            [StartAttempt(event.request_id, ENDPOINT)] if isinstance(event, RequestReceived) else []
+        )
+
+    def forward_nothing(self) -> None:
+        """Do nothing by itself from here on."""
+        self.respond = lambda event: []
+
+    def attempt_outcomes(self) -> list[Outcome]:
+        return [event.outcome for event in self.events if isinstance(event, AttemptEnded)]
+
+    def disconnect_count(self) -> int:
+        return sum(isinstance(event, ClientDisconnected) for event in self.events)
+
+    def received_requests(self) -> list[RequestReceived]:
+        return [event for event in self.events if isinstance(event, RequestReceived)]
+
+
+class InProcessSidecar:
+    """Listener, dispatcher and upstream pool as the program connects them, with one upstream."""
+
+    def __init__(self, sockets: int = 1024) -> None:
+        self.upstream = Upstream(ENDPOINT)
+        self.policy = ScriptedPolicy()
+        self.budget = Budget(sockets, 192)
+        self.pool = UpstreamPool(
+            self.budget, 250 * MS, 30 * SECOND, (), lambda event, seen: self.dispatcher.put(event, seen)
+        )
+        self.pool.learn((self.endpoint_record(),), True)
+        self.dispatcher = Dispatcher(self.policy, self.pool.start, self.pool.give_up, lambda: None)
+        self.listener = Listener(self.dispatcher, self.budget, ("look",), (20 * SECOND,), lambda: True)
+        self.listener.listen(("127.0.0.1", 0))
+        self.accepting = gevent.spawn(self.listener.accept)
+        self.greenlets = [self.accepting, gevent.spawn(self.dispatcher.run)]
+
+    def endpoint_record(self, status: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
+        address = parse_address(self.upstream.address)
+        return EndpointRecord(ENDPOINT, address, "north", "plain", 1, status, 1.0, 0)
+
+    def connect(self) -> Any:
+        """A client's socket."""
+        assert self.listener.listener is not None
+        sock = gevent.socket.create_connection(self.listener.listener.getsockname())
+        sock.settimeout(PATIENCE)
+        return sock
+
+    def send_request(self, sock: Any, data: bytes | None = None) -> int:
+        """Send a request and wait until the policy has it; return its identifier."""
+        count = len(self.policy.received_requests())
+        sock.sendall(data or call(expires="20.0"))
+        turns_until(lambda: len(self.policy.received_requests()) > count)
+        return self.policy.received_requests()[-1].request_id
+
+    def connect_and_be_served(self) -> Any:
+        """A client that got a response, so that a connection is idle on either side."""
+        self.policy.forward_all()
+        sock = self.connect()
+        sock.sendall(call(expires="20.0"))
+        assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+        self.policy.forward_nothing()
+        self.wait_for_idle_upstream_connection()
+        return sock
+
+    def wait_for_idle_upstream_connection(self) -> None:
+        gevent.sleep(2 * REST / SECOND)
+        turns_until(lambda: self.pool.known[ENDPOINT].idle)
+
+    def start_attempt(self, request_id: int) -> None:
+        """Start an attempt at this moment, ahead of what is in the dispatcher's queue."""
+        self.dispatcher._act(StartAttempt(request_id, ENDPOINT))
+
+    def only_connection(self) -> ClientConnection:
+        """The sidecar's side of the one client connection."""
+        (connection,) = self.listener.connections.values()
+        return connection
+
+    def close(self) -> None:
+        gevent.killall(self.greenlets)
+        self.upstream.close()
+        for connection in list(self.listener.connections.values()):
+            connection.sock.close()
+        turns_until(lambda: not self.listener.connections)
+
+
+def wait_in_kernel(sock: Any, events: int) -> None:
+    """Wait until the kernel shows one of the events on a socket, while no greenlet runs."""
+    poll = select.poll()
+    poll.register(sock.fileno(), events)
+    assert poll.poll(PATIENCE * 1000)
--- /dev/null
+++ b/tests/server/listener_client.py
@@ -0,0 +1,43 @@
+"""Clients of a listener in the test's own process, and what takes the dispatcher's place."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import gevent
+
+from linetrack.server.clock import NEVER
+from linetrack.server.dispatcher import FinalResponse
+from linetrack.server.listener import Listener
+from tests.stand_ins import PATIENCE, call, turns_until
+
+
+class RecordingDispatcher:
+    """Takes requests, to which the test responds."""
+
+    def __init__(self) -> None:
+        self.requests: list[Any] = []  # as `IncomingRequest`, or `DisconnectedClient` once a client disconnects
+        self.ends = NEVER
+
+    def number(self) -> int:
+        return 1
+
+    def put(self, item: Any, seen: int) -> None:
+        self.requests.append(item)
+
+
+def connect(listener: Listener) -> Any:
+    """A client's socket."""
+    assert listener.listener is not None
+    sock = gevent.socket.create_connection(listener.listener.getsockname())
+    sock.settimeout(PATIENCE)
+    return sock
+
+
+def exchange(dispatcher: RecordingDispatcher, sock: Any) -> None:
+    """Send one request on this connection and get its response."""
+    count = len(dispatcher.requests)
+    sock.sendall(call())
+    turns_until(lambda: len(dispatcher.requests) > count)
+    dispatcher.requests[-1].reply(FinalResponse(200, b"ok"))
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200")
--- /dev/null
+++ b/tests/server/test_attempt_end.py
@@ -0,0 +1,74 @@
+"""Attempts that end just as something arrives on their connection."""
+
+from __future__ import annotations
+
+import select
+
+import pytest
+
+from linetrack.policy.actions import RejectRequest
+from linetrack.policy.events import EndpointStatus, Outcome
+from linetrack.server.connection import Connection
+from linetrack.server.sockets import is_readable
+from tests.server.in_process import ENDPOINT, InProcessSidecar, wait_in_kernel
+from tests.stand_ins import answer, silent, turns_until
+
+
+@pytest.mark.parametrize(
+    "reply", [b"HTTP/1.1 2", answer(b"late"), b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"]
+)
+def test_a_response_that_arrives_as_its_attempt_ends_reaches_nobody(
+    sidecar: InProcessSidecar, reply: bytes
+) -> None:
+    """A part of a line, a complete response or a part of one has arrived unread as the attempt times out.
+
+    There must be no second final response, and the connection must not be used again with the rest of it.
+    """
+    sidecar.upstream.script = silent
+    sock = sidecar.connect()
+    request_id = sidecar.send_request(sock)
+    sidecar.start_attempt(request_id)
+    turns_until(lambda: sidecar.upstream.seen)
+    (attempt,) = sidecar.dispatcher.open[request_id].attempts
+    sidecar.upstream.connections[0].sendall(reply)
+    wait_in_kernel(attempt.sock, select.POLLIN)
+    sidecar.dispatcher._expire(attempt, attempt.until)
+    sidecar.dispatcher._act(RejectRequest(request_id, 0))
+    assert sock.recv(65536).startswith(b"HTTP/1.1 503")
+    turns_until(lambda: sidecar.budget.descriptors.in_use == 1)
+    assert sidecar.policy.attempt_outcomes() == [Outcome.TIMEOUT]
+    assert not sidecar.pool.known[ENDPOINT].idle
+    assert not is_readable(sock)
+    sidecar.upstream.script = lambda message, wire: answer(b"next")
+    sidecar.start_attempt(sidecar.send_request(sock))
+    assert sock.recv(65536).endswith(b"next")
+
+
+@pytest.mark.parametrize("reason", ["attempt cancelled", "endpoint drains", "client disconnects"])
+def test_nothing_is_sent_if_the_attempt_ends_while_it_connects(
+    sidecar: InProcessSidecar, reason: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """No first byte may follow a drain, a cancellation or a disconnect that was known by then."""
+    sock = sidecar.connect()
+    request_id = sidecar.send_request(sock)
+    server_side = sidecar.only_connection().sock
+    connect = Connection.connect
+
+    def connect_and_end(self: Connection, timeout: float) -> None:
+        connect(self, timeout)
+        (attempt,) = sidecar.dispatcher.open[request_id].attempts
+        if reason == "attempt cancelled":
+            attempt.ended = True
+            sidecar.pool.give_up(attempt)
+        elif reason == "endpoint drains":
+            sidecar.pool.learn((sidecar.endpoint_record(EndpointStatus.DRAINING),), False)
+        else:
+            sock.close()
+            wait_in_kernel(server_side, select.POLLRDHUP)
+
+    monkeypatch.setattr(Connection, "connect", connect_and_end)
+    sidecar.start_attempt(request_id)
+    turns_until(lambda: sidecar.upstream.closed == 1)
+    descriptors = sidecar.budget.descriptors
+    turns_until(lambda: descriptors.in_use == descriptors.client_count)
+    assert not sidecar.upstream.seen and Outcome.SUCCESS not in sidecar.policy.attempt_outcomes()
--- /dev/null
+++ b/tests/server/test_client_disconnect.py
@@ -0,0 +1,124 @@
+"""Clients that disconnect while their requests are pending: nothing more is started for them.
+
+Each crossing is forced over loopback sockets in this process; `docs/endings.md` lists all of them.
+"""
+
+from __future__ import annotations
+
+import select
+import socket
+
+import gevent
+import pytest
+
+from linetrack.policy.actions import RejectRequest
+from linetrack.policy.events import Outcome
+from linetrack.server import client_timeouts
+from tests.server.in_process import InProcessSidecar, wait_in_kernel
+from tests.stand_ins import SECOND, answer, call, request, silent, turns_until
+
+
+@pytest.mark.parametrize("has_earlier_attempt", [False, True])
+@pytest.mark.parametrize("behind", [b"", b"GET /look HTTP/1.1\r\n"])
+def test_no_attempt_starts_for_a_client_that_has_disconnected(
+    sidecar: InProcessSidecar, has_earlier_attempt: bool, behind: bytes
+) -> None:
+    """Before the first attempt, and between attempts.
+
+    The disconnect may still be in the dispatcher's queue, or hidden by what the client had sent behind its request.
+    """
+    sock = sidecar.connect_and_be_served()
+    request_id = sidecar.send_request(sock)
+    if has_earlier_attempt:
+        sidecar.upstream.script = lambda message, wire: answer(b"", 500)
+        sidecar.start_attempt(request_id)
+        turns_until(lambda: Outcome.ERROR in sidecar.policy.attempt_outcomes())
+        sidecar.wait_for_idle_upstream_connection()
+    if behind:
+        sock.sendall(behind)
+        turns_until(lambda: sidecar.listener.unread_connections)
+    count = len(sidecar.upstream.seen)
+    server_side = sidecar.only_connection().sock
+    sock.close()
+    wait_in_kernel(server_side, select.POLLRDHUP)
+    sidecar.start_attempt(request_id)  # at this moment no greenlet has noticed
+    turns_until(sidecar.policy.disconnect_count)
+    ended = (Outcome.NOT_SENT, Outcome.CANCELLED)
+    turns_until(lambda: any(outcome in ended for outcome in sidecar.policy.attempt_outcomes()))
+    assert len(sidecar.upstream.seen) == count and not sidecar.dispatcher.open
+    turns_until(lambda: not sidecar.listener.connections)
+
+
+def test_a_disconnect_behind_unread_bytes_is_noticed_and_the_attempt_cancelled(
+    sidecar: InProcessSidecar,
+) -> None:
+    """Bytes behind a request must not hide that their sender closes."""
+    sidecar.upstream.script = silent
+    sock = sidecar.connect()
+    request_id = sidecar.send_request(sock)
+    sidecar.start_attempt(request_id)
+    turns_until(lambda: sidecar.upstream.seen)
+    sock.sendall(b"GET /look HT")
+    turns_until(lambda: sidecar.listener.unread_connections)
+    sock.close()
+    sweeping = gevent.spawn(sidecar.listener.sweep)
+    turns_until(sidecar.policy.disconnect_count)
+    sweeping.kill()
+    assert not sidecar.listener.unread_connections
+
+
+def test_no_attempt_starts_for_a_client_that_disconnected_behind_a_streamed_body(
+    sidecar: InProcessSidecar,
+) -> None:
+    """Once the body is complete nobody reads from the client any more."""
+    sidecar.connect_and_be_served().close()
+    turns_until(lambda: not sidecar.listener.connections)
+    sidecar.budget.memory.max_bytes = 0
+    sock = sidecar.connect()
+    request_id = sidecar.send_request(sock, call(expires="20.0", body=b"x" * 100_000))
+    server_side = sidecar.only_connection().sock
+    sock.close()
+    wait_in_kernel(server_side, select.POLLRDHUP)
+    count = len(sidecar.upstream.seen)
+    sidecar.start_attempt(request_id)
+    turns_until(sidecar.policy.disconnect_count)
+    turns_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
+    assert len(sidecar.upstream.seen) == count
+
+
+def test_a_disconnect_after_a_streamed_body_is_noticed(sidecar: InProcessSidecar) -> None:
+    sidecar.upstream.script = silent
+    sidecar.budget.memory.max_bytes = 0
+    sock = sidecar.connect()
+    sidecar.start_attempt(sidecar.send_request(sock, call(expires="20.0", body=b"x" * 100_000)))
+    turns_until(lambda: sidecar.upstream.seen)
+    sock.close()
+    turns_until(sidecar.policy.disconnect_count)
+
+
+def test_a_half_closed_client_is_forwarded_for_at_first_and_always_gets_a_response(
+    sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A client that said `Connection: close` and sends no more may have disconnected, or may wait.
+
+    After a while nothing is started for it; what the policy responds then still reaches it.
+    """
+    sidecar.connect_and_be_served().close()
+    data = request("/look/k", "GET", "X-Trace-Id: h", "X-Expires-In: 20", "Connection: close")
+    first, second = sidecar.connect(), sidecar.connect()
+    request_id = sidecar.send_request(first, data)
+    first.shutdown(socket.SHUT_WR)
+    monkeypatch.setattr(client_timeouts, "HALF_CLOSE_GRACE_US", 20 * SECOND)
+    sidecar.start_attempt(request_id)
+    assert first.recv(65536).startswith(b"HTTP/1.1 200")
+    request_id = sidecar.send_request(second, data.replace(b": h", b": i"))
+    second.shutdown(socket.SHUT_WR)
+    busy = next(c for c in sidecar.listener.connections.values() if c.is_busy)
+    wait_in_kernel(busy.sock, select.POLLRDHUP)
+    monkeypatch.setattr(client_timeouts, "HALF_CLOSE_GRACE_US", 0)
+    count = len(sidecar.upstream.seen)
+    sidecar.start_attempt(request_id)
+    turns_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
+    sidecar.dispatcher._act(RejectRequest(request_id, 0))
+    assert second.recv(65536).startswith(b"HTTP/1.1 503")
+    assert len(sidecar.upstream.seen) == count and not sidecar.policy.disconnect_count()
--- /dev/null
+++ b/tests/server/test_connection_close.py
@@ -0,0 +1,113 @@
+"""Requests that arrive just as their connection is closed or migrated, or as the process ends: each is served."""
+
+from __future__ import annotations
+
+import select
+from collections.abc import Callable
+
+import gevent
+import pytest
+
+from linetrack.policy.actions import RejectRequest
+from linetrack.server.clock import clock
+from tests.server.in_process import InProcessSidecar, wait_in_kernel
+from tests.stand_ins import SECOND, call, silent, turns_until
+
+
+@pytest.mark.parametrize("reason", ["deadline", "eviction"])
+def test_a_request_that_arrives_as_its_connection_is_closed_is_served(
+    sidecar: InProcessSidecar, reason: str
+) -> None:
+    """Closing over bytes that have arrived unread would reset the connection and lose the request."""
+    if reason == "deadline":
+        sock = sidecar.connect()
+        turns_until(lambda: sidecar.listener.connections)
+    else:
+        sock = sidecar.connect_and_be_served()
+    connection = sidecar.only_connection()
+    sidecar.policy.forward_all()
+    gevent.sleep(0)
+    sock.sendall(call(expires="20.0"))
+    wait_in_kernel(connection.sock, select.POLLIN)
+    if reason == "deadline":
+        sidecar.listener.close_expired(connection.deadline)
+    else:
+        later = clock() + 10 * SECOND
+        while slot := sidecar.listener.slots.select_eviction(later):
+            assert slot is connection.slot
+            assert not connection.is_idle()
+            sidecar.listener.slots.begin_request(slot, later)
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+
+
+def test_a_connection_in_the_backlog_is_served_at_shutdown_although_all_slots_are_taken(
+    sidecar: InProcessSidecar,
+) -> None:
+    """A request in the backlog must not be lost because clients that send nothing have all the slots."""
+    sidecar.budget.descriptors.max_clients = 2
+    silent_clients = [sidecar.connect(), sidecar.connect()]
+    turns_until(lambda: len(sidecar.listener.connections) == 2)
+    waiting = sidecar.connect()
+    sidecar.policy.forward_all()
+    waiting.sendall(call(expires="20.0"))
+    sidecar.accepting.kill()
+    sidecar.listener.close_between_requests()
+    sidecar.listener.stop_accepting()
+    assert waiting.recv(65536).startswith(b"HTTP/1.1 200")
+    for sock in silent_clients:
+        assert sock.recv(1) == b""
+    with pytest.raises(OSError):
+        sidecar.connect()
+
+
+def test_a_request_that_is_complete_late_in_the_shutdown_is_answered_before_its_end(
+    sidecar: InProcessSidecar,
+) -> None:
+    """Its own time must not end after the process has: nobody would respond to it."""
+    sock = sidecar.connect()
+    sidecar.dispatcher.ends = clock() + SECOND
+    sidecar.send_request(sock)
+    assert sidecar.policy.received_requests()[-1].timeout <= SECOND
+    sidecar.dispatcher.ends = clock()
+    late = sidecar.connect()
+    late.sendall(call(expires="20.0"))
+    assert late.recv(65536).startswith(b"HTTP/1.1 503")
+    assert len(sidecar.policy.received_requests()) == 1
+    # the time of a request with a streamed body starts with the body's last byte
+    sidecar.budget.memory.max_bytes = 0
+    sidecar.dispatcher.ends = clock() + 2 * SECOND
+    sidecar.upstream.script = silent
+    slow = sidecar.connect()
+    request_id = sidecar.send_request(slow, call(expires="20.0", body=b"x" * 100_000))
+    sidecar.start_attempt(request_id)
+    turns_until(lambda: sidecar.upstream.seen)
+    turns_until(lambda: sidecar.dispatcher.open[request_id].until <= sidecar.dispatcher.ends)
+
+
+@pytest.mark.parametrize("reason", ["deadline", "migration"])
+def test_a_request_that_is_complete_as_its_greenlet_is_interrupted_is_answered(
+    sidecar: InProcessSidecar, reason: str
+) -> None:
+    """What is meant for a greenlet that waits for a request must not interrupt one that waits for a response.
+
+    The rest of a request may be read between the decision to interrupt and the interrupt.
+    """
+    sock = sidecar.connect_and_be_served()
+    connection = sidecar.only_connection()
+    planned: list[Callable[[], None]] = []
+    run_soon, sidecar.listener.run_soon = sidecar.listener.run_soon, planned.append
+    data = call(expires="20.0")
+    if reason == "deadline":
+        sock.sendall(data[:20])
+        turns_until(lambda: connection.reader.has_partial_request)
+        connection.expire()
+        data = data[20:]
+    else:
+        sidecar.listener.migrate_connections(lambda fd, response_count: True)
+    (interrupt,) = planned
+    request_id = sidecar.send_request(sock, data)
+    run_soon(interrupt)
+    gevent.sleep(0)
+    sidecar.listener.migrate = None
+    sidecar.dispatcher._act(RejectRequest(request_id, 0))
+    assert sock.recv(65536).startswith(b"HTTP/1.1 503")
--- /dev/null
+++ b/tests/server/test_descriptor_shortage.py
@@ -0,0 +1,135 @@
+"""Without a free descriptor the process goes on, and whoever waits is served once there is one."""
+
+from __future__ import annotations
+
+import errno
+import os
+from pathlib import Path
+from typing import Any
+
+import gevent
+import pytest
+
+from linetrack.control.hot_restart import Command, Identity
+from linetrack.policy.events import Outcome
+from linetrack.server.admin import AdminServer
+from linetrack.server.config import config_of
+from linetrack.server.connection import Connection
+from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
+from linetrack.server.hot_restart_channel import Predecessor, Successor
+from linetrack.server.lifecycle import Sidecar
+from linetrack.server.sockets import is_readable
+from tests.server.in_process import InProcessSidecar
+from tests.stand_ins import PATIENCE, call, config, request, turns_until
+
+
+def fail_once(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str) -> list[int]:
+    """Let the first call of a function find no descriptor; the list has an item once it was called."""
+    function, calls = getattr(owner, name), []
+
+    def fail(*args: Any, **kwargs: Any) -> Any:
+        monkeypatch.setattr(owner, name, function)
+        calls.append(1)
+        raise OSError(errno.EMFILE, "Too many open files")
+
+    monkeypatch.setattr(owner, name, fail)
+    return calls
+
+
+class FailingListener:
+    """A listening socket whose first `accept` finds no descriptor."""
+
+    def __init__(self, sock: Any) -> None:
+        self.sock = sock
+        self.has_failed = False
+
+    def accept(self) -> Any:
+        if not self.has_failed:
+            self.has_failed = True
+            raise OSError(errno.EMFILE, "Too many open files")
+        return self.sock.accept()
+
+
+def test_a_client_waits_and_is_served(sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+    calls = fail_once(monkeypatch, sidecar.listener, "_accept_one")
+    sock = sidecar.connect()
+    sock.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200") and calls
+
+
+def test_an_attempt_ends_as_never_executed(
+    sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    sock = sidecar.connect()
+    request_id = sidecar.send_request(sock)
+    calls = fail_once(monkeypatch, Connection, "connect")
+    sidecar.start_attempt(request_id)
+    turns_until(sidecar.policy.attempt_outcomes)
+    assert calls and sidecar.policy.attempt_outcomes() == [Outcome.CONNECT_FAILED]
+    assert sidecar.budget.descriptors.in_use == 1
+    sidecar.start_attempt(request_id)
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+
+
+def test_an_operators_request_waits_and_is_answered() -> None:
+    admin = AdminServer(("127.0.0.1", 0), lambda: True, lambda: "")
+    address = admin.listener.getsockname()
+    admin.listener = failing = FailingListener(admin.listener)
+    accepting = gevent.spawn(admin.accept)
+    sock = gevent.socket.create_connection(address)
+    sock.settimeout(PATIENCE)
+    sock.sendall(request("/admin/health"))
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200") and failing.has_failed
+    sock.close()
+    accepting.kill()
+
+
+def test_a_successor_waits_and_has_its_grant(tmp_path: Path) -> None:
+    """A process that serves must not end because one that would replace it connects."""
+    path, own = tmp_path / "link.sock", Identity(("look",), "1")
+    old = Predecessor(path, lambda: own, lambda: (0, {}), lambda do: None)
+    old.prepare()
+    old.appear()
+    old.listener = failing = FailingListener(old.listener)
+    running = gevent.spawn(old.run)
+    new = Successor(path, own, lambda do: None, lambda what, values, fds: None)
+    with gevent.Timeout(PATIENCE):
+        granted = new.call()
+    assert granted is not None and failing.has_failed
+    os.close(granted[0])
+    assert new.link is not None
+    new.link.close()
+    running.kill()
+    failing.sock.close()
+
+
+def test_silent_clients_keep_no_attempt_from_its_descriptor() -> None:
+    """They have every slot, come at once for each that becomes free, and discovery is down."""
+    sidecar = InProcessSidecar(sockets=RESERVED_DESCRIPTORS + 8)
+    descriptors = sidecar.budget.descriptors
+    try:
+        silent_clients = [sidecar.connect() for _ in range(30)]
+        assert sidecar.listener.listener is not None
+        turns_until(lambda: descriptors.in_use >= 4 and is_readable(sidecar.listener.listener))
+        sock = sidecar.connect()
+        sidecar.policy.forward_all()
+        sock.sendall(call(expires="20.0"))
+        assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+        assert descriptors.in_use <= 8
+        for client in silent_clients:
+            client.close()
+    finally:
+        sidecar.close()
+
+
+def test_a_process_whose_successor_has_ended_has_all_descriptors_again() -> None:
+    """It accepts again, and must have room for the clients that come back to it."""
+    values = config("127.0.0.1:9", [])
+    sidecar = Sidecar(lambda: config_of({**values, "listen": "127.0.0.1:1"}, {}))
+    sidecar.clients.listen(("127.0.0.1", 0))
+    limit = sidecar.budget.descriptors.limit
+    sidecar.budget.descriptors.yield_to_successor()
+    assert sidecar.budget.descriptors.limit < limit
+    sidecar._act(Command.KEEP)
+    assert sidecar.budget.descriptors.limit == limit and sidecar.clients.migrate is None
+    sidecar._stop_accepting()
--- /dev/null
+++ b/tests/server/test_essential_greenlets.py
@@ -0,0 +1,23 @@
+"""Greenlets without which the program must not go on."""
+
+import os
+
+import gevent
+import pytest
+
+from linetrack.server.lifecycle import must_live
+from tests.stand_ins import PATIENCE
+
+
+def test_an_essential_greenlet_that_fails_ends_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
+    # an unhandled exception must not end a greenlet silently while the others go on
+    exit_statuses: list[int] = []
+    monkeypatch.setattr(os, "_exit", exit_statuses.append)
+
+    def fail() -> None:
+        raise RuntimeError("a defect")
+
+    must_live("failing", fail).join(PATIENCE)
+    assert exit_statuses == [1]
+    must_live("killed", lambda: gevent.sleep(PATIENCE)).kill()
+    assert exit_statuses == [1]
--- /dev/null
+++ b/tests/server/test_listener.py
@@ -0,0 +1,163 @@
+"""Client connections of a listener in this process: accepting, eviction, timeouts, large requests."""
+
+import contextlib
+import socket
+
+import gevent
+import pytest
+
+from linetrack.server import client_timeouts
+from linetrack.server import listener as listener_module
+from linetrack.server.clock import clock
+from linetrack.server.dispatcher import FinalResponse
+from linetrack.server.listener import Listener
+from linetrack.server.sockets import is_readable
+from tests.server.listener_client import RecordingDispatcher, connect, exchange
+from tests.stand_ins import MS, PATIENCE, call, turns_until
+
+READINESS_CHECK = b"GET /_health HTTP/1.1\r\n\r\n"
+
+
+# --- Accepting and eviction --------------------------------------------------------------------------
+
+
+def test_the_oldest_idle_connection_is_evicted_and_only_for_one_that_waits(listener: Listener) -> None:
+    # an idle connection must not be closed while nobody needs its slot, nor a newer one before it
+    listener.budget.descriptors.max_clients = 3
+    first, second, third = (connect(listener) for _ in range(3))
+    turns_until(lambda: len(listener.connections) >= 3)
+    gevent.sleep(5 * listener_module.ACCEPT_RETRY_SECONDS)
+    assert len(listener.connections) == 3
+    fourth = connect(listener)
+    assert first.recv(1) == b""
+    for sock in (second, third, fourth):
+        sock.sendall(READINESS_CHECK)
+        assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+
+
+def test_connections_without_a_request_are_evicted_before_any_other(
+    listener: Listener, dispatcher: RecordingDispatcher
+) -> None:
+    # hundreds of connections that send nothing must not take the slots of those that send requests
+    listener.budget.descriptors.max_clients = 20
+    active = connect(listener)
+    exchange(dispatcher, active)
+    silent = [connect(listener) for _ in range(100)]
+    late = connect(listener)
+    late.sendall(READINESS_CHECK)
+    assert late.recv(65536).startswith(b"HTTP/1.1 200")
+    assert not is_readable(active) and is_readable(silent[0])
+    exchange(dispatcher, active)
+
+
+def test_idle_connections_are_evicted_although_new_ones_arrive(
+    listener: Listener, dispatcher: RecordingDispatcher
+) -> None:
+    # new connections, too young to be evicted, must not protect those that sent one request and stayed
+    listener.budget.descriptors.max_clients = 10
+    for _ in range(30):
+        exchange(dispatcher, connect(listener))
+        connect(listener).sendall(b"GET")
+    assert len(listener.connections) <= 10
+
+
+def test_all_waiting_connections_are_accepted_in_one_turn(listener: Listener) -> None:
+    # connections in the backlog must not wait for a turn of a busy event loop each
+    gevent.sleep(0.01)
+    assert listener.listener is not None
+    waiting = [socket.create_connection(listener.listener.getsockname()) for _ in range(40)]
+    gevent.sleep(0.001)
+    accepted = len(listener.connections)
+    for sock in waiting:
+        sock.close()
+    assert accepted == 40
+
+
+# --- Timeouts ----------------------------------------------------------------------------------------
+
+
+def test_a_silent_client_is_closed_and_never_one_whose_request_is_pending(
+    listener: Listener, dispatcher: RecordingDispatcher, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # slots must not be held for ever, and no connection may be closed under a request
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 150 * MS)
+    gevent.spawn(listener.sweep)
+    silent, active = connect(listener), connect(listener)
+    active.sendall(call())
+    assert silent.recv(1) == b""
+    turns_until(lambda: dispatcher.requests)
+    gevent.sleep(0.4)
+    dispatcher.requests[0].reply(FinalResponse(200, b"late"))
+    assert active.recv(65536).endswith(b"late")
+    assert active.recv(1) == b""  # idle since
+    turns_until(lambda: not listener.connections)
+
+
+@pytest.mark.parametrize("is_first_request", [True, False])
+def test_a_request_that_arrives_byte_by_byte_times_out(
+    listener: Listener,
+    dispatcher: RecordingDispatcher,
+    monkeypatch: pytest.MonkeyPatch,
+    is_first_request: bool,
+) -> None:
+    # the timeout must not start again with each byte
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 300 * MS)
+    gevent.spawn(listener.sweep)
+    sock = connect(listener)
+    if not is_first_request:
+        sock.sendall(READINESS_CHECK)
+        sock.recv(65536)
+    began = clock()
+    data = iter(call(body=b"x" * 10_000))
+    with gevent.Timeout(PATIENCE), contextlib.suppress(OSError):
+        while not is_readable(sock):
+            sock.sendall(bytes([next(data)]))
+            gevent.sleep(0.01)
+    assert sock.recv(65536).startswith(b"HTTP/1.1 408") and sock.recv(1) == b""
+    assert not dispatcher.requests
+    assert clock() - began >= 150 * MS
+
+
+def test_a_client_that_reads_no_response_is_closed(
+    listener: Listener, dispatcher: RecordingDispatcher, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 50 * MS)
+    gevent.spawn(listener.sweep)
+    sock = connect(listener)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    with gevent.Timeout(PATIENCE), contextlib.suppress(OSError):
+        for _ in range(200):
+            sock.sendall(call())
+            gevent.sleep(0.005)
+            for request in dispatcher.requests:
+                request.reply(FinalResponse(200, b"x" * 65536))
+            dispatcher.requests.clear()
+            if not listener.connections:
+                break
+    turns_until(lambda: not listener.connections)
+
+
+# --- Large requests ----------------------------------------------------------------------------------
+
+
+def test_large_requests_wait_for_memory_and_small_ones_do_not(
+    listener: Listener, dispatcher: RecordingDispatcher
+) -> None:
+    # large requests together must not need more memory than there is
+    memory = listener.budget.memory
+    memory.max_bytes = 300_000
+    first, second, small = (connect(listener) for _ in range(3))
+    first.sendall(call(body=b"x" * 60_000))
+    turns_until(lambda: len(dispatcher.requests) == 1)
+    second.sendall(call(body=b"y" * 60_000))
+    gevent.sleep(0.05)
+    small.sendall(call(body=b"z" * 1000))
+    turns_until(lambda: len(dispatcher.requests) == 2)
+    requests = dispatcher.requests
+    assert requests[1].request.body == b"z" * 1000
+    requests[0].reply(FinalResponse(200, b"done"))
+    turns_until(lambda: len(requests) == 3)
+    assert requests[2].request.body == b"y" * 60_000
+    second.close()
+    requests[2].reply(FinalResponse(200, b"done"))
+    turns_until(lambda: memory.reserved_bytes == 0)
