--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -167,7 +167,7 @@
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self._serve_requests()
         except MalformedMessageError as error:
-            log.warning("request_malformed", error=str(error), status=error.status)
+            log.warning("request_malformed", fault=str(error), status=error.status)
             self._reject(error.status)
         except OSError:
             pass  # the client has disconnected, takes nothing, or was closed by the listener
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -102,7 +102,7 @@
             except OSError as error:
                 if not is_transient_accept_error(error):
                     raise
-                log.error("accept_failed", error=str(error))
+                log.error("accept_failed", fault=str(error))
                 gevent.sleep(ACCEPT_RETRY_SECONDS)
 
     def _accept_one(self) -> None:
@@ -207,7 +207,7 @@
             try:
                 self._accept_one()
             except OSError as error:
-                log.error("accept_failed", error=str(error))
+                log.error("accept_failed", fault=str(error))
                 gevent.sleep(ACCEPT_RETRY_SECONDS)
         self.listener.close()
 
--- a/linetrack/server/response_writer.py
+++ b/linetrack/server/response_writer.py
@@ -100,7 +100,7 @@
     try:
         return stream.read_chunks()
     except (OSError, MalformedMessageError) as error:
-        log.warning("response_aborted", error=str(error))
+        log.warning("response_aborted", fault=str(error))
         return None
 
 
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -16,7 +16,10 @@
 from linetrack.server.config import config_of
 from linetrack.server.connection import Connection
 from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
-from linetrack.server.hot_restart_channel import Predecessor, Successor
+from linetrack.server.hot_restart_channel import GrantedListener
+from linetrack.server.hot_restart_messages import Grant
+from linetrack.server.hot_restart_predecessor import Predecessor
+from linetrack.server.hot_restart_successor import Successor
 from linetrack.server.lifecycle import Sidecar
 from linetrack.server.sockets import is_readable
 from tests.server.in_process import InProcessSidecar
@@ -87,18 +90,19 @@
 def test_a_successor_waits_and_has_its_grant(tmp_path: Path) -> None:
     """A process that serves must not end because one that would replace it connects."""
     path, own = tmp_path / "link.sock", Identity(("look",), "1")
-    old = Predecessor(path, lambda: own, lambda: (0, {}), lambda do: None)
-    old.prepare()
-    old.appear()
+    grant = GrantedListener(0, Grant(own, endpoint_list=None, discovery_address=None))
+    old = Predecessor(path, lambda: own, lambda: grant, lambda command: None)
+    old.open_socket()
+    old.publish_socket()
     old.listener = failing = FailingListener(old.listener)
     running = gevent.spawn(old.run)
-    new = Successor(path, own, lambda do: None, lambda what, values, fds: None)
+    new = Successor(path, own, lambda command: None, lambda message, descriptors: None)
     with gevent.Timeout(PATIENCE):
-        granted = new.call()
-    assert granted is not None and failing.has_failed
-    os.close(granted[0])
-    assert new.link is not None
-    new.link.close()
+        received = new.connect()
+    assert received is not None and failing.has_failed
+    os.close(received.descriptor)
+    assert new.channel is not None
+    new.channel.close()
     running.kill()
     failing.sock.close()
 
@@ -126,10 +130,10 @@
     """It accepts again, and must have room for the clients that come back to it."""
     values = config("127.0.0.1:9", [])
     sidecar = Sidecar(lambda: config_of({**values, "listen": "127.0.0.1:1"}, {}))
-    sidecar.clients.listen(("127.0.0.1", 0))
+    sidecar.listener.listen(("127.0.0.1", 0))
     limit = sidecar.budget.descriptors.limit
     sidecar.budget.descriptors.yield_to_successor()
     assert sidecar.budget.descriptors.limit < limit
-    sidecar._act(Command.KEEP)
-    assert sidecar.budget.descriptors.limit == limit and sidecar.clients.migrate is None
-    sidecar._stop_accepting()
+    sidecar.hot_restart.execute(Command.RESUME)
+    assert sidecar.budget.descriptors.limit == limit and sidecar.listener.migrate is None
+    sidecar.hot_restart.stop_accepting()
--- a/tests/server/test_essential_greenlets.py
+++ b/tests/server/test_essential_greenlets.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 
-from linetrack.server.lifecycle import must_live
+from linetrack.server.greenlets import spawn_essential
 from tests.stand_ins import PATIENCE
 
 
@@ -17,7 +17,7 @@
     def fail() -> None:
         raise RuntimeError("a defect")
 
-    must_live("failing", fail).join(PATIENCE)
+    spawn_essential("failing", fail).join(PATIENCE)
     assert exit_statuses == [1]
-    must_live("killed", lambda: gevent.sleep(PATIENCE)).kill()
+    spawn_essential("killed", lambda: gevent.sleep(PATIENCE)).kill()
     assert exit_statuses == [1]
--- a/tests/server/test_log_rate_limiter.py
+++ b/tests/server/test_log_rate_limiter.py
@@ -3,7 +3,7 @@
 import pytest
 import structlog
 
-from linetrack.server.lifecycle import LINE_EVERY, LogRateLimiter
+from linetrack.server.logging_setup import MIN_LINE_INTERVAL_US, LogRateLimiter
 
 
 def test_repeated_events_are_one_line_a_second_and_a_count() -> None:
@@ -15,5 +15,5 @@
             limiter(None, "warning", {"event": "a"})
     assert limiter(None, "warning", {"event": "b"}) == {"event": "b"}
     assert limiter(None, "info", {"event": "a"}) == {"event": "a"}
-    now = LINE_EVERY
-    assert limiter(None, "warning", {"event": "a"}) == {"event": "a", "unsaid": 5}
+    now = MIN_LINE_INTERVAL_US
+    assert limiter(None, "warning", {"event": "a"}) == {"event": "a", "suppressed": 5}
