--- /dev/null
+++ b/tests/server/test_admin.py
@@ -0,0 +1,146 @@
+"""The operators' address: what it reports, and that silent clients keep nobody from it."""
+
+from __future__ import annotations
+
+import json
+import re
+import socket
+from pathlib import Path
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from linetrack.control.metrics import RequestOutcome, Metrics
+from linetrack.control.settings_switch import count_unavailable
+from linetrack.policy.events import Outcome
+from tests.helpers import SAFE, SECOND, Driver
+from tests.server.admin_client import (
+    connect,
+    enable_admin,
+    outcome_metric,
+    read_metrics,
+    send_admin_request,
+)
+from tests.server.test_settings_switch import moved, reload
+from tests.stand_ins import Upstream, World, answer, free_address, request, silent, until
+
+
+def outcome_counts(metrics: dict[str, int], class_name: str) -> tuple[int, int]:
+    """How many requests of a class were served, and how many failed."""
+    return metrics[outcome_metric(class_name, "fulfilled")], metrics[outcome_metric(class_name, "faulted")]
+
+
+def test_requests_count_by_class_and_outcome_and_attempts_once_written(tmp_path: Path) -> None:
+    world = World(tmp_path, Upstream("a"))
+    address = enable_admin(world.sidecar)
+    with world as sidecar:
+        assert send_admin_request(address, "/admin/health").status == 200
+        initial = read_metrics(address)
+        assert initial[outcome_metric("look", "fulfilled")] == initial[outcome_metric("book", "faulted")] == 0
+        assert [sidecar.ask().status for _ in range(3)] == [200] * 3
+        assert sidecar.ask("pay").status == 200
+        assert sidecar.ask("look", "0").status == 504
+        assert sidecar.ask("nothing").status == 400
+        world.upstreams[0].script = lambda message, wire: None
+        assert sidecar.ask("pay").status == 502
+        metrics = until(lambda: (m := read_metrics(address))[outcome_metric("pay", "faulted")] and m)
+        assert outcome_counts(metrics, "look") == (3, 1)
+        assert outcome_counts(metrics, "pay") == (1, 1)
+        assert metrics["app_relayed_total"] == 5 and metrics["app_open_requests"] == 0
+        assert (metrics["app_registry_entries"], metrics["app_out_of_rotation"]) == (1, 0)
+
+
+def test_open_and_rejected_requests_and_accepted_and_invalid_files_are_counted(tmp_path: Path) -> None:
+    world = World(tmp_path, upstream := Upstream("a", silent))
+    address = enable_admin(world.sidecar)
+    with world as sidecar:
+        wire = sidecar.connect()
+        wire.sock.sendall(request("/look/k", "GET", "X-Trace-Id: 1", "X-Expires-In: 2"))
+        until(lambda: read_metrics(address)["app_open_requests"] == 1)
+        world.discovery.change(upstream.entry(state="DRAINING"))
+        until(lambda: read_metrics(address)["app_out_of_rotation"] == 1)
+        assert read_metrics(address)["app_registry_entries"] == 1
+        assert sidecar.ask("pay").status == 503
+        until(lambda: read_metrics(address)[outcome_metric("pay", "throttled")] == 1)
+        wire.sock.close()
+        until(lambda: read_metrics(address)["app_open_requests"] == 0)
+        reload(sidecar, json.dumps(sidecar.config)[:-9])
+        reload(sidecar, moved(sidecar.config))
+        metrics = until(lambda: (m := read_metrics(address))["app_cfg_accepted_total"] and m)
+        assert (metrics["app_cfg_accepted_total"], metrics["app_cfg_invalid_total"]) == (1, 1)
+        assert metrics[outcome_metric("pay", "throttled")] == 1
+        assert metrics[outcome_metric("quote", "fulfilled")] == 0
+
+
+def test_clients_that_send_nothing_or_half_a_request_keep_nobody_from_a_response(tmp_path: Path) -> None:
+    world = World(tmp_path, Upstream("a"))
+    address = enable_admin(world.sidecar)
+    with world as sidecar:
+        silent_clients = [connect(address) for _ in range(120)]
+        for wire in silent_clients[::2]:
+            wire.sock.sendall(b"GET /admin/stats HTTP/1.1\r\nHo")
+        assert send_admin_request(address, "/admin/health").status == 200 and sidecar.ask().status == 200
+        assert all(wire.read() is None for wire in silent_clients[1::2]), "each is closed"
+        for wire in silent_clients:
+            wire.sock.close()
+
+
+def test_invalid_requests_are_answered_with_their_status(tmp_path: Path) -> None:
+    world = World(tmp_path, Upstream("a"))
+    address = enable_admin(world.sidecar)
+    with world:
+        assert send_admin_request(address, "/metrics").status == 404
+        assert send_admin_request(address, "/admin/stats", "DELETE").status == 405
+        wire = connect(address)
+        with wire.sock:
+            wire.sock.sendall(b"\x00\x01\r\n\r\n")
+            response = wire.read()
+        assert response and response.status == 400
+        wire = connect(address)
+        with wire.sock:
+            wire.sock.sendall(b"GET /admin/stats HTTP/1.1\r\nA: " + b"a" * 60_000)
+            response = wire.read()
+        assert response and response.status == 431
+
+
+def test_the_environment_overrides_the_configured_address(tmp_path: Path) -> None:
+    world = World(tmp_path, Upstream("a", lambda message, wire: answer()))
+    configured, override = enable_admin(world.sidecar), free_address()
+    world.sidecar.environ["EDGE_ADMIN_ADDR"] = override
+    with world:
+        assert send_admin_request(override, "/admin/health").status == 200
+        host, port = configured.split(":")
+        with socket.socket() as probe:
+            assert probe.connect_ex((host, int(port))) != 0
+
+
+LINE = re.compile(r'app_[a-z_]+(\{priority="(\\.|[^"\\\n])*",status="[a-z]+"\})? \d+')
+
+
+@given(st.lists(st.tuples(st.text(max_size=5), st.sampled_from(RequestOutcome)), max_size=30), st.integers(0, 9))
+def test_totals_agree_and_whatever_a_class_is_called_the_text_can_be_read(
+    ends: list[tuple[str, RequestOutcome]], left: int
+) -> None:
+    figures = Metrics()
+    figures.taken, figures.left = len(ends) + left + 2, left
+    for klass, fate in ends:
+        figures.over(klass, fate)
+    totals = figures.totals()
+    assert figures.open == 2
+    assert totals["taken"] == 2 + sum(totals[name] for name in ("served", "refused", "failed", "left"))
+    lines = figures.text(7, 1).split("\n")
+    assert lines.pop() == "" and all(LINE.fullmatch(line) for line in lines)
+    assert len(lines) == 3 * len({klass for klass, _ in ends}) + 6
+
+
+def test_an_endpoint_is_out_of_rotation_while_it_drains_or_is_ejected_for_every_class() -> None:
+    driver = Driver(slow_start_duration=0)
+    assert count_unavailable(driver.balancer, driver.now) == 0
+    request, actions = driver.ask(SAFE)
+    first = actions[0].endpoint  # type: ignore[union-attr]
+    driver.end(request, first, Outcome.CONNECT_FAILED)
+    assert count_unavailable(driver.balancer, driver.now) == 1
+    driver.balancer.fleet[first].spells.pop(SAFE)
+    assert count_unavailable(driver.balancer, driver.now) == 0, "some class still uses it"
+    driver.balancer.fleet["h0"].gone = True
+    assert count_unavailable(driver.balancer, driver.now + 60 * SECOND) == 1
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -46,7 +46,7 @@
     silent,
     until,
 )
-from tests.test_admin import admin, ask, figures
+from tests.server.admin_client import enable_admin, read_metrics, send_admin_request
 
 # --- The steps ---------------------------------------------------------------------------------------
 
@@ -290,7 +290,7 @@
         self.world = World(folder, *upstreams)
         self.old = self.world.sidecar
         self.old.environ["TMPDIR"] = str(folder / "t")
-        admin(self.old)
+        enable_admin(self.old)
         self.others: list[Sidecar] = []
 
     def __enter__(self) -> Pairing:
@@ -369,7 +369,7 @@
         assert not faults, faults
         ids = [message.headers["x-trace-id"] for server in servers for message in server.seen]
         assert len(set(ids)) == len(ids), "something ran twice"
-        until(lambda: figures(serving.config["admin_addr"])["app_open_requests"] == 0)
+        until(lambda: read_metrics(serving.config["admin_addr"])["app_open_requests"] == 0)
         assert '"snapshot_restored": true' in serving.log()
 
 
@@ -488,7 +488,7 @@
 
 def _yes(sidecar: Sidecar) -> bool:
     try:
-        return ask(sidecar.config["admin_addr"], "/admin/health").status == 200
+        return send_admin_request(sidecar.config["admin_addr"], "/admin/health").status == 200
     except (OSError, AssertionError):
         return False
 
--- /dev/null
+++ b/tests/server/test_long_responses.py
@@ -0,0 +1,147 @@
+"""Long responses: forwarded as they arrive in any framing, and aborted so that the client can tell."""
+
+from __future__ import annotations
+
+import socket
+import threading
+import time
+from pathlib import Path
+
+import pytest
+
+from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
+from tests.server.admin_client import enable_admin, outcome_metric, read_metrics
+from tests.server.long_messages import (
+    LONG_BODY,
+    MB,
+    RESPONSE_FORMS,
+    chunked_response,
+    read_response,
+    request_head,
+    resident_bytes,
+)
+from tests.stand_ins import Message, Upstream, Wire, World, answer, until
+
+
+@pytest.mark.parametrize("form", RESPONSE_FORMS)
+@pytest.mark.parametrize("size", [1000, MAX_BUFFERED_BODY_BYTES, 66_000, 131_000, len(LONG_BODY)])
+def test_a_response_of_any_framing_and_size_arrives_unchanged(tmp_path: Path, form: str, size: int) -> None:
+    # one that exceeds the buffer and ends within the same bytes must not lose its body
+    def script(message: Message, wire: Wire) -> bytes | None:
+        data = RESPONSE_FORMS[form](LONG_BODY[:size])
+        if form in ("until close", "1.0"):
+            wire.sock.sendall(data)
+            return None
+        return data
+
+    with World(tmp_path, Upstream("a", script)) as sidecar:
+        for version in ("1.1", "1.0"):
+            wire = sidecar.connect()
+            with wire.sock:
+                wire.sock.sendall(
+                    request_head("look", f"v{version}").replace(b"HTTP/1.1", f"HTTP/{version}".encode())
+                )
+                head, body = read_response(wire.sock)
+            assert head.startswith(b"http/1.1 200") and body == LONG_BODY[:size]
+            assert version == "1.1" or b"chunked" not in head
+
+
+def test_first_bytes_are_forwarded_at_once_and_the_deadline_cuts_nothing_off(tmp_path: Path) -> None:
+    may_continue = threading.Event()
+
+    def script(message: Message, wire: Wire) -> bytes:
+        wire.sock.sendall(answer(LONG_BODY)[:100_000])
+        assert may_continue.wait(20)
+        return answer(LONG_BODY)[100_000:]
+
+    world = World(tmp_path, Upstream("a", script))
+    address = enable_admin(world.sidecar)
+    with world as sidecar:
+        wire = sidecar.connect()
+        with wire.sock:
+            line = request_head("look", "1").replace(b"X-Expires-In: 2.0", b"X-Expires-In: 0.2")
+            wire.sock.sendall(line)
+            first = wire.sock.recv(60_000)
+            assert first.startswith(b"HTTP/1.1 200")
+            assert read_metrics(address)["app_open_requests"] == 1
+            time.sleep(0.4)  # past its deadline
+            may_continue.set()
+            got = first
+            while len(got) < len(LONG_BODY):
+                got += wire.sock.recv(100_000)
+        assert got.endswith(LONG_BODY)
+        until(lambda: read_metrics(address)[outcome_metric("look", "fulfilled")] == 1)
+        assert read_metrics(address)["app_open_requests"] == 0
+
+
+@pytest.mark.parametrize("form", ["length", "chunks", "1.0 client"])
+def test_an_aborted_response_ends_so_that_the_client_can_tell(tmp_path: Path, form: str) -> None:
+    def script(message: Message, wire: Wire) -> None:
+        wire.sock.sendall((answer(LONG_BODY) if form == "length" else chunked_response(LONG_BODY))[:150_000])
+
+    world = World(tmp_path, server := Upstream("a", script))
+    address = enable_admin(world.sidecar)
+    with world as sidecar:
+        wire = sidecar.connect()
+        with wire.sock:
+            line = request_head("look", "1")
+            wire.sock.sendall(line.replace(b"HTTP/1.1", b"HTTP/1.0") if form == "1.0 client" else line)
+            with pytest.raises((AssertionError, ConnectionResetError)):
+                read_response(wire.sock)
+        assert len(server.seen) == 1, "a response that has started is not requested again"
+        until(lambda: read_metrics(address)[outcome_metric("look", "faulted")] == 1)
+
+
+def test_a_slow_client_gets_everything_and_a_disconnect_ends_the_upstreams_response(
+    tmp_path: Path,
+) -> None:
+    body = LONG_BODY * 96  # 24 MiB, more than the kernel holds
+    ended = threading.Event()
+
+    def script(message: Message, wire: Wire) -> None:
+        try:
+            wire.sock.sendall(answer(body))
+        finally:
+            ended.set()
+
+    world = World(tmp_path, Upstream("a", script))
+    world.sidecar.config["limits"]["memory_mb"] = 32
+    with world as sidecar:
+        wire = sidecar.connect()
+        with wire.sock:
+            wire.sock.sendall(request_head("look", "1"))
+            time.sleep(0.3)
+            assert not ended.is_set(), "the upstream is read faster than the client reads"
+            _, got = read_response(wire.sock)
+            assert got == body
+        ended.clear()
+        disconnecting = sidecar.connect()
+        disconnecting.sock.sendall(request_head("look", "2"))
+        disconnecting.sock.recv(1000)
+        disconnecting.sock.close()
+        assert ended.wait(20), "the upstream still writes for nobody"
+        assert resident_bytes(sidecar) < 64 * MB
+
+
+def test_a_connection_is_used_further_after_the_response_to_head(tmp_path: Path) -> None:
+    def script(message: Message, wire: Wire) -> bytes:
+        if message.start.startswith("HEAD"):
+            return b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
+        return answer(message.target.encode())
+
+    with World(tmp_path, Upstream("a", script)) as sidecar:
+        wire = sidecar.connect()
+        with wire.sock:
+            wire.sock.sendall(request_head("look", "1", method="HEAD"))
+            head, _ = read_response(wire.sock, has_body=False)
+            assert b"200" in head and b"content-length: 400000" in head
+            wire.sock.sendall(request_head("look", "2"))
+            assert read_response(wire.sock)[1] == b"/look/k"
+
+
+def test_responses_that_arrive_together_are_read_one_by_one() -> None:
+    ours, theirs = socket.socketpair()
+    with ours, theirs:
+        theirs.sendall(answer(b"one") + chunked_response(b"two") + answer(b"three"))
+        ours.settimeout(5)
+        assert [read_response(ours)[1] for _ in range(3)] == [b"one", b"two", b"three"]
