--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -21,7 +21,7 @@
     read_metrics,
     send_admin_request,
 )
-from tests.server.test_settings_switch import moved, reload
+from tests.server.reloading import reload, reshaped
 from tests.stand_ins import Upstream, World, answer, free_address, request, silent, until
 
 
@@ -65,7 +65,7 @@
         wire.sock.close()
         until(lambda: read_metrics(address)["app_open_requests"] == 0)
         reload(sidecar, json.dumps(sidecar.config)[:-9])
-        reload(sidecar, moved(sidecar.config))
+        reload(sidecar, reshaped(sidecar.config))
         metrics = until(lambda: (m := read_metrics(address))["app_cfg_accepted_total"] and m)
         assert (metrics["app_cfg_accepted_total"], metrics["app_cfg_invalid_total"]) == (1, 1)
         assert metrics[outcome_metric("pay", "throttled")] == 1
