--- a/linetrack/control/connection_slots.py
+++ b/linetrack/control/connection_slots.py
@@ -171,7 +171,7 @@
         """
         return (
             _first_after(self.new, now, MIN_NEW_US)
-            or self._least_likely_reused(now, math.inf)
+            or self._lowest_rate_idle_slot(now, math.inf)
             or _first_after(self.partial_request, now, MIN_PARTIAL_REQUEST_US)
         )
 
@@ -180,7 +180,7 @@
 
         The host closes it, or reports what has happened on it.
         """
-        return self._least_likely_reused(now, self.price(now))
+        return self._lowest_rate_idle_slot(now, self.price(now))
 
     # --- Internals ---------------------------------------------------------------------------------------
     def _set_state(self, slot: ConnectionSlot, state: SlotState, now: int) -> None:
@@ -216,7 +216,7 @@
             slot.is_on_trial = False
             self.trial_count -= 1
 
-    def _least_likely_reused(self, now: int, max_rate: float) -> ConnectionSlot | None:
+    def _lowest_rate_idle_slot(self, now: int, max_rate: float) -> ConnectionSlot | None:
         """The closable idle connection with the lowest reuse rate, if that is below `max_rate`.
 
         One that has been idle for the longest time that is allowed counts as never used again.
