--- a/linetrack/control/metrics.py
+++ b/linetrack/control/metrics.py
@@ -1,8 +1,8 @@
-"""What a process has done since it started, counted, and the operators' text of it.
+"""Counters of what this process has done since it started, and their Prometheus text.
 
-Owns every count that operators are shown.  Each is moved in one place, where the thing happens, and never
-goes back: a class that is dropped keeps its row, one that returns goes on counting.  Must never read a clock,
-touch a socket or be asked by what decides.
+Each counter is incremented in one place, where the thing happens, and never decreases: a class that the
+configuration drops keeps its counts, and one that returns goes on counting.  This module reads no clock,
+touches no socket, and no decision depends on it.
 """
 
 from __future__ import annotations
@@ -11,77 +11,94 @@
 
 
 class RequestOutcome(IntEnum):
-    """How a request ended that was taken and not abandoned; the numbers are columns of a row."""
+    """How a request ended whose client stayed connected; the value is its index in a class's counts."""
 
-    SERVED = 0  # an upstream's answer went to the client, whole
-    REJECTED = 1  # refused
-    FAILED = 2  # failed: given up, or an answer that broke off on its way
+    SERVED = 0  # an endpoint's response went to the client completely
+    REJECTED = 1  # load was shed: 503
+    FAILED = 2  # 502, or a streamed response that was aborted
 
 
-#: What the operators' page calls each outcome.
+#: The operators' names: labels of `OPERATIONS_METRIC`, and the other metrics.
 STATUS_LABELS = {
     RequestOutcome.SERVED: "fulfilled",
     RequestOutcome.REJECTED: "throttled",
     RequestOutcome.FAILED: "faulted",
 }
+OPERATIONS_METRIC = "app_operations_total"
+ATTEMPTS_SENT_METRIC = "app_relayed_total"
+OPEN_REQUESTS_METRIC = "app_open_requests"
+LISTED_ENDPOINTS_METRIC = "app_registry_entries"
+UNAVAILABLE_ENDPOINTS_METRIC = "app_out_of_rotation"
+ACCEPTED_CONFIGS_METRIC = "app_cfg_accepted_total"
+INVALID_CONFIGS_METRIC = "app_cfg_invalid_total"
 
 
 class Metrics:
+    """The counters of one process."""
+
     def __init__(self) -> None:
-        self.rows: dict[str, list[int]] = {}
-        self.taken = self.left = self.sends = 0  # requests; those that clients abandoned; attempts begun
-        self.relayed = 0  # attempts written whole
-        self.files_accepted = self.files_invalid = 0
-
-    def declare(self, classes: tuple[str, ...]) -> None:
-        """Classes that exist from here on; each is shown, with noughts until something happens."""
-        for klass in classes:
-            self.rows.setdefault(klass, [0] * len(RequestOutcome))
-
-    def over(self, klass: str, fate: RequestOutcome) -> None:
-        """A request of that class has ended."""
-        row = self.rows.get(klass)
-        if row is None:
-            row = self.rows[klass] = [0] * len(RequestOutcome)
-        row[fate] += 1
-
-    def total(self, fate: RequestOutcome) -> int:
-        return sum(row[fate] for row in self.rows.values())
+        self.requests_received = 0
+        self.clients_disconnected = 0  # requests whose client disconnected before the response was complete
+        self.attempts_started = 0
+        self.attempts_sent = 0  # attempts whose request was written completely
+        self.accepted_configs = 0
+        self.invalid_configs = 0
+        self._outcomes_by_class: dict[str, list[int]] = {}
+
+    def declare_classes(self, class_names: tuple[str, ...]) -> None:
+        """Show these classes from here on, with zeros until something happens."""
+        for class_name in class_names:
+            self._outcomes_by_class.setdefault(class_name, [0] * len(RequestOutcome))
+
+    def record_outcome(self, class_name: str, outcome: RequestOutcome) -> None:
+        """Count the end of a request of this class."""
+        counts = self._outcomes_by_class.get(class_name)
+        if counts is None:
+            counts = self._outcomes_by_class[class_name] = [0] * len(RequestOutcome)
+        counts[outcome] += 1
+
+    def count_outcomes(self, outcome: RequestOutcome) -> int:
+        """Return how many requests of all classes ended so."""
+        return sum(counts[outcome] for counts in self._outcomes_by_class.values())
 
     @property
-    def open(self) -> int:
-        """Requests taken and not ended."""
-        return self.taken - self.left - sum(map(sum, self.rows.values()))
+    def open_requests(self) -> int:
+        """Requests received that have not ended."""
+        completed = sum(map(sum, self._outcomes_by_class.values()))
+        return self.requests_received - self.clients_disconnected - completed
 
     def totals(self) -> dict[str, int]:
-        """In the log's words; once nothing is open, taken = served + refused + failed + left."""
+        """Return the totals as fields of a log line.
+
+        Once no request is open, received = served + rejected + failed + disconnected.
+        """
         return {
-            "taken": self.taken,
-            "served": self.total(RequestOutcome.SERVED),
-            "refused": self.total(RequestOutcome.REJECTED),
-            "failed": self.total(RequestOutcome.FAILED),
-            "left": self.left,
-            "sends": self.sends,
+            "received": self.requests_received,
+            "served": self.count_outcomes(RequestOutcome.SERVED),
+            "rejected": self.count_outcomes(RequestOutcome.REJECTED),
+            "failed": self.count_outcomes(RequestOutcome.FAILED),
+            "disconnected": self.clients_disconnected,
+            "attempts": self.attempts_started,
         }
 
-    def text(self, listed: int, avoided: int) -> str:
-        """All of it in Prometheus's text format, beside how many upstreams are listed and how many of
-        them are avoided now."""
+    def prometheus_text(self, listed_endpoints: int, unavailable_endpoints: int) -> str:
+        """Return all counters in Prometheus's text format, beside two gauges that the caller knows."""
         lines = [
-            f'app_operations_total{{priority="{_escaped(klass)}",status="{STATUS_LABELS[fate]}"}} {row[fate]}'
-            for klass, row in self.rows.items()
-            for fate in RequestOutcome
+            f'{OPERATIONS_METRIC}{{priority="{_escape_label(class_name)}",status="{label}"}} {counts[outcome]}'
+            for class_name, counts in self._outcomes_by_class.items()
+            for outcome, label in STATUS_LABELS.items()
         ]
-        figures = {
-            "relayed_total": self.relayed,
-            "open_requests": self.open,
-            "registry_entries": listed,
-            "out_of_rotation": avoided,
-            "cfg_accepted_total": self.files_accepted,
-            "cfg_invalid_total": self.files_invalid,
+        values = {
+            ATTEMPTS_SENT_METRIC: self.attempts_sent,
+            OPEN_REQUESTS_METRIC: self.open_requests,
+            LISTED_ENDPOINTS_METRIC: listed_endpoints,
+            UNAVAILABLE_ENDPOINTS_METRIC: unavailable_endpoints,
+            ACCEPTED_CONFIGS_METRIC: self.accepted_configs,
+            INVALID_CONFIGS_METRIC: self.invalid_configs,
         }
-        return "\n".join([*lines, *(f"app_{name} {value}" for name, value in figures.items()), ""])
+        lines += [f"{name} {value}" for name, value in values.items()]
+        return "\n".join([*lines, ""])
 
 
-def _escaped(label: str) -> str:
-    return label.replace("\\", "\\\\").replace("\n", "\\n").replace('"', '\\"')
+def _escape_label(value: str) -> str:
+    return value.replace("\\", "\\\\").replace("\n", "\\n").replace('"', '\\"')
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -194,7 +194,7 @@
         give_up: Callable[[Attempt], None],
         watch: Callable[[], None],
         close_idle: Callable[[str], None] = lambda upstream: None,
-        figures: Metrics | None = None,
+        metrics: Metrics | None = None,
     ) -> None:
         self.policy = policy
         self.start, self.give_up, self.watch, self.close_idle = start, give_up, watch, close_idle
@@ -206,7 +206,7 @@
         self.timers: list[tuple[int, int, TimerFired | Attempt]] = []
         self.order = count()
         self.numbers = count(1)
-        self.figures = figures or Metrics()
+        self.metrics = metrics or Metrics()
         self.ends = NEVER  # once the process is to end: when all that it has taken is to be answered
 
     def put(self, item: Notification, seen: int) -> None:
@@ -263,7 +263,7 @@
     def _step(self, seen: int, what: Notification) -> None:
         match what:
             case IncomingRequest(request, arrival, reply, gone):
-                self.figures.taken += 1
+                self.metrics.requests_received += 1
                 self.open[arrival.request_id] = ActiveRequest(arrival, request, seen, reply, gone)
                 self._handle(seen, arrival)
             case FinishedAttempt():
@@ -271,7 +271,7 @@
             case DisconnectedClient(number):
                 if (open_ := self.open.get(number)) and not open_.over:
                     open_.over = True
-                    self.figures.left += 1
+                    self.metrics.clients_disconnected += 1
                     self._handle(seen, ClientDisconnected(number))
                     if open_.stream is not None:
                         open_.stream.end(Outcome.CANCELLED)
@@ -361,13 +361,13 @@
             return
         open_.over = True
         if outcome is Outcome.CANCELLED:
-            self.figures.left += 1
+            self.metrics.clients_disconnected += 1
         else:
-            self.figures.over(open_.klass, RequestOutcome.SERVED if outcome is Outcome.SUCCESS else RequestOutcome.FAILED)
+            self.metrics.record_outcome(open_.klass, RequestOutcome.SERVED if outcome is Outcome.SUCCESS else RequestOutcome.FAILED)
 
     def _answer(self, open_: ActiveRequest, final: FinalResponse, fate: RequestOutcome) -> None:
         open_.over = True
-        self.figures.over(open_.klass, fate)
+        self.metrics.record_outcome(open_.klass, fate)
         open_.reply(final)
 
     def _forget(self, open_: ActiveRequest) -> None:
@@ -385,7 +385,7 @@
         match action:
             case StartAttempt(number, upstream, timeout, by):
                 open_ = self.open[number]
-                self.figures.sends += 1
+                self.metrics.attempts_started += 1
                 until = min(open_.until, self.now + timeout) if timeout else open_.until
                 attempt = Attempt(open_, upstream, clock(), until, by)
                 open_.attempts.append(attempt)
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -63,15 +63,15 @@
         config = self.config
         self.phase = Phase.STARTING
         budget = Budget(config.sockets, config.memory_mb)
-        self.figures = Metrics()
-        self.figures.declare(config.class_names)
+        self.metrics = Metrics()
+        self.metrics.declare_classes(config.class_names)
         self.upstreams = UpstreamPool(
             budget,
             config.dial_timeout,
             config.keep_alive,
             config.report_fields,
             lambda done, seen: self.owner.put(done, seen),
-            self.figures,
+            self.metrics,
         )
         self.discovery = DiscoveryClient(
             config.discovery,
@@ -91,7 +91,7 @@
             self.upstreams.give_up,
             self.discovery.watch,
             self.upstreams.close_idle,
-            self.figures,
+            self.metrics,
         )
         self.longest = config.longest
         self.clients = Listener(
@@ -108,11 +108,11 @@
         return self.phase is Phase.SERVING
 
     def _text(self) -> str:
-        return self.figures.text(len(self.upstreams.known), self.handover.avoided(clock()))
+        return self.metrics.prometheus_text(len(self.upstreams.known), self.handover.avoided(clock()))
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        log.info("phase", now=phase.value, **self.figures.totals())
+        log.info("phase", now=phase.value, **self.metrics.totals())
 
     def run(self) -> int:
         """From start to exit; the exit status."""
@@ -332,14 +332,14 @@
                 told = self.read()
                 new = told.after(self.config)
             except ConfigError as fault:
-                self.figures.files_invalid += 1
+                self.metrics.invalid_configs += 1
                 log.error("reload_faulty", fault=str(fault))
                 continue
             needs_restart = self.config.restart_for(told)
             same = new.same_settings(self.config)
             if not same and not self.handover.can:
                 needs_restart, same = [*needs_restart, "settings"], True
-            self.figures.files_accepted += 1
+            self.metrics.accepted_configs += 1
             log.info("reloaded", discovery=new.discovery, switched=not same, needs_restart=needs_restart)
             self.discovery.move(new.discovery)
             if not same:
@@ -351,14 +351,14 @@
         before it under the old ones, what is read after it under the new."""
         self.upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
         self.discovery.set(new.zone_names, new.kind_names, new.settings)
-        self.figures.declare(new.class_names)
+        self.metrics.declare_classes(new.class_names)
         self.clients.intake.set(new.class_names, new.deadlines)
         self.owner.put(SerializedCallback(partial(self._succeed, new)), clock())
         self.config, self.longest = new, max(self.longest, new.longest)
 
     def _succeed(self, new: Config) -> None:
         still = self.handover.switch(new.settings)
-        log.info("settings_switched", still_open=still, classes=new.class_names, **self.figures.totals())
+        log.info("settings_switched", still_open=still, classes=new.class_names, **self.metrics.totals())
 
 
 def _say_streams(config: Config) -> None:
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -118,9 +118,9 @@
         """Take over the ids that another process remembers."""
         self.lately[0].update(marks)
 
-    def _count_as_over(self, class_name: str, fate: RequestOutcome) -> None:
-        self.owner.figures.taken += 1
-        self.owner.figures.over(class_name, fate)
+    def _count_as_over(self, class_name: str, outcome: RequestOutcome) -> None:
+        self.owner.metrics.requests_received += 1
+        self.owner.metrics.record_outcome(class_name, outcome)
 
 
 def _mark(trace: str) -> str:
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -60,9 +60,9 @@
         keep_alive: int,
         fields: tuple[str, ...],
         tell: Callable[[FinishedAttempt | SentBody | StartedResponse, int], None],
-        figures: Metrics | None = None,
+        metrics: Metrics | None = None,
     ) -> None:
-        self.budget, self.tell, self.figures = budget, tell, figures or Metrics()
+        self.budget, self.tell, self.metrics = budget, tell, metrics or Metrics()
         self.set(dial_timeout, keep_alive, fields)
         self.known: dict[str, PooledUpstream] = {}
         # all that rest, the longest first, and the pool that each is in
@@ -221,7 +221,7 @@
                 attempt.sent = clock()
                 self.tell(SentBody(attempt), attempt.sent)
             written = True
-            self.figures.relayed += 1
+            self.metrics.attempts_sent += 1
             answer = connection.read(self.dial_timeout / 1_000_000, room)
             seen = clock()
             if answer is None:
