--- a/linetrack/control/idempotency_keys.py
+++ b/linetrack/control/idempotency_keys.py
@@ -1,12 +1,13 @@
-"""Keys of requests that may have run, for callers that ask again under the same key.
+"""Attempts that may have been executed, by idempotency key.
 
-Owns a bounded table: under which key attempts may have run, where and when.  Must never read a clock or touch
-a socket.  Guards against a sale had twice: a caller's own retry is a new request to the policy, which without
-this would send it to another group of upstreams, or after its group's memory of the key is over.
+A client's own retry is a new request to the policy.  Without this table it could be sent to a deduplication
+scope other than that of the first attempt, or after the scope's deduplication window has ended, and would
+then be executed a second time.
 
-A row lasts for `KEPT` from its first attempt and holds the first `EACH`; at most `MOST` rows are held, the
-oldest going first.  Past that a caller's retry is a new request again, as it is at a sidecar that did not
-see the first.
+The table is bounded.  A key is kept for `RETENTION_US` from its first attempt, with its first
+`MAX_EXECUTIONS_PER_KEY` attempts; beyond `MAX_KEYS` the oldest key is evicted.  A retry under a key that is
+no longer kept is a new request again, as it is at an instance that did not receive the first.  This module
+reads no clock and touches no socket.
 """
 
 from __future__ import annotations
@@ -15,40 +16,43 @@
 
 from linetrack.policy.protocols import PossibleExecution
 
-MOST = 8192
-EACH = 8
-KEPT = 60_000_000  # microseconds
+MAX_KEYS = 8192
+MAX_EXECUTIONS_PER_KEY = 8
+RETENTION_US = 60_000_000
 
 
 class IdempotencyKeyTable:
+    """Possible executions by key, the key whose first attempt is the oldest first.  Times are microseconds."""
+
     def __init__(self) -> None:
-        self.rows: OrderedDict[int, list[PossibleExecution]] = OrderedDict()
-
-    def add(self, key: int, ran: PossibleExecution) -> None:
-        """An attempt under that key may have run, or may yet."""
-        self._tidy(ran.sent_at)
-        row = self.rows.setdefault(key, [])
-        if len(row) < EACH:
-            row.append(ran)
-        if len(self.rows) > MOST:
-            self.rows.popitem(last=False)
-
-    def discard(self, key: int, ran: PossibleExecution) -> None:
-        """That attempt turned out never to have run."""
-        row = self.rows.get(key, [])
-        if ran in row:
-            row.remove(ran)
-            if not row:
-                del self.rows[key]
+        self.executions_by_key: OrderedDict[int, list[PossibleExecution]] = OrderedDict()
+
+    def add(self, key: int, execution: PossibleExecution) -> None:
+        """Note that an attempt under the key may have been executed, or may yet be."""
+        self._expire(execution.sent_at)
+        executions = self.executions_by_key.setdefault(key, [])
+        if len(executions) < MAX_EXECUTIONS_PER_KEY:
+            executions.append(execution)
+        if len(self.executions_by_key) > MAX_KEYS:
+            self.executions_by_key.popitem(last=False)
+
+    def discard(self, key: int, execution: PossibleExecution) -> None:
+        """Note that this attempt proved not to have been executed."""
+        executions = self.executions_by_key.get(key, [])
+        if execution in executions:
+            executions.remove(execution)
+            if not executions:
+                del self.executions_by_key[key]
 
     def executions(self, now: int, key: int) -> list[PossibleExecution]:
-        """The attempts under that key that may have run, the earliest first."""
-        self._tidy(now)
-        return self.rows.get(key, [])
-
-    def _tidy(self, now: int) -> None:
-        while self.rows:
-            first = next(iter(self.rows))
-            if self.rows[first][0].sent_at > now - KEPT:
+        """Return the attempts under the key that may have been executed, the earliest first."""
+        self._expire(now)
+        return self.executions_by_key.get(key, [])
+
+    def _expire(self, now: int) -> None:
+        """Remove the keys whose retention has ended."""
+        while self.executions_by_key:
+            oldest_key = next(iter(self.executions_by_key))
+            if self.executions_by_key[oldest_key][0].sent_at > now - RETENTION_US:
                 return
-            del self.rows[first]
+            del self.executions_by_key[oldest_key]
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -11,6 +11,7 @@
 import signal
 import sys
 from collections.abc import Callable, Mapping
+from dataclasses import asdict
 from enum import Enum
 from functools import partial
 from typing import Any
@@ -36,6 +37,7 @@
 from linetrack.server.dispatcher import MakePolicy, Dispatcher, SerializedCallback
 from linetrack.server.upstream_pool import UpstreamPool
 from linetrack.policy.balancer import Balancer
+from linetrack.policy.settings import Settings
 
 log = structlog.get_logger()
 
@@ -367,16 +369,19 @@
 
 
 def _damping(policy: MakePolicy) -> MakePolicy:
-    """The same policy with what it may be told of storms; one that is not ours stays as it is."""
+    """The same policy with an overload controller and idempotency keys; one that is not ours stays as it is."""
     if policy is not Balancer:
         return policy
-    from linetrack.control import overload_control as storms
     from linetrack.control.idempotency_keys import IdempotencyKeyTable
+    from linetrack.control.overload_control import AdaptiveOverloadController, OverloadPhase, OverloadStatus
 
-    def tell(phase: storms.Phase, figures: dict[str, float]) -> None:
-        log.info("storm", phase=phase.value, **figures)
+    def log_phase(phase: OverloadPhase, status: OverloadStatus) -> None:
+        log.info("overload_phase_changed", phase=phase.value, **asdict(status))
 
-    return lambda settings, seed: Balancer(settings, seed, storms.AdaptiveOverloadController(seed, tell), IdempotencyKeyTable())
+    def make_policy(settings: Settings, seed: int) -> Balancer:
+        return Balancer(settings, seed, AdaptiveOverloadController(seed, log_phase), IdempotencyKeyTable())
+
+    return make_policy
 
 
 def _tidy() -> None:
