--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -33,7 +33,8 @@
     encode_response_head,
     select_framing,
 )
-from linetrack.server.dispatcher import FinalResponse, DisconnectedClient, IncomingRequest
+from linetrack.server.active_request import FinalResponse
+from linetrack.server.notifications import DisconnectedClient, IncomingRequest
 
 if TYPE_CHECKING:
     from linetrack.server.listener import Listener
@@ -242,7 +243,7 @@
         self.clients.places.asked(self.seat, self.seen)
         result: AsyncResult[FinalResponse | None] = AsyncResult()
         gone = partial(self._gone, arrival.request_id, result, request.keep_alive, self.seen)
-        self.clients.owner.put(IncomingRequest(request, arrival, result.set, gone), self.seen)
+        self.clients.owner.enqueue(IncomingRequest(request, arrival, result.set, gone), self.seen)
         if isinstance(upload := request.body_stream, Upload):
             upload.left = partial(self._left, arrival.request_id, result)
             upload.came = partial(self.watch.start, self._look_whether_gone, gone)
@@ -278,7 +279,7 @@
         return side is PeerState.HALF_CLOSED and clock() - seen > SHUT_FOR
 
     def _left(self, number: int, result: AsyncResult[FinalResponse | None]) -> None:
-        self.clients.owner.put(DisconnectedClient(number), clock())
+        self.clients.owner.enqueue(DisconnectedClient(number), clock())
         result.set(None)
 
     def _answer(self, request: ClientRequest, final: FinalResponse) -> bool:
@@ -288,7 +289,7 @@
         after = final.retry_after
         if self.clients.whole_seconds:
             after = -(-after // 1_000_000) * 1_000_000
-        length = final.length if request.method == "HEAD" else None
+        length = final.content_length if request.method == "HEAD" else None
         data = encode_response(
             final.status, final.body, after, keep, final.content_type, request.is_http10, length
         )
--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -25,13 +25,15 @@
 
 
 class Connection:
-    __slots__ = ("address", "depth", "idle_since", "reader", "sock", "until")
+    __slots__ = ("address", "idle_deadline", "idle_depth", "idle_since", "reader", "sock")
 
     def __init__(self, address: tuple[str, int], max_body_bytes: int, max_buffered_body_bytes: int) -> None:
         self.address = address
         self.reader = ResponseReader(max_body_bytes, max_buffered_body_bytes)
-        # while it rests: since when, until when, and how many rested beside it
-        self.idle_since = self.until = self.depth = 0
+        # while it is idle, for its pool: since when, until when, and how many were idle before it
+        self.idle_since = 0
+        self.idle_deadline = 0
+        self.idle_depth = 0
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
 
     def dial(self, within: float) -> None:
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -234,7 +234,7 @@
 
     def _publish(self, records: EndpointRecords, form: ListForm) -> None:
         received_at = clock()
-        self.upstreams.learn(records.endpoints, form is not ListForm.DELTA)
+        self.upstreams.update_endpoints(records.endpoints, form is not ListForm.DELTA)
         entries = tuple(self._to_entry(record) for record in records.endpoints)
         self.publish(EndpointListUpdate(form, entries), received_at)
 
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -1,23 +1,21 @@
-"""The one greenlet that owns the decision module, its queue, its timers and its clock.
+"""The one greenlet that calls the policy: a queue of notifications, the policy's timers and its clock.
 
-Everything that the module is told comes through `put` with the time at which it was seen; every action that
-it returns is turned into one call here.  Must never touch a socket, wait for anything but its queue (save one
-turn, so that an answer is written first), or decide what becomes of a request.
+Every notification reaches the policy through `Dispatcher.enqueue`, with the time at which it was seen, and
+every action that the policy returns becomes one call here.  The dispatcher touches no socket, waits for
+nothing but its queue (save one turn of the event loop, so that a response is written first), and does not
+decide what becomes of a request.
 """
 
 from __future__ import annotations
 
-import heapq
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from itertools import count
-from typing import Protocol
 
 import gevent
-import structlog
-from gevent.event import Event as WakeUp
+import gevent.event
 
+from linetrack.control.metrics import Metrics, RequestOutcome
 from linetrack.policy.actions import (
     Action,
     CancelAttempt,
@@ -35,377 +33,313 @@
     Event,
     Outcome,
     RequestBodySent,
-    RequestReceived,
     ResponseStarted,
     TimerFired,
 )
 from linetrack.policy.protocols import Policy
 from linetrack.policy.settings import Settings
-from linetrack.control.metrics import RequestOutcome, Metrics
+from linetrack.server.active_request import ActiveRequest, Attempt, FinalResponse
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.connection import ResponseStream
-from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.http1.responses import Response
-
-log = structlog.get_logger()
-
+from linetrack.server.notifications import (
+    DisconnectedClient,
+    FinishedAttempt,
+    IncomingRequest,
+    Notification,
+    SentBody,
+    SerializedCallback,
+    StartedResponse,
+)
+from linetrack.server.timer_queue import TimerQueue
 
 MakePolicy = Callable[[Settings, int], Policy]
 
 
-@dataclass(slots=True)
-class FinalResponse:
-    """A request's one final answer: an upstream's, a refusal (503, with advice) or a failure (502)."""
-
-    status: int
-    body: bytes = b""
-    content_type: str = ""
-    retry_after: int = 0
-    length: int | None = None  # of a body that there is, and that does not go on (HEAD)
-    stream: ResponseStream | None = None  # a long answer, from its first bytes on
-
-
-#: In place of a request that is over, and of who waited for its answer.
-NOTHING = ClientRequest("", "")
-
-
-def _to_nobody(final: FinalResponse) -> None:
-    """Nobody waits any more."""
-
-
-def _stays() -> bool:
-    """Of a client that cannot be looked at."""
-    return False
-
-
-class ActiveRequest:
-    """A request from the moment it is taken until it is over and its last attempt has ended."""
-
-    __slots__ = (
-        "attempts",
-        "gone",
-        "held",
-        "klass",
-        "number",
-        "over",
-        "patience",
-        "reply",
-        "request",
-        "stream",
-        "until",
-    )
-
-    def __init__(
-        self,
-        arrival: RequestReceived,
-        request: ClientRequest,
-        seen: int,
-        reply: Callable[[FinalResponse], None],
-        gone: Callable[[], bool] = _stays,
-    ) -> None:
-        self.gone = gone  # whether its client is seen to have left: asked before the first byte of an attempt
-        self.number, self.patience, self.held = arrival.request_id, arrival.timeout, arrival.is_replayable
-        self.request, self.reply, self.klass = request, reply, request.class_name
-        # a body that goes on as it comes has limits of its own; the request's time begins with its last byte
-        self.until = seen + arrival.timeout if arrival.is_replayable else NEVER
-        self.attempts: list[Attempt] = []
-        self.over = False
-        self.stream: ResponseStream | None = None  # the answer on its way, from one of its attempts
-
-
-class Socket(Protocol):
-    """What giving an attempt up asks of its connection."""
-
-    def shutdown(self, how: int, /) -> object: ...
-    def close(self) -> object: ...
-
-
-class Attempt:
-    """One send; whoever ends it first, its greenlet or the owner, says how it ended."""
-
-    __slots__ = ("begun", "by", "ended", "number", "open", "sent", "sock", "until", "upstream")
-
-    def __init__(self, open_: ActiveRequest, upstream: str, sent: int, until: int, by: int = 0) -> None:
-        self.open, self.upstream, self.sent, self.until = open_, upstream, sent, until
-        self.by = by or until  # after which nothing of it may be written
-        self.number = len(open_.attempts)
-        self.ended = False
-        self.begun = False  # its answer is on its way to the client
-        self.sock: Socket | None = None  # what its greenlet waits on: giving up closes it
-
-
-@dataclass(slots=True)
-class IncomingRequest:
-    """A client's request has been read whole."""
-
-    request: ClientRequest
-    arrival: RequestReceived
-    reply: Callable[[FinalResponse], None]
-    gone: Callable[[], bool] = _stays
-
-
-@dataclass(slots=True, frozen=True)
-class DisconnectedClient:
-    number: int
-
-
-@dataclass(slots=True, frozen=True)
-class SentBody:
-    """An attempt's long body is written whole."""
-
-    attempt: Attempt
-
-
-@dataclass(slots=True)
-class StartedResponse:
-    """An attempt's long answer has begun."""
-
-    attempt: Attempt
-    latency: int
-    stream: ResponseStream
-
-
-@dataclass(slots=True)
-class FinishedAttempt:
-    """An attempt has ended."""
-
-    attempt: Attempt
-    outcome: Outcome
-    latency: int
-    answer: Response | None = None
-    report: tuple[float, ...] = ()
-
-
-@dataclass(slots=True, frozen=True)
-class SerializedCallback:
-    """Something to be done between two events: what was put before is told first, what is put later after."""
-
-    work: Callable[[], None]
-
-
-Notification = IncomingRequest | DisconnectedClient | SentBody | StartedResponse | FinishedAttempt | SerializedCallback | EndpointListUpdate
+def _ignore_endpoint(endpoint: str) -> None:
+    """Do nothing: there are no idle connections to close."""
 
 
 class Dispatcher:
+    """Feeds one policy and performs its actions.  Times are microseconds of `linetrack.server.clock`."""
+
     def __init__(
         self,
         policy: Policy,
-        start: Callable[[Attempt], None],
-        give_up: Callable[[Attempt], None],
-        watch: Callable[[], None],
-        close_idle: Callable[[str], None] = lambda upstream: None,
+        start_attempt: Callable[[Attempt], None],
+        abort_attempt: Callable[[Attempt], None],
+        watch_endpoints: Callable[[], None],
+        close_idle_connections: Callable[[str], None] = _ignore_endpoint,
         metrics: Metrics | None = None,
     ) -> None:
+        """Prepare a dispatcher that `run` starts.
+
+        Args:
+            policy: Decides about every request.
+            start_attempt: Starts sending an attempt, without waiting.
+            abort_attempt: Closes the connection of an attempt that has ended here, without waiting.
+            watch_endpoints: Subscribes to endpoint lists.
+            close_idle_connections: Closes the idle connections to an endpoint.
+            metrics: The counters of the process.
+        """
         self.policy = policy
-        self.start, self.give_up, self.watch, self.close_idle = start, give_up, watch, close_idle
-        self.queue: deque[tuple[int, Notification]] = deque()
-        self.rung = WakeUp()
-        self.alarm, self.alarm_due = gevent.get_hub().loop.timer(0), NEVER
-        self.now = clock()
-        self.open: dict[int, ActiveRequest] = {}
-        self.timers: list[tuple[int, int, TimerFired | Attempt]] = []
-        self.order = count()
-        self.numbers = count(1)
         self.metrics = metrics or Metrics()
-        self.ends = NEVER  # once the process is to end: when all that it has taken is to be answered
-
-    def put(self, item: Notification, seen: int) -> None:
-        """Called from any greenlet: `seen` is when the socket showed it."""
-        self.queue.append((seen, item))
-        self.rung.set()
-
-    def number(self) -> int:
-        """A new request's number; never used twice."""
-        return next(self.numbers)
+        self.queue: deque[tuple[int, Notification]] = deque()
+        self.active_requests: dict[int, ActiveRequest] = {}
+        self.timers: TimerQueue[TimerFired | Attempt] = TimerQueue()
+        self.shutdown_deadline = NEVER  # when all requests must be answered, once the process is to exit
+        self._start_attempt = start_attempt
+        self._abort_attempt = abort_attempt
+        self._watch_endpoints = watch_endpoints
+        self._close_idle_connections = close_idle_connections
+        self._policy_time = clock()
+        self._request_ids = count(1)
+        self._wakeup = gevent.event.Event()
+        self._alarm = gevent.get_hub().loop.timer(0)
+        self._alarm_at = NEVER
+
+    def enqueue(self, notification: Notification, seen_at: int) -> None:
+        """Add what was seen on a socket at `seen_at`; may be called from any greenlet."""
+        self.queue.append((seen_at, notification))
+        self._wakeup.set()
+
+    def next_request_id(self) -> int:
+        """Return the identifier of a new request; none is used twice."""
+        return next(self._request_ids)
 
     def run(self) -> None:
+        """Process notifications and timers forever."""
         while True:
-            item = self._next()
+            item = self._next_notification()
             if item is not None:
-                seen, what = item
-                self._due(seen)
-                self._step(seen, what)
+                seen_at, notification = item
+                self._fire_due_timers(seen_at)
+                self._process(seen_at, notification)
             else:
-                self._due(clock())
+                self._fire_due_timers(clock())
 
-    def _next(self) -> tuple[int, Notification] | None:
-        """The next thing told, or None once the next timer is due."""
+    # --- The queue and the timers --------------------------------------------------------------------
+    def _next_notification(self) -> tuple[int, Notification] | None:
+        """Wait for the next notification; return None once a timer is due before it."""
         while not self.queue:
-            if self.timers and self.timers[0][0] <= clock():
+            due_at = self.timers.next_due_at()
+            if due_at is not None and due_at <= clock():
                 return None
-            self._sleep()
+            self._wait(due_at)
         return self.queue.popleft()
 
-    def _sleep(self) -> None:
-        """Until something is told or the next timer is due: one alarm for all timers, set anew only for an
-        earlier one, as most sleeps end long before it."""
-        if self.timers and self.timers[0][0] < self.alarm_due:
-            self.alarm_due = self.timers[0][0]
-            self.alarm.close()
-            self.alarm = gevent.get_hub().loop.timer(max(0, self.alarm_due - clock()) / 1_000_000)
-            self.alarm.start(self._ring)
-        self.rung.clear()
-        self.rung.wait()
-
-    def _ring(self) -> None:
-        self.alarm_due = NEVER
-        self.rung.set()
-
-    def _due(self, now: int) -> None:
-        """Timers that were due by then, in their order, each at its own time."""
-        while self.timers and self.timers[0][0] <= now:
-            due, _, what = heapq.heappop(self.timers)
-            if isinstance(what, Attempt):
-                self._expire(what, due)
+    def _wait(self, due_at: int | None) -> None:
+        """Wait until something is enqueued or the next timer is due.
+
+        There is one alarm for all timers.  It is set anew only for an earlier one, as most waits end long
+        before it.
+        """
+        if due_at is not None and due_at < self._alarm_at:
+            self._alarm_at = due_at
+            self._alarm.close()
+            self._alarm = gevent.get_hub().loop.timer(max(0, due_at - clock()) / 1_000_000)
+            self._alarm.start(self._on_alarm)
+        self._wakeup.clear()
+        self._wakeup.wait()
+
+    def _on_alarm(self) -> None:
+        self._alarm_at = NEVER
+        self._wakeup.set()
+
+    def _fire_due_timers(self, now: int) -> None:
+        """Fire the timers that are due by now, in their order, each at its own time."""
+        while (timer := self.timers.pop_due(now)) is not None:
+            due_at, item = timer
+            if isinstance(item, Attempt):
+                self.time_out(item, due_at)
             else:
-                self._handle(due, what)
-
-    def _step(self, seen: int, what: Notification) -> None:
-        match what:
-            case IncomingRequest(request, arrival, reply, gone):
-                self.metrics.requests_received += 1
-                self.open[arrival.request_id] = ActiveRequest(arrival, request, seen, reply, gone)
-                self._handle(seen, arrival)
+                self._notify_policy(due_at, item)
+
+    # --- Notifications -------------------------------------------------------------------------------
+    def _process(self, seen_at: int, notification: Notification) -> None:
+        match notification:
+            case IncomingRequest():
+                self._on_request(seen_at, notification)
             case FinishedAttempt():
-                self._done(seen, what)
-            case DisconnectedClient(number):
-                if (open_ := self.open.get(number)) and not open_.over:
-                    open_.over = True
-                    self.metrics.clients_disconnected += 1
-                    self._handle(seen, ClientDisconnected(number))
-                    if open_.stream is not None:
-                        open_.stream.end(Outcome.CANCELLED)
-                    self._forget(open_)
+                self._on_attempt_finished(seen_at, notification)
+            case DisconnectedClient(request_id):
+                self._on_client_disconnected(seen_at, request_id)
             case SentBody(attempt):
-                self._sent(seen, attempt)
-            case StartedResponse(attempt, latency, stream):
-                self._started(seen, attempt, latency, stream)
+                self._on_body_sent(seen_at, attempt)
+            case StartedResponse():
+                self._on_response_started(seen_at, notification)
             case EndpointListUpdate():
-                self._handle(seen, what)
-            case SerializedCallback(work):
-                work()
-
-    def _sent(self, seen: int, attempt: Attempt) -> None:
-        """An attempt's time begins with the last byte of its long body, and that of a request whose body went
-        on as it came."""
-        open_ = attempt.open
-        if attempt.ended or open_.over:
+                self._notify_policy(seen_at, notification)
+            case SerializedCallback(callback):
+                callback()
+
+    def _on_request(self, seen_at: int, incoming: IncomingRequest) -> None:
+        received = incoming.received
+        self.metrics.requests_received += 1
+        self.active_requests[received.request_id] = ActiveRequest(
+            received, incoming.request, seen_at, incoming.reply, incoming.has_client_disconnected
+        )
+        self._notify_policy(seen_at, received)
+
+    def _on_client_disconnected(self, seen_at: int, request_id: int) -> None:
+        request = self.active_requests.get(request_id)
+        if request is None or request.is_completed:
+            return
+        request.is_completed = True
+        self.metrics.clients_disconnected += 1
+        self._notify_policy(seen_at, ClientDisconnected(request_id))
+        if request.stream is not None:
+            request.stream.end(Outcome.CANCELLED)
+        self._forget_if_finished(request)
+
+    def _on_body_sent(self, seen_at: int, attempt: Attempt) -> None:
+        """Start an attempt's time with the last byte of its long body, and the request's if it is streamed."""
+        request = attempt.request
+        if attempt.has_ended or request.is_completed:
             return
-        attempt.sent = seen
-        if not open_.held:
-            open_.until = attempt.until = min(seen + open_.patience, self.ends)
-            self._set(attempt.until, attempt)
-        self._handle(seen, RequestBodySent(open_.number, attempt.number))
-
-    def _started(self, seen: int, attempt: Attempt, latency: int, stream: ResponseStream) -> None:
-        """An attempt's answer has begun: it is the answer, unless the request has one."""
-        open_ = attempt.open
-        if open_.over or attempt.ended or open_.stream is not None:
+        attempt.sent_at = seen_at
+        if not request.is_replayable:
+            request.deadline = min(seen_at + request.timeout, self.shutdown_deadline)
+            attempt.deadline = request.deadline
+            self.timers.schedule(attempt.deadline, attempt)
+        self._notify_policy(seen_at, RequestBodySent(request.request_id, attempt.index))
+
+    def _on_response_started(self, seen_at: int, started: StartedResponse) -> None:
+        """Make a streamed response the request's response, unless it has one."""
+        attempt = started.attempt
+        request = attempt.request
+        stream = started.stream
+        if request.is_completed or attempt.has_ended or request.stream is not None:
             stream.end(Outcome.CANCELLED)
             return
-        attempt.begun, open_.stream = True, stream
-        open_.reply(FinalResponse(200, content_type=stream.content_type, stream=stream))
-        self._handle(seen, ResponseStarted(open_.number, attempt.number, attempt.upstream, latency))
+        attempt.has_response_started = True
+        request.stream = stream
+        request.reply(FinalResponse(200, content_type=stream.content_type, stream=stream))
+        event = ResponseStarted(request.request_id, attempt.index, attempt.endpoint, started.latency)
+        self._notify_policy(seen_at, event)
         gevent.sleep(0)
 
-    def _expire(self, attempt: Attempt, due: int) -> None:
-        """An attempt's time is over: its connection is closed at once, and the module is told."""
-        # an answer on its way has limits of its own, and one whose body is written later a later time
-        if not attempt.ended and not attempt.begun and attempt.until <= due:
-            attempt.ended = True
-            self.give_up(attempt)
-            self._done(due, FinishedAttempt(attempt, Outcome.TIMEOUT, max(0, due - attempt.sent)))
-
-    def _cancel(self, number: int, nth: int) -> None:
-        """Call an attempt off; its end is told in its turn, not from within the module's own actions."""
-        open_ = self.open.get(number)
-        if open_ is not None and not open_.attempts[nth].ended:
-            attempt, seen = open_.attempts[nth], clock()
-            attempt.ended = True
-            self.give_up(attempt)
-            self.put(FinishedAttempt(attempt, Outcome.CANCELLED, seen - attempt.sent), seen)
-
-    def _end(self, number: int, final: FinalResponse, fate: RequestOutcome) -> None:
-        """The module's own final answer; what is over stays as it is."""
-        open_ = self.open.get(number)
-        if open_ is not None and not open_.over:
-            self._answer(open_, final, fate)
-            self._forget(open_)
-
-    def _done(self, seen: int, done: FinishedAttempt) -> None:
-        attempt, open_ = done.attempt, done.attempt.open
-        if attempt.begun:
-            self._streamed(open_, done.outcome)
-        elif done.answer is not None and not open_.over and open_.stream is None:
-            answer = done.answer
-            final = FinalResponse(200, answer.body, answer.content_type, length=answer.content_length)
-            self._answer(open_, final, RequestOutcome.SERVED)
-            # guards against the client waiting for what the module learns: its greenlet writes first.  What
-            # others put meanwhile stands in the queue, behind this end
-            gevent.sleep(0)
-        ended = AttemptEnded(
-            open_.number,
-            attempt.number,
-            attempt.upstream,
-            done.outcome,
-            done.latency,
-            open_.over,
-            done.report,
+    def _on_attempt_finished(self, seen_at: int, finished: FinishedAttempt) -> None:
+        attempt = finished.attempt
+        request = attempt.request
+        if attempt.has_response_started:
+            self._on_stream_finished(request, finished.outcome)
+        elif finished.response is not None and not request.is_completed and request.stream is None:
+            self._forward_response(request, finished.response)
+        event = AttemptEnded(
+            request.request_id,
+            attempt.index,
+            attempt.endpoint,
+            finished.outcome,
+            finished.latency,
+            request.is_completed,
+            finished.load_report,
         )
-        self._handle(seen, ended)
-        self._forget(open_)
+        self._notify_policy(seen_at, event)
+        self._forget_if_finished(request)
 
-    def _streamed(self, open_: ActiveRequest, outcome: Outcome) -> None:
-        """A long answer has ended on its way."""
-        if open_.over:
+    def _on_stream_finished(self, request: ActiveRequest, outcome: Outcome) -> None:
+        """Count the end of a request whose response was streamed."""
+        if request.is_completed:
             return
-        open_.over = True
+        request.is_completed = True
         if outcome is Outcome.CANCELLED:
             self.metrics.clients_disconnected += 1
+        elif outcome is Outcome.SUCCESS:
+            self.metrics.record_outcome(request.class_name, RequestOutcome.SERVED)
         else:
-            self.metrics.record_outcome(open_.klass, RequestOutcome.SERVED if outcome is Outcome.SUCCESS else RequestOutcome.FAILED)
+            self.metrics.record_outcome(request.class_name, RequestOutcome.FAILED)
 
-    def _answer(self, open_: ActiveRequest, final: FinalResponse, fate: RequestOutcome) -> None:
-        open_.over = True
-        self.metrics.record_outcome(open_.klass, fate)
-        open_.reply(final)
-
-    def _forget(self, open_: ActiveRequest) -> None:
-        if open_.over and all(attempt.ended for attempt in open_.attempts):
-            self.open.pop(open_.number, None)
-            # the timers of its attempts still stand: they must not hold the bodies until they are due
-            open_.request, open_.reply, open_.gone = NOTHING, _to_nobody, _stays
-
-    def _handle(self, now: int, event: Event) -> None:
-        self.now = max(self.now, now)
-        for action in self.policy.handle(self.now, event):
-            self._act(action)
+    # --- Final responses -----------------------------------------------------------------------------
+    def _forward_response(self, request: ActiveRequest, response: Response) -> None:
+        """Send an endpoint's response to the client."""
+        final = FinalResponse(
+            200, response.body, response.content_type, content_length=response.content_length
+        )
+        self._reply(request, final, RequestOutcome.SERVED)
+        # the client's greenlet writes it before the policy does its work on the attempt's end; what others
+        # enqueue meanwhile is processed after that
+        gevent.sleep(0)
 
-    def _act(self, action: Action) -> None:
+    def _complete(self, request_id: int, final: FinalResponse, outcome: RequestOutcome) -> None:
+        """Send the policy's own final response; a request that is completed stays as it is."""
+        request = self.active_requests.get(request_id)
+        if request is not None and not request.is_completed:
+            self._reply(request, final, outcome)
+            self._forget_if_finished(request)
+
+    def _reply(self, request: ActiveRequest, final: FinalResponse, outcome: RequestOutcome) -> None:
+        request.is_completed = True
+        self.metrics.record_outcome(request.class_name, outcome)
+        request.reply(final)
+
+    def _forget_if_finished(self, request: ActiveRequest) -> None:
+        if request.is_completed and all(attempt.has_ended for attempt in request.attempts):
+            self.active_requests.pop(request.request_id, None)
+            request.release_references()
+
+    # --- Attempts that end here ----------------------------------------------------------------------
+    def time_out(self, attempt: Attempt, due_at: int) -> None:
+        """End an attempt at its deadline: its connection is closed at once and the policy is notified."""
+        # a streamed response has limits of its own; a deadline that was moved has a timer of its own
+        if attempt.has_ended or attempt.has_response_started or attempt.deadline > due_at:
+            return
+        attempt.has_ended = True
+        self._abort_attempt(attempt)
+        latency = max(0, due_at - attempt.sent_at)
+        self._on_attempt_finished(due_at, FinishedAttempt(attempt, Outcome.TIMEOUT, latency))
+
+    def _cancel(self, request_id: int, attempt_index: int) -> None:
+        """Cancel an attempt; its end is enqueued, as the policy's own actions are still being performed."""
+        request = self.active_requests.get(request_id)
+        if request is None or request.attempts[attempt_index].has_ended:
+            return
+        attempt = request.attempts[attempt_index]
+        cancelled_at = clock()
+        attempt.has_ended = True
+        self._abort_attempt(attempt)
+        finished = FinishedAttempt(attempt, Outcome.CANCELLED, cancelled_at - attempt.sent_at)
+        self.enqueue(finished, cancelled_at)
+
+    # --- The policy ----------------------------------------------------------------------------------
+    def _notify_policy(self, now: int, event: Event) -> None:
+        """Hand an event to the policy, whose time never goes back, and perform the actions it returns."""
+        self._policy_time = max(self._policy_time, now)
+        for action in self.policy.handle(self._policy_time, event):
+            self.perform(action)
+
+    def perform(self, action: Action) -> None:
+        """Perform one action of the policy.
+
+        Raises:
+            NotImplementedError: The policy of this program returns no such action.
+        """
         match action:
-            case StartAttempt(number, upstream, timeout, by):
-                open_ = self.open[number]
-                self.metrics.attempts_started += 1
-                until = min(open_.until, self.now + timeout) if timeout else open_.until
-                attempt = Attempt(open_, upstream, clock(), until, by)
-                open_.attempts.append(attempt)
-                if until != NEVER:
-                    self._set(until, attempt)
-                self.start(attempt)
-            case SetTimer(after, token):
-                self._set(self.now + after, TimerFired(token))
-            case RejectRequest(number, retry_after):
-                self._end(number, FinalResponse(503, retry_after=retry_after), RequestOutcome.REJECTED)
-            case FailRequest(number):
-                self._end(number, FinalResponse(502), RequestOutcome.FAILED)
-            case CancelAttempt(number, nth):
-                self._cancel(number, nth)
+            case StartAttempt():
+                self._start(action)
+            case SetTimer(delay, token):
+                self.timers.schedule(self._policy_time + delay, TimerFired(token))
+            case RejectRequest(request_id, retry_after):
+                final = FinalResponse(503, retry_after=retry_after)
+                self._complete(request_id, final, RequestOutcome.REJECTED)
+            case FailRequest(request_id):
+                self._complete(request_id, FinalResponse(502), RequestOutcome.FAILED)
+            case CancelAttempt(request_id, attempt_index):
+                self._cancel(request_id, attempt_index)
             case WatchEndpoints(True):
-                self.watch()
-            case CloseIdleConnections(upstream):
-                self.close_idle(upstream)
+                self._watch_endpoints()
+            case CloseIdleConnections(endpoint):
+                self._close_idle_connections(endpoint)
             case _:
-                raise NotImplementedError(f"the module never emitted {action!r} before")
-
-    def _set(self, due: int, what: TimerFired | Attempt) -> None:
-        heapq.heappush(self.timers, (due, next(self.order), what))
+                raise NotImplementedError(f"the policy never returned {action!r} before")
+
+    def _start(self, action: StartAttempt) -> None:
+        request = self.active_requests[action.request_id]
+        self.metrics.attempts_started += 1
+        deadline = request.deadline
+        if action.timeout:
+            deadline = min(deadline, self._policy_time + action.timeout)
+        attempt = Attempt(request, action.endpoint, clock(), deadline, action.write_deadline)
+        request.attempts.append(attempt)
+        if deadline != NEVER:
+            self.timers.schedule(deadline, attempt)
+        self._start_attempt(attempt)
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -34,7 +34,9 @@
 from linetrack.server.hot_restart_channel import Predecessor, Successor, socket_path
 from linetrack.server.endpoint_list import EndpointRecords, encode_snapshot, parse_endpoint_list
 from linetrack.server.http1.errors import MalformedMessageError
-from linetrack.server.dispatcher import MakePolicy, Dispatcher, SerializedCallback
+from linetrack.server.attempt_runner import AttemptRunner
+from linetrack.server.dispatcher import Dispatcher, MakePolicy
+from linetrack.server.notifications import SerializedCallback
 from linetrack.server.upstream_pool import UpstreamPool
 from linetrack.policy.balancer import Balancer
 from linetrack.policy.settings import Settings
@@ -67,18 +69,18 @@
         budget = Budget(config.sockets, config.memory_mb)
         self.metrics = Metrics()
         self.metrics.declare_classes(config.class_names)
-        self.upstreams = UpstreamPool(
+        self.upstreams = UpstreamPool(budget, config.dial_timeout, config.keep_alive)
+        self.attempts = AttemptRunner(
+            self.upstreams,
             budget,
-            config.dial_timeout,
-            config.keep_alive,
             config.report_fields,
-            lambda done, seen: self.owner.put(done, seen),
+            lambda notification, seen_at: self.owner.enqueue(notification, seen_at),
             self.metrics,
         )
         self.discovery = DiscoveryClient(
             config.discovery,
             self.upstreams,
-            lambda news, seen: self.owner.put(news, seen),
+            lambda update, seen_at: self.owner.enqueue(update, seen_at),
             config.zone_names,
             config.kind_names,
             config.settings,
@@ -89,8 +91,8 @@
         self.handover = SettingsSwitch(policy(config.settings, config.seed))
         self.owner = Dispatcher(
             self.handover,
-            self.upstreams.start,
-            self.upstreams.give_up,
+            self.attempts.start,
+            self.attempts.abort,
             self.discovery.watch,
             self.upstreams.close_idle,
             self.metrics,
@@ -110,7 +112,7 @@
         return self.phase is Phase.SERVING
 
     def _text(self) -> str:
-        return self.metrics.prometheus_text(len(self.upstreams.known), self.handover.avoided(clock()))
+        return self.metrics.prometheus_text(len(self.upstreams.endpoints), self.handover.avoided(clock()))
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
@@ -133,7 +135,7 @@
         if successor is None:
             self._accept()
         must_live("discovery", self.discovery.run)
-        must_live("sweep", self.upstreams.sweep)
+        must_live("sweep", self.upstreams.run_expiry)
         must_live("client sweep", self.clients.sweep)
         must_live("reload", self._reload)
         must_live("tidying", _tidy)
@@ -151,7 +153,7 @@
         if self.predecessor is not None:
             self.predecessor.leave()
         limit = began + self.longest + int((STILL_COMING + LAST_WORD) * 1_000_000)
-        self.owner.ends = limit - int(LAST_WORD * 1_000_000)
+        self.owner.shutdown_deadline = limit - int(LAST_WORD * 1_000_000)
         if self.handed is not Command.HAND_ON or not self._until_handed(limit):
             # no successor, or it ended meanwhile
             if self.accepting is not None:
@@ -176,7 +178,7 @@
         to be out of reach, and one that is down has nothing to tell; then the list of the configuration is
         all that there is."""
         if not gevent.wait([self.discovery.initial_poll_finished, self.leave], LIST_WITHIN, count=1):
-            log.warning("list_unheard", entries=len(self.upstreams.known))
+            log.warning("list_unheard", entries=len(self.upstreams.endpoints))
 
     # --- Taking another process's place, and giving this one's ---------------------------------------
     def _listen(self) -> tuple[Successor | None, EndpointRecords]:
@@ -231,7 +233,7 @@
 
     def _grant(self) -> tuple[int, dict[str, Any]]:
         assert self.clients.listener is not None
-        told = encode_snapshot(self.discovery.version or 0, self.upstreams.members())
+        told = encode_snapshot(self.discovery.version or 0, self.upstreams.records())
         return self.clients.listener.fileno(), {"list": told, "discovery": list(self.discovery.address)}
 
     def _identity(self) -> Identity:
@@ -351,11 +353,12 @@
     def _switch(self, new: Config) -> None:
         """Other settings, whole and at one moment: nothing waits in here, and the owner takes what was read
         before it under the old ones, what is read after it under the new."""
-        self.upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
+        self.upstreams.configure(new.dial_timeout, new.keep_alive)
+        self.attempts.configure(new.report_fields)
         self.discovery.configure(new.zone_names, new.kind_names, new.settings)
         self.metrics.declare_classes(new.class_names)
         self.clients.intake.set(new.class_names, new.deadlines)
-        self.owner.put(SerializedCallback(partial(self._succeed, new)), clock())
+        self.owner.enqueue(SerializedCallback(partial(self._succeed, new)), clock())
         self.config, self.longest = new, max(self.longest, new.longest)
 
     def _succeed(self, new: Config) -> None:
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -177,7 +177,7 @@
         time until the process's end for one of them to make way."""
         assert self.listener is not None
         self.listener.setblocking(False)
-        while readable(self.listener) and clock() < self.owner.ends:
+        while readable(self.listener) and clock() < self.owner.shutdown_deadline:
             if not self.budget.take_client():
                 gevent.sleep(0 if self._make_room() else ROOM_WAIT)
                 continue
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -82,13 +82,13 @@
             raise
         request.class_name = checked.class_name
         # guards against a request that comes late in this process's end and outlasts it
-        patience = min(checked.patience, self.deadlines[checked.klass], self.owner.ends - clock())
+        patience = min(checked.patience, self.deadlines[checked.klass], self.owner.shutdown_deadline - clock())
         if patience <= 0:
             self._count_as_over(request.class_name, RequestOutcome.REJECTED)
             raise RejectedRequestError(request, UNAVAILABLE)
         self.ids.add(checked.id_mark)
         return RequestReceived(
-            self.owner.number(),
+            self.owner.next_request_id(),
             checked.klass,
             patience,
             _whole(request.properties.get("party", "")),
--- /dev/null
+++ b/tests/server/running_attempts.py
@@ -0,0 +1,85 @@
+"""Attempts against stand-in endpoints, with the notifications that the dispatcher would get."""
+
+import gevent
+
+from linetrack.policy.events import EndpointStatus, Outcome, RequestReceived
+from linetrack.server.active_request import ActiveRequest, Attempt
+from linetrack.server.address import parse_address
+from linetrack.server.attempt_runner import AttemptRunner
+from linetrack.server.budget import Budget
+from linetrack.server.clock import clock
+from linetrack.server.connection import ResponseStream
+from linetrack.server.endpoint_list import EndpointRecord
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.requests import ClientRequest
+from linetrack.server.notifications import FinishedAttempt, SentBody, StartedResponse
+from linetrack.server.upstream_pool import REUSE_DELAY_US, UpstreamPool
+from tests.stand_ins import MS, SECOND, Upstream, turns_until
+
+GET = ClientRequest("GET", "/look/k", "1")
+DIAL_TIMEOUT = 250 * MS
+
+
+def endpoint_record(
+    name: str, address: str, status: EndpointStatus = EndpointStatus.UP
+) -> EndpointRecord:
+    return EndpointRecord(name, parse_address(address), "north", "plain", 1, status, 1.0, 0)
+
+
+class RunningAttempts:
+    """A pool and a runner under test, and what they notified."""
+
+    def __init__(self, *servers: Upstream, sockets: int = 1024, keep_alive: int = 30 * SECOND) -> None:
+        self.finished: list[FinishedAttempt] = []
+        self.others: list[SentBody | StartedResponse] = []
+        self.budget = Budget(sockets, 192)
+        self.pool = UpstreamPool(self.budget, DIAL_TIMEOUT, keep_alive)
+        self.runner = AttemptRunner(self.pool, self.budget, ("depth",), self.notify)
+        self.pool.update_endpoints(tuple(endpoint_record(s.name, s.address) for s in servers), True)
+
+    def notify(self, notification: FinishedAttempt | SentBody | StartedResponse, seen_at: int) -> None:
+        if isinstance(notification, FinishedAttempt):
+            self.finished.append(notification)
+            return
+        self.others.append(notification)
+        if isinstance(notification, StartedResponse):
+            notification.attempt.has_response_started = True
+            gevent.spawn(self.read_to_end, notification.stream)
+
+    def read_to_end(self, stream: ResponseStream) -> None:
+        """Read a streamed response as the client's connection would."""
+        try:
+            while stream.next():
+                pass
+        except (OSError, MalformedMessageError):
+            stream.end(Outcome.RESET)
+        stream.end(Outcome.SUCCESS)
+
+    def start(self, endpoint: str = "a", timeout: int = 20 * SECOND) -> Attempt:
+        now = clock()
+        request = ActiveRequest(RequestReceived(1, 0, timeout), GET, now, lambda final: None)
+        attempt = Attempt(request, endpoint, now, request.deadline)
+        request.attempts.append(attempt)
+        self.runner.start(attempt)
+        return attempt
+
+    def outcomes(self, count: int = 1) -> list[Outcome]:
+        """Wait until so many attempts have ended; how all did."""
+        turns_until(lambda: len(self.finished) >= count)
+        gevent.sleep(0)
+        return [finished.outcome for finished in self.finished]
+
+    def bodies(self) -> list[bytes]:
+        return [finished.response.body for finished in self.finished if finished.response]
+
+    def used(self) -> int:
+        """Descriptors in use."""
+        return self.budget.used
+
+    def idle(self, endpoint: str = "a") -> int:
+        return len(self.pool.endpoints[endpoint].idle)
+
+
+def wait_until_reusable() -> None:
+    """Wait until a connection that became idle just now can be reused."""
+    gevent.sleep(2 * REUSE_DELAY_US / SECOND)
--- /dev/null
+++ b/tests/server/test_attempt_runner.py
@@ -0,0 +1,204 @@
+"""Attempts against a stand-in endpoint: their outcomes, and what is checked before the first byte."""
+
+import socket
+from collections.abc import Callable
+
+import gevent
+import pytest
+
+from linetrack.policy.events import EndpointStatus, Outcome
+from linetrack.server.budget import COPIES, RESERVE
+from linetrack.server.connection import Connection
+from linetrack.server.upstream_pool import PooledUpstream
+from tests.server.running_attempts import DIAL_TIMEOUT, RunningAttempts, endpoint_record
+from tests.stand_ins import MS, PATIENCE, SECOND, Message, Upstream, Wire, answer, silent, turns_until, until
+
+ENDLESS = (
+    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"ffff\r\n" + b"x" * 0xFFFF + b"\r\nffff\r\n"
+)
+OUTCOMES: list[tuple[str, bytes | None, Outcome]] = [
+    ("served", answer(b"ok"), Outcome.SUCCESS),
+    ("an error", answer(b"", 500), Outcome.ERROR),
+    ("overloaded", answer(b"", 503, "X-Never-Ran: 1"), Outcome.OVERLOADED),
+    ("expired and not executed", answer(b"", 504, "X-Never-Ran: 1"), Outcome.OVERLOADED),
+    ("a 503 that may have run", answer(b"", 503), Outcome.ERROR),
+    ("a 500 that says it never ran", answer(b"", 500, "X-Never-Ran: 1"), Outcome.ERROR),
+    ("another status", answer(b"", 404), Outcome.ERROR),
+    ("closed", None, Outcome.RESET),
+    ("no HTTP", b"SMTP\r\n\r\n", Outcome.ERROR),
+    ("large", answer(b"x" * 400_000), Outcome.SUCCESS),
+    (
+        "announced as too large",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 9000,
+        Outcome.ERROR,
+    ),
+    ("endless", ENDLESS + 520 * (b"x" * 0xFFFF + b"\r\nffff\r\n"), Outcome.RESET),
+    ("endless head", b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 50_000, Outcome.ERROR),
+    ("two lengths", answer(b"ok", 200, "Content-Length: 9"), Outcome.ERROR),
+    ("a nonsensical load report", answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=lots"), Outcome.SUCCESS),
+]
+
+
+@pytest.mark.parametrize(("reply", "outcome"), [case[1:] for case in OUTCOMES], ids=[case[0] for case in OUTCOMES])
+def test_each_response_becomes_its_outcome(server: Upstream, reply: bytes | None, outcome: Outcome) -> None:
+    server.script = lambda request, wire: reply
+    attempts = RunningAttempts(server)
+    attempts.start()
+    assert attempts.outcomes() == [outcome]
+    # a long one was streamed, and is not handed over a second time
+    is_whole = outcome is Outcome.SUCCESS and not attempts.others
+    assert (attempts.finished[0].response is not None) == is_whole
+    assert attempts.finished[0].load_report == ()
+    assert attempts.used() == attempts.idle()  # closed or idle, never lost
+
+
+def cut_off(data: bytes) -> Callable[[Message, Wire], bytes | None]:
+    def script(request: Message, wire: Wire) -> None:
+        wire.sock.sendall(data)
+
+    return script
+
+
+@pytest.mark.parametrize(
+    "data", [b"HTTP/1.1 200", answer(b"whole")[:-1], ENDLESS, b"HTTP/1.1 200 OK\r\n\r\n"]
+)
+def test_a_response_cut_off_may_have_run_and_goes_to_nobody(server: Upstream, data: bytes) -> None:
+    server.script = cut_off(data[:60_000])
+    attempts = RunningAttempts(server)
+    attempts.start()
+    assert attempts.outcomes() == [Outcome.RESET] and attempts.finished[0].response is None
+    assert attempts.used() == 0
+
+
+def test_a_load_report_comes_with_the_response(server: Upstream) -> None:
+    server.script = lambda request, wire: answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=4")
+    attempts = RunningAttempts(server)
+    attempts.start()
+    attempts.outcomes()
+    assert attempts.finished[0].load_report == (4.0,)
+
+
+def test_a_refused_connection_never_ran(server: Upstream) -> None:
+    server.close()
+    attempts = RunningAttempts(server)
+    attempts.start()
+    assert attempts.outcomes() == [Outcome.CONNECT_FAILED] and attempts.used() == 0
+
+
+def test_a_connection_that_is_never_accepted_ends_at_the_dial_timeout() -> None:
+    with socket.socket() as full:
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)
+        waiting = [socket.socket() for _ in range(4)]
+        for sock in waiting:
+            sock.setblocking(False)
+            sock.connect_ex(full.getsockname())
+        attempts = RunningAttempts()
+        address = f"127.0.0.1:{full.getsockname()[1]}"
+        attempts.pool.update_endpoints((endpoint_record("a", address),), True)
+        attempts.start()
+        assert attempts.outcomes() == [Outcome.CONNECT_FAILED] and attempts.used() == 0
+        assert attempts.finished[0].latency >= DIAL_TIMEOUT
+        for sock in waiting:
+            sock.close()
+
+
+def test_a_response_that_has_begun_must_go_on(server: Upstream) -> None:
+    """It would hold its request and a descriptor until the request's deadline."""
+
+    def stop(request: Message, wire: Wire) -> None:
+        wire.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nx")
+        wire.ended()
+
+    server.script = stop
+    attempts = RunningAttempts(server)
+    attempts.start()
+    assert attempts.outcomes() == [Outcome.ERROR] and attempts.used() == attempts.budget.held == 0
+    assert 250 * MS <= attempts.finished[0].latency < 10 * SECOND
+
+
+def test_large_responses_wait_for_memory(server: Upstream) -> None:
+    """Together they would need more memory than there is."""
+    server.script = lambda request, wire: answer(b"x" * 300_000)
+    attempts = RunningAttempts(server)
+    attempts.budget.most_held = 0
+    most = 0
+    for _ in range(5):
+        attempts.start()
+    with gevent.Timeout(PATIENCE):
+        while len(attempts.finished) < 5 or attempts.budget.held:
+            most = max(most, attempts.budget.held)
+            gevent.sleep(0)
+    assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5
+    assert most <= COPIES * 300_000
+
+
+def test_aborting_closes_the_connection_at_once(server: Upstream) -> None:
+    server.script = silent
+    attempts = RunningAttempts(server)
+    attempt = attempts.start()
+    turns_until(lambda: server.seen)
+    attempt.has_ended = True
+    attempts.runner.abort(attempt)
+    # no other greenlet has run yet: a retry must not overtake the end of this attempt
+    until(lambda: server.closed)
+    turns_until(lambda: not attempts.used())
+    assert not attempts.finished
+
+
+def test_a_silent_endpoint_holds_up_nothing_else(server: Upstream) -> None:
+    other = Upstream("b")
+    server.script = silent
+    attempts = RunningAttempts(server, other)
+    for _ in range(10):
+        attempts.start("a")
+    attempts.start("b")
+    assert attempts.outcomes() == [Outcome.SUCCESS]
+    other.close()
+
+
+@pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
+def test_nothing_is_written_to_what_began_to_drain(server: Upstream, status: EndpointStatus) -> None:
+    attempts = RunningAttempts(server)
+    attempts.start()
+    attempts.pool.update_endpoints((endpoint_record("a", server.address, status),), False)
+    assert attempts.outcomes() == [Outcome.NOT_SENT] and not server.seen
+
+
+def test_nothing_is_written_once_a_drain_is_announced_while_dialling(
+    server: Upstream, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    attempts = RunningAttempts(server)
+    attempts.start()
+    dial = attempts.pool.dial
+
+    def dial_slowly(upstream: PooledUpstream, on_socket: Callable[[gevent.socket.socket], None]) -> Connection:
+        connection = dial(upstream, on_socket)
+        draining = endpoint_record("a", server.address, EndpointStatus.DRAINING)
+        attempts.pool.update_endpoints((draining,), False)
+        return connection
+
+    monkeypatch.setattr(attempts.pool, "dial", dial_slowly)
+    assert attempts.outcomes() == [Outcome.NOT_SENT] and not server.seen and attempts.used() == 0
+
+
+def test_nothing_is_written_once_the_time_or_the_request_is_over(server: Upstream) -> None:
+    attempts = RunningAttempts(server)
+    attempts.start(timeout=0)
+    attempts.start().request.is_completed = True
+    assert attempts.outcomes(2) == [Outcome.NOT_SENT] * 2 and not server.seen
+
+
+def test_without_a_descriptor_an_attempt_never_ran(server: Upstream) -> None:
+    server.script = silent
+    attempts = RunningAttempts(server, sockets=RESERVE + 1)
+    attempts.start()
+    attempts.start()
+    assert attempts.outcomes() == [Outcome.CONNECT_FAILED]
+
+
+def test_nothing_is_sent_to_an_endpoint_removed_since_the_decision(server: Upstream) -> None:
+    attempts = RunningAttempts(server)
+    attempts.start()
+    attempts.pool.update_endpoints((), True)
+    assert attempts.outcomes() == [Outcome.NOT_SENT] and not server.connections
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings = ASKED) -> None:
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
         self.told: list[EndpointListUpdate] = []
-        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda done, seen: None)
+        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1)
         self.failed: list[PollFailure] = []
         self.discovery = DiscoveryClient(
             parse_address(self.server.address), self.upstreams, self.put, ("north",), ("plain",), settings, 1
@@ -207,10 +207,10 @@
     watched.start()
     watched.server.change(entry("a", addr="127.0.0.1:99"))
     watched.forms(2)
-    assert watched.upstreams.known["a"].address == ("127.0.0.1", 99)
+    assert watched.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
     watched.server.change({"id": "a", "state": "DELETED"})
     watched.forms(3)
-    assert "a" not in watched.upstreams.known
+    assert "a" not in watched.upstreams.endpoints
 
 
 def test_a_discovery_that_moved_is_asked_at_once_for_its_whole_list(watched: Watched) -> None:
@@ -220,7 +220,7 @@
     other = stand_ins.Discovery([entry("c")])
     watched.discovery.switch_server(parse_address(other.address))
     assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
-    assert [e.endpoint for e in watched.told[1].entries] == ["c"] and list(watched.upstreams.known) == ["c"]
+    assert [e.endpoint for e in watched.told[1].entries] == ["c"] and list(watched.upstreams.endpoints) == ["c"]
     assert "?" not in other.calls[0]
     other.version = 3
     other.change(entry("d"))
@@ -253,13 +253,13 @@
         turns_until(lambda: other.connections)
         watched.server.change(entry("b", state="DRAINING"))
         assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
-        assert watched.upstreams.known["b"].health is EndpointStatus.DRAINING
+        assert watched.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
     assert watched.forms(3)[2] is ListForm.SNAPSHOT
     # what the old one tells from here on is nobody's business
     watched.server.change(entry("c", state="DRAINING"))
     turns_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert watched.upstreams.known["c"].health is EndpointStatus.UP and len(watched.told) == 3
+    assert watched.upstreams.endpoints["c"].status is EndpointStatus.UP and len(watched.told) == 3
     other.close()
 
 
@@ -313,7 +313,7 @@
     turns_until(lambda: watched.server.calls)
     watched.discovery.switch_server(parse_address(stand_ins.free_address()))
     turns_until(lambda: watched.failed)
-    assert watched.failed == [PollFailure.UNREACHABLE] and sorted(watched.upstreams.known) == ["a", "b"]
+    assert watched.failed == [PollFailure.UNREACHABLE] and sorted(watched.upstreams.endpoints) == ["a", "b"]
 
 
 def test_where_changes_come_by_themselves_it_calls_unasked_and_first_for_what_is_known() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,9 +37,10 @@
 from linetrack.server.hot_restart_channel import Predecessor, Successor
 from linetrack.server.address import parse_address
 from linetrack.server.endpoint_list import EndpointRecord
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.lifecycle import Sidecar
-from linetrack.server.upstream_pool import REST, UpstreamPool
+from linetrack.server.upstream_pool import REUSE_DELAY_US, UpstreamPool
 from tests.stand_ins import (
     MS,
     PATIENCE,
@@ -79,11 +80,12 @@
         self.server = Upstream("a")
         self.policy = Script()
         self.budget = Budget(sockets, 192)
-        self.upstreams = UpstreamPool(
-            self.budget, 250 * MS, 30 * SECOND, (), lambda done, seen: self.owner.put(done, seen)
+        self.upstreams = UpstreamPool(self.budget, 250 * MS, 30 * SECOND)
+        self.attempts = AttemptRunner(
+            self.upstreams, self.budget, (), lambda notification, seen_at: self.owner.enqueue(notification, seen_at)
         )
-        self.upstreams.learn((self.member(),), True)
-        self.owner = Dispatcher(self.policy, self.upstreams.start, self.upstreams.give_up, lambda: None)
+        self.upstreams.update_endpoints((self.member(),), True)
+        self.owner = Dispatcher(self.policy, self.attempts.start, self.attempts.abort, lambda: None)
         self.clients = Listener(self.owner, self.budget, ("look",), (20 * SECOND,), lambda: True)
         self.clients.listen(("127.0.0.1", 0))
         self.accepting = gevent.spawn(self.clients.accept)
@@ -115,13 +117,13 @@
         wire.sendall(call(expires="20.0"))
         assert wire.recv(65536).startswith(b"HTTP/1.1 200")
         self.policy.wants = lambda event: []
-        gevent.sleep(2 * REST / SECOND)
-        turns_until(lambda: self.upstreams.known["a"].idle)
+        gevent.sleep(2 * REUSE_DELAY_US / SECOND)
+        turns_until(lambda: self.upstreams.endpoints["a"].idle)
         return wire
 
     def send(self, number: int) -> None:
         """The policy sends this request on, now, whatever stands in the owner's queue."""
-        self.owner._act(StartAttempt(number, "a"))
+        self.owner.perform(StartAttempt(number, "a"))
 
     def close(self) -> None:
         gevent.killall(self.running)
@@ -164,8 +166,8 @@
         node.server.script = lambda message, wire: answer(b"", 500)
         node.send(number)
         turns_until(lambda: Outcome.ERROR in node.policy.ends())
-        gevent.sleep(2 * REST / SECOND)
-        turns_until(lambda: node.upstreams.known["a"].idle)
+        gevent.sleep(2 * REUSE_DELAY_US / SECOND)
+        turns_until(lambda: node.upstreams.endpoints["a"].idle)
     if behind:
         wire.sendall(behind)
         turns_until(lambda: node.clients.unread)
@@ -176,7 +178,7 @@
     node.send(number)  # in this very moment: no greenlet has seen it
     turns_until(node.policy.left)
     turns_until(lambda: Outcome.NOT_SENT in node.policy.ends() or Outcome.CANCELLED in node.policy.ends())
-    assert len(node.server.seen) == seen and not node.owner.open
+    assert len(node.server.seen) == seen and not node.owner.active_requests
     turns_until(lambda: not node.clients.open)
 
 
@@ -245,7 +247,7 @@
     seen = len(node.server.seen)
     node.send(number)
     turns_until(lambda: node.policy.ends()[-1] is Outcome.NOT_SENT)
-    node.owner._act(RejectRequest(number, 0))
+    node.owner.perform(RejectRequest(number, 0))
     assert second.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(node.server.seen) == seen and not node.policy.left()
 
@@ -300,22 +302,22 @@
     """Guards against half a request that becomes whole so late after SIGTERM that its own time ends after the
     process has: nobody would answer it."""
     wire = node.connect()
-    node.owner.ends = clock() + SECOND
+    node.owner.shutdown_deadline = clock() + SECOND
     node.ask(wire)
     assert node.arrivals()[-1].timeout <= SECOND
-    node.owner.ends = clock()
+    node.owner.shutdown_deadline = clock()
     late = node.connect()
     late.sendall(call(expires="20.0"))
     assert late.recv(65536).startswith(b"HTTP/1.1 503") and len(node.arrivals()) == 1
     # a body that goes on as it comes has its time from its last byte on
     node.budget.most_held = 0
-    node.owner.ends = clock() + 2 * SECOND
+    node.owner.shutdown_deadline = clock() + 2 * SECOND
     node.server.script = silent
     slow = node.connect()
     number = node.ask(slow, call(expires="20.0", body=b"x" * 100_000))
     node.send(number)
     turns_until(lambda: node.server.seen)
-    turns_until(lambda: node.owner.open[number].until <= node.owner.ends)
+    turns_until(lambda: node.owner.active_requests[number].deadline <= node.owner.shutdown_deadline)
 
 
 @pytest.mark.parametrize("ends", ["its time is over", "it goes to another process"])
@@ -341,7 +343,7 @@
     later(now)
     gevent.sleep(0)
     node.clients.passes = None
-    node.owner._act(RejectRequest(number, 0))
+    node.owner.perform(RejectRequest(number, 0))
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
 
 
@@ -359,14 +361,14 @@
     number = node.ask(wire)
     node.send(number)
     turns_until(lambda: node.server.seen)
-    (attempt,) = node.owner.open[number].attempts
+    (attempt,) = node.owner.active_requests[number].attempts
     node.server.connections[0].sendall(reply)
     shows(attempt.sock, select.POLLIN)
-    node.owner._expire(attempt, attempt.until)
-    node.owner._act(RejectRequest(number, 0))
+    node.owner.time_out(attempt, attempt.deadline)
+    node.owner.perform(RejectRequest(number, 0))
     assert wire.recv(65536).startswith(b"HTTP/1.1 503")
     turns_until(lambda: node.budget.used == 1)
-    assert node.policy.ends() == [Outcome.TIMEOUT] and not node.upstreams.known["a"].idle
+    assert node.policy.ends() == [Outcome.TIMEOUT] and not node.upstreams.endpoints["a"].idle
     assert not readable(wire)
     node.server.script = lambda message, wire: answer(b"next")
     node.send(node.ask(wire))
@@ -385,12 +387,12 @@
 
     def crossing(self: Connection, within: float) -> None:
         dial(self, within)
-        (attempt,) = node.owner.open[number].attempts
+        (attempt,) = node.owner.active_requests[number].attempts
         if ends == "given up":
-            attempt.ended = True
-            node.upstreams.give_up(attempt)
+            attempt.has_ended = True
+            node.attempts.abort(attempt)
         elif ends == "drains":
-            node.upstreams.learn((node.member(EndpointStatus.DRAINING),), False)
+            node.upstreams.update_endpoints((node.member(EndpointStatus.DRAINING),), False)
         else:
             wire.close()
             shows(sock, select.POLLRDHUP)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -17,7 +17,7 @@
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.connection import readable
 from linetrack.server.http1.requests import ClientRequest
-from linetrack.server.dispatcher import FinalResponse
+from linetrack.server.active_request import FinalResponse
 from linetrack.server.request_validation import RejectedRequestError
 from linetrack.server.lifecycle import LINE_EVERY, LogRateLimiter, must_live
 from tests.stand_ins import MS, PATIENCE, SECOND, call, turns_until
@@ -90,12 +90,12 @@
 
     def __init__(self) -> None:
         self.told: list[Any] = []
-        self.ends = NEVER
+        self.shutdown_deadline = NEVER
 
-    def number(self) -> int:
+    def next_request_id(self) -> int:
         return 1
 
-    def put(self, item: Any, seen: int) -> None:
+    def enqueue(self, item: Any, seen: int) -> None:
         self.told.append(item)
 
 
