--- a/linetrack/control/idempotency_keys.py
+++ b/linetrack/control/idempotency_keys.py
@@ -22,7 +22,7 @@
 
 
 class IdempotencyKeyTable:
-    """Possible executions by key, the key whose first attempt is the oldest first.  Times are microseconds."""
+    """Possible executions by key, the oldest key first.  Times are microseconds."""
 
     def __init__(self) -> None:
         self.executions_by_key: OrderedDict[int, list[PossibleExecution]] = OrderedDict()
--- a/linetrack/control/metrics.py
+++ b/linetrack/control/metrics.py
@@ -84,8 +84,8 @@
     def prometheus_text(self, listed_endpoints: int, unavailable_endpoints: int) -> str:
         """Return all counters in Prometheus's text format, beside two gauges that the caller knows."""
         lines = [
-            f'{OPERATIONS_METRIC}{{priority="{_escape_label(class_name)}",status="{label}"}} {counts[outcome]}'
-            for class_name, counts in self._outcomes_by_class.items()
+            f'{OPERATIONS_METRIC}{{priority="{_escape_label(name)}",status="{label}"}} {counts[outcome]}'
+            for name, counts in self._outcomes_by_class.items()
             for outcome, label in STATUS_LABELS.items()
         ]
         values = {
--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -155,7 +155,7 @@
 
     # --- What the policy calls ---------------------------------------------------------------------
     def admit(self, now: int, arrival: RequestReceived, priority_weight: float) -> bool:
-        """Return whether a new request is to be served; `priority_weight` is for the work that it asks for."""
+        """Return whether to serve a new request, whose `priority_weight` is for the work that it asks for."""
         self._update(now)
         self._offered_rate.add(now)
         priority = self._classify(now, arrival)
--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -153,8 +153,11 @@
         self.attempt.sock = sock
 
     def _must_not_send(self, upstream: PooledUpstream) -> bool:
-        """Return whether, while this greenlet waited, the endpoint began to drain, the client disconnected, or
-        the request or its time ended."""
+        """Return whether the attempt has become pointless while this greenlet waited.
+
+        The endpoint may have begun to drain, the client may have disconnected, or the request or its time may
+        have ended.
+        """
         attempt = self.attempt
         request = attempt.request
         if attempt.has_ended or request.is_completed or upstream.status is not EndpointStatus.UP:
@@ -244,8 +247,10 @@
         self._finish(Outcome.RESET if self.is_written else Outcome.CONNECT_FAILED)
 
     def _finish_malformed(self, error: MalformedMessageError) -> None:
-        """End the attempt after bytes that are no message: the client's body before all is written, or the
-        response."""
+        """End the attempt after bytes that are no message.
+
+        They are the client's, of a streamed body, until the request is written, and then the endpoint's.
+        """
         if not self.is_written:
             self._finish(Outcome.CONNECT_FAILED)
             return
@@ -265,16 +270,16 @@
         load_report: tuple[float, ...] = ()
         if response is not None and response.load_report:
             load_report = parse_load_report(response.load_report, self.runner.report_fields)
-        is_whole = outcome is Outcome.SUCCESS and not attempt.has_response_started
-        finished = FinishedAttempt(
-            attempt, outcome, seen_at - attempt.sent_at, response if is_whole else None, load_report
-        )
+        has_complete_response = outcome is Outcome.SUCCESS and not attempt.has_response_started
+        latency = seen_at - attempt.sent_at
+        client_response = response if has_complete_response else None
+        finished = FinishedAttempt(attempt, outcome, latency, client_response, load_report)
         self.runner.notify(finished, seen_at)
 
 
 @contextlib.contextmanager
 def _counted_stream(budget: Budget) -> Iterator[None]:
-    """Count one more streamed message while the block runs: they share the memory for what is read at once."""
+    """Count one more streamed message while the block runs, as all share the memory for their reads."""
     budget.streams += 1
     try:
         yield
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -192,7 +192,10 @@
         self._forget_if_finished(request)
 
     def _on_body_sent(self, seen_at: int, attempt: Attempt) -> None:
-        """Start an attempt's time with the last byte of its long body, and the request's if it is streamed."""
+        """Begin an attempt's time with the last byte of its long body.
+
+        Where the body was streamed, the request's time begins with it too.
+        """
         request = attempt.request
         if attempt.has_ended or request.is_completed:
             return
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -372,7 +372,7 @@
 
 
 def _damping(policy: MakePolicy) -> MakePolicy:
-    """The same policy with an overload controller and idempotency keys; one that is not ours stays as it is."""
+    """The same policy with overload control and idempotency keys; one that is not ours stays as it is."""
     if policy is not Balancer:
         return policy
     from linetrack.control.idempotency_keys import IdempotencyKeyTable
--- a/linetrack/server/timer_queue.py
+++ b/linetrack/server/timer_queue.py
@@ -10,7 +10,7 @@
 
 
 class TimerQueue(Generic[Item]):
-    """Items that become due; those that are due at one moment come in the order in which they were scheduled."""
+    """Items that become due; those due at the same moment come in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Item]] = []
@@ -28,7 +28,7 @@
         return self._heap[0][0] if self._heap else None
 
     def pop_due(self, now: int) -> tuple[int, Item] | None:
-        """Remove the first item that is due by now, and return when it was due and the item; None if none is."""
+        """Remove and return the first item due by now, with the moment it was due; None if none is."""
         if not self._heap or self._heap[0][0] > now:
             return None
         due_at, _, item = heapq.heappop(self._heap)
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -22,10 +22,10 @@
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 
-MAX_IDLE_SHARE = 0.8  # of the endpoint's keep-alive: past it a connection may be closed under the next request
+MAX_IDLE_SHARE = 0.8  # of the endpoint's keep-alive, past which it may close under the next request
 REUSE_DELAY_US = 5_000  # after a response in which a connection is not reused: stray bytes may follow it
 EXPIRY_INTERVAL_SECONDS = 1.0  # between two looks for connections that were idle for too long
-IDLE_DEPTH_GROUPS = 4  # idle times are modelled by how many connections were idle before, up to this many groups
+IDLE_DEPTH_GROUPS = 4  # of idle times, by how many connections were idle before (0, 1, 2, 3 or more)
 
 
 @dataclass(slots=True)
--- a/tests/control/simulated_fleet.py
+++ b/tests/control/simulated_service.py
@@ -1,4 +1,4 @@
-"""A fleet and its clients in simulated time, with an overload controller between them or without one."""
+"""A service and its clients in simulated time, with an overload controller between them or without one."""
 
 import heapq
 import itertools
@@ -21,8 +21,8 @@
     return controller.admit(now, RequestReceived(1, 0, SECOND, is_retry=is_retry), 1.0)
 
 
-class SimulatedFleet:
-    """A fleet that serves `capacity` requests a second, first come first served, from a queue of one second.
+class SimulatedService:
+    """A service that serves `capacity` requests a second, first come first served, from a queue of one second.
 
     Clients retry after a rejection or failure; a share of them, `obedient`, when they were asked to.
     """
@@ -50,7 +50,7 @@
         heapq.heappush(self.events, (at, next(self.sequence), action))
 
     def play(self, seconds: int, outages: tuple[tuple[float, float], ...] = ()) -> None:
-        """Simulate so many seconds; the fleet is down from the first to the second time of each outage."""
+        """Simulate so many seconds; the service is down from the first to the second time of each outage."""
         self.outages = outages
         end = START + seconds * SECOND
         at = float(START)
@@ -118,7 +118,7 @@
         return next(recovered, second + 99) - second
 
 
-class ColdFleet(SimulatedFleet):
+class ColdService(SimulatedService):
     """Eight cores with work of exponential size, slow when they come back from an outage.
 
     They have 0.4 of their speed at second 30 and all of it at second 38.  Clients retry half a second after
--- a/tests/control/test_metrics.py
+++ b/tests/control/test_metrics.py
@@ -12,7 +12,10 @@
 LINE = re.compile(r'app_[a-z_]+(\{priority="(\\.|[^"\\\n])*",status="[a-z]+"\})? \d+')
 
 
-@given(st.lists(st.tuples(st.text(max_size=5), st.sampled_from(RequestOutcome)), max_size=30), st.integers(0, 9))
+ended_requests = st.lists(st.tuples(st.text(max_size=5), st.sampled_from(RequestOutcome)), max_size=30)
+
+
+@given(ended_requests, st.integers(0, 9))
 def test_totals_agree_and_whatever_a_class_is_called_the_text_can_be_read(
     ended: list[tuple[str, RequestOutcome]], disconnected: int
 ) -> None:
--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -1,4 +1,4 @@
-"""Overload control in simulated time: a fleet that goes down and comes back, and clients that retry."""
+"""Overload control in simulated time: a service that goes down and comes back, and clients that retry."""
 
 import heapq
 from collections import Counter
@@ -14,43 +14,43 @@
 from linetrack.policy.balancer import Balancer
 from linetrack.policy.events import EndpointListUpdate, ListForm, RequestReceived
 from tests import helpers
-from tests.control.simulated_fleet import START, ColdFleet, SimulatedFleet, is_admitted
+from tests.control.simulated_service import START, ColdService, SimulatedService, is_admitted
 from tests.helpers import MS, SAFE, SECOND
 
 
 @pytest.mark.parametrize("obedient", [1.0, 0.5, 0.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_fleet_that_was_down_serves_again_within_seconds_and_stays_so(seed: int, obedient: float) -> None:
-    fleet = SimulatedFleet(AdaptiveOverloadController(seed), seed, obedient)
-    fleet.play(60, ((10, 30),))
-    assert fleet.seconds_to_recover(30, 0.8) <= 4 and fleet.seconds_to_recover(30) <= 6
-    # no second collapse: a second may be poor at four fifths of what the fleet can do, three in a row may not
-    served = fleet.served_in_time
-    goal = 0.6 * 3 * fleet.rate_before()
+def test_a_service_that_was_down_serves_again_within_seconds_and_stays_so(seed: int, obedient: float) -> None:
+    service = SimulatedService(AdaptiveOverloadController(seed), seed, obedient)
+    service.play(60, ((10, 30),))
+    assert service.seconds_to_recover(30, 0.8) <= 4 and service.seconds_to_recover(30) <= 6
+    # no second collapse: a second may be poor at four fifths of what the service can do, three in a row may not
+    served = service.served_in_time
+    goal = 0.6 * 3 * service.rate_before()
     assert all(sum(served[second + k] for k in range(3)) >= goal for second in range(40, 56))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_cold_fleet_serves_first_attempts_as_before_within_seconds(seed: int) -> None:
-    """Retries, forty times as many, would find each token first, and slow responses would look like a queue."""
-    fleet = ColdFleet(seed)
-    fleet.play(50, ((10, 30),))
-    share = [fleet.first_in_time[n] / fleet.first_offered[n] for n in range(50)]
+def test_a_cold_service_serves_first_attempts_as_before_within_seconds(seed: int) -> None:
+    """Retries, forty times as many, would find each token first, and slow responses look like a queue."""
+    service = ColdService(seed)
+    service.play(50, ((10, 30),))
+    share = [service.first_in_time[n] / service.first_offered[n] for n in range(50)]
     goal = 0.9 * sum(share[2:9]) / 7
     assert next((n for n in range(30, 49) if min(share[n], share[n + 1]) >= goal), 99) <= 37
     assert sum(share[38:50]) / 12 >= 0.85
 
 
-def test_without_the_controller_the_same_clients_keep_the_fleet_down() -> None:
-    fleet = SimulatedFleet(None, 1, 0.0)
-    fleet.play(60, ((10, 30),))
-    assert fleet.seconds_to_recover(30) == 99
+def test_without_the_controller_the_same_clients_keep_the_service_down() -> None:
+    service = SimulatedService(None, 1, 0.0)
+    service.play(60, ((10, 30),))
+    assert service.seconds_to_recover(30) == 99
 
 
 def test_a_second_outage_during_recovery_is_recovered_from_too() -> None:
-    fleet = SimulatedFleet(AdaptiveOverloadController(3), 3, 0.5)
-    fleet.play(70, ((10, 25), (27, 35)))
-    assert fleet.seconds_to_recover(35, 0.8) <= 8
+    service = SimulatedService(AdaptiveOverloadController(3), 3, 0.5)
+    service.play(70, ((10, 25), (27, 35)))
+    assert service.seconds_to_recover(35, 0.8) <= 8
 
 
 @given(st.integers(0, 50), st.floats(0.3, 1.2))
@@ -105,7 +105,7 @@
 
 @given(call_lists, st.integers(0, 9))
 @settings(deadline=None, max_examples=40)
-def test_after_any_disturbance_a_fleet_that_serves_well_is_given_all_within_a_minute(
+def test_after_any_disturbance_a_service_that_serves_well_is_given_all_within_a_minute(
     calls: list[tuple[str, int, int]], seed: int
 ) -> None:
     controller = AdaptiveOverloadController(seed)
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -35,19 +35,25 @@
     ("endless", ENDLESS + 520 * (b"x" * 0xFFFF + b"\r\nffff\r\n"), Outcome.RESET),
     ("endless head", b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 50_000, Outcome.ERROR),
     ("two lengths", answer(b"ok", 200, "Content-Length: 9"), Outcome.ERROR),
-    ("a nonsensical load report", answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=lots"), Outcome.SUCCESS),
+    (
+        "a nonsensical load report",
+        answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=lots"),
+        Outcome.SUCCESS,
+    ),
 ]
 
 
-@pytest.mark.parametrize(("reply", "outcome"), [case[1:] for case in OUTCOMES], ids=[case[0] for case in OUTCOMES])
+@pytest.mark.parametrize(
+    ("reply", "outcome"), [case[1:] for case in OUTCOMES], ids=[case[0] for case in OUTCOMES]
+)
 def test_each_response_becomes_its_outcome(server: Upstream, reply: bytes | None, outcome: Outcome) -> None:
     server.script = lambda request, wire: reply
     attempts = RunningAttempts(server)
     attempts.start()
     assert attempts.outcomes() == [outcome]
     # a long one was streamed, and is not handed over a second time
-    is_whole = outcome is Outcome.SUCCESS and not attempts.others
-    assert (attempts.finished[0].response is not None) == is_whole
+    has_complete_response = outcome is Outcome.SUCCESS and not attempts.others
+    assert (attempts.finished[0].response is not None) == has_complete_response
     assert attempts.finished[0].load_report == ()
     assert attempts.used() == attempts.idle()  # closed or idle, never lost
 
@@ -122,15 +128,15 @@
     server.script = lambda request, wire: answer(b"x" * 300_000)
     attempts = RunningAttempts(server)
     attempts.budget.most_held = 0
-    most = 0
+    peak_held = 0
     for _ in range(5):
         attempts.start()
     with gevent.Timeout(PATIENCE):
         while len(attempts.finished) < 5 or attempts.budget.held:
-            most = max(most, attempts.budget.held)
+            peak_held = max(peak_held, attempts.budget.held)
             gevent.sleep(0)
     assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5
-    assert most <= COPIES * 300_000
+    assert peak_held <= COPIES * 300_000
 
 
 def test_aborting_closes_the_connection_at_once(server: Upstream) -> None:
@@ -172,7 +178,9 @@
     attempts.start()
     dial = attempts.pool.dial
 
-    def dial_slowly(upstream: PooledUpstream, on_socket: Callable[[gevent.socket.socket], None]) -> Connection:
+    def dial_slowly(
+        upstream: PooledUpstream, on_socket: Callable[[gevent.socket.socket], None]
+    ) -> Connection:
         connection = dial(upstream, on_socket)
         draining = endpoint_record("a", server.address, EndpointStatus.DRAINING)
         attempts.pool.update_endpoints((draining,), False)
--- a/tests/server/test_dispatcher.py
+++ b/tests/server/test_dispatcher.py
@@ -168,7 +168,9 @@
     assert not driver.dispatcher.active_requests
 
 
-def test_an_attempt_times_out_with_the_client_and_the_response_is_still_owed(driver: DispatcherDriver) -> None:
+def test_an_attempt_times_out_with_the_client_and_the_response_is_still_owed(
+    driver: DispatcherDriver,
+) -> None:
     def decide(event: Event) -> list[Action]:
         return [FailRequest(1)] if isinstance(event, AttemptEnded) else send(event)
 
@@ -242,7 +244,7 @@
 
 
 def test_the_dispatchers_own_lag_does_not_count_as_latency(driver: DispatcherDriver) -> None:
-    """A busy moment would look like slow endpoints: an event carries the time at which the socket showed it."""
+    """A busy moment would look like slow endpoints: an event has the time at which the socket showed it."""
     driver.policy.decide = send
     driver.receive()
     seen_at = driver.now + 5 * MS
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -118,8 +118,7 @@
 
 
 def test_a_removed_endpoint_is_forgotten_and_its_connection_never_used_for_another(server: Upstream) -> None:
-    """Records would grow with every endpoint that ever was, and a new endpoint of the same name or at the same
-    address would get the old one's connections."""
+    """A new endpoint of the same name or at the same address would get the old one's connections."""
     server.script = silent
     attempts = RunningAttempts(server)
     pool = attempts.pool
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.known_red import read
+from tests.known_red import parse
 from tests.stand_ins import ROOT
 
 TESTS = """
@@ -59,8 +59,8 @@
     assert (found, said in out) == (status, True), out
 
 
-def test_there_are_three_at_most() -> None:
+def test_the_list_is_limited_to_three() -> None:
     lines = [f"test_some.py::test_{n} | cause | issue" for n in range(4)]
-    assert len(read("\n".join(lines[:3]))) == 3
+    assert len(parse("\n".join(lines[:3]))) == 3
     with pytest.raises(ValueError, match="3 at most"):
-        read("\n".join(lines))
+        parse("\n".join(lines))
