--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -254,7 +254,7 @@
         if not self.is_written:
             self._finish(Outcome.CONNECT_FAILED)
             return
-        log.warning("response_malformed", endpoint=self.attempt.endpoint, error=str(error))
+        log.warning("response_malformed", endpoint=self.attempt.endpoint, fault=str(error))
         self._finish(Outcome.ERROR)
 
     def _finish(
