--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -21,7 +21,7 @@
 from random import Random
 from typing import NamedTuple
 
-from linetrack.control.connection_slots import DecayingRate
+from linetrack.control.decaying_rate import DecayingRate
 from linetrack.control.retry_schedule import SECOND_US, RetrySchedule
 from linetrack.policy.events import RequestReceived
 
@@ -254,7 +254,7 @@
         ranked = sorted(groups, key=lambda k: (k.priority, -groups[k].priority_weight, k.class_index))
         remaining = self.rate_limit
         for candidate in ranked:
-            rate = groups[candidate].offered_rate.of(now)
+            rate = groups[candidate].offered_rate.per_second(now)
             granted = GROUP_SHARE_SLACK * max(remaining, MIN_GROUP_SHARE * self.rate_limit)
             share = min(1.0, granted / max(rate, 1e-9))
             if candidate == key:
@@ -269,9 +269,9 @@
         if elapsed < UPDATE_INTERVAL_US:
             return
         self._last_update_at = now
-        good_rate = self._good_rate.of(now)
-        bad_rate = self._bad_rate.of(now)
-        offered_rate = self._offered_rate.of(now)
+        good_rate = self._good_rate.per_second(now)
+        bad_rate = self._bad_rate.per_second(now)
+        offered_rate = self._offered_rate.per_second(now)
         response_rate = good_rate + bad_rate
         good_ratio = good_rate / response_rate if response_rate > 0 else 1.0
         if self.phase is OverloadPhase.NORMAL:
@@ -296,7 +296,7 @@
 
     def _adjust_limit(self, now: int, response_rate: float, good_ratio: float) -> None:
         """Increase or decrease the limit by the latest responses."""
-        fast_ratio = self._fast_rate.of(now) / response_rate if response_rate > 0 else 1.0
+        fast_ratio = self._fast_rate.per_second(now) / response_rate if response_rate > 0 else 1.0
         may_decrease = now - self._last_decrease_at >= DECREASE_INTERVAL_US
         if response_rate < 1:
             return  # too few responses to tell
@@ -378,8 +378,8 @@
 
     def _enter_phase(self, phase: OverloadPhase, now: int) -> None:
         self.phase = phase
-        offered_rate = self._offered_rate.of(now)
-        retry_ratio = self._retry_rate.of(now) / max(offered_rate, 1e-9)
+        offered_rate = self._offered_rate.per_second(now)
+        retry_ratio = self._retry_rate.per_second(now) / max(offered_rate, 1e-9)
         status = OverloadStatus(
             engaged_seconds=round((now - self._engaged_at) / SECOND_US, 1),
             rate_limit=round(self.rate_limit, 1),
--- a/linetrack/server/active_request.py
+++ b/linetrack/server/active_request.py
@@ -11,8 +11,8 @@
 
 from linetrack.policy.events import RequestReceived
 from linetrack.server.clock import NEVER
-from linetrack.server.connection import ResponseStream
 from linetrack.server.http1.requests import ClientRequest
+from linetrack.server.response_stream import ResponseStream
 
 
 @dataclass(slots=True)
--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import contextlib
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 
 import gevent
 import structlog
@@ -19,13 +19,15 @@
 from linetrack.server.active_request import Attempt
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import Connection, ResponseStream, readable
+from linetrack.server.connection import Connection
 from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import parse_load_report
 from linetrack.server.http1.requests import BodyStream, ClientRequest, encode_request
 from linetrack.server.http1.responses import Response
 from linetrack.server.notifications import FinishedAttempt, SentBody, StartedResponse
+from linetrack.server.response_stream import ResponseStream
+from linetrack.server.sockets import is_readable
 from linetrack.server.upstream_pool import PooledUpstream, UpstreamPool
 
 log = structlog.get_logger()
@@ -106,7 +108,7 @@
             log.exception("attempt_failed", endpoint=self.attempt.endpoint)
             self._finish_broken()
         finally:
-            self.budget.held -= self.reserved_bytes
+            self.budget.memory.release(self.reserved_bytes)
             if self.connection is not None:
                 self.pool.discard(self.connection)
 
@@ -129,7 +131,7 @@
             return
         self.is_written = True
         self.runner.metrics.attempts_sent += 1
-        response = connection.read(self.pool.dial_timeout / 1_000_000, self._reserve_memory)
+        response = connection.read_response(self.pool.dial_timeout / 1_000_000, self._reserve_memory)
         seen_at = clock()
         if response is None:
             self._finish(Outcome.RESET, seen_at=seen_at)
@@ -143,7 +145,7 @@
         if self._must_not_send(upstream):
             self._finish(Outcome.NOT_SENT)
             return None
-        if not self.budget.take():
+        if not self.budget.descriptors.try_acquire():
             log.warning("no_descriptor_available", endpoint=self.attempt.endpoint)
             self._finish(Outcome.CONNECT_FAILED)
             return None
@@ -186,7 +188,7 @@
     def _write_long_body(self, connection: Connection, request: ClientRequest) -> bool:
         """Write a body in its chunks; return False where the attempt has ended instead."""
         if request.body_stream is not None:
-            with _counted_stream(self.budget):
+            with self.budget.memory.streaming():
                 return self._forward_body(connection, request.body_stream)
         for body_chunk in request.body_chunks:
             connection.write(body_chunk)
@@ -196,7 +198,7 @@
         """Forward a body as it comes; return False where the attempt has ended instead."""
         is_chunked = body.content_length is None
         while body_chunks := body.read_chunks():
-            if readable(connection.sock):
+            if is_readable(connection.sock):
                 # a response before the end of the request, or a close: it was not executed
                 self._finish(Outcome.CONNECT_FAILED)
                 return False
@@ -209,7 +211,7 @@
     # --- Reading -------------------------------------------------------------------------------------
     def _reserve_memory(self, size: int) -> None:
         """Wait for memory for a response of so many bytes."""
-        self.reserved_bytes = self.budget.hold(size)
+        self.reserved_bytes = self.budget.memory.wait_and_reserve(size)
 
     def _take_response(self, connection: Connection, response: Response, seen_at: int) -> None:
         """End the attempt by its response, or stream the response."""
@@ -222,11 +224,13 @@
 
     def _stream_response(self, connection: Connection, response: Response, seen_at: int) -> None:
         """Hand a long response over; the greenlet that writes it to the client also reads it."""
-        stream = ResponseStream(connection, response, STREAM_STALL_TIMEOUT_SECONDS, self.budget.piece)
+        stream = ResponseStream(
+            connection, response, STREAM_STALL_TIMEOUT_SECONDS, self.budget.memory.chunk_size
+        )
         latency = seen_at - self.attempt.sent_at
-        with _counted_stream(self.budget):
+        with self.budget.memory.streaming():
             self.runner.notify(StartedResponse(self.attempt, latency, stream), seen_at)
-            outcome = stream.over.get()
+            outcome = stream.outcome.get()
         connection.sock.settimeout(None)
         self._finish(outcome, response, self.attempt.sent_at + latency)
 
@@ -277,16 +281,6 @@
         self.runner.notify(finished, seen_at)
 
 
-@contextlib.contextmanager
-def _counted_stream(budget: Budget) -> Iterator[None]:
-    """Count one more streamed message while the block runs, as all share the memory for their reads."""
-    budget.streams += 1
-    try:
-        yield
-    finally:
-        budget.streams -= 1
-
-
 def _outcome(response: Response) -> Outcome:
     if response.status == 200:
         return Outcome.SUCCESS
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -188,7 +188,7 @@
         self.metrics.clients_disconnected += 1
         self._notify_policy(seen_at, ClientDisconnected(request_id))
         if request.stream is not None:
-            request.stream.end(Outcome.CANCELLED)
+            request.stream.finish(Outcome.CANCELLED)
         self._forget_if_finished(request)
 
     def _on_body_sent(self, seen_at: int, attempt: Attempt) -> None:
@@ -212,7 +212,7 @@
         request = attempt.request
         stream = started.stream
         if request.is_completed or attempt.has_ended or request.stream is not None:
-            stream.end(Outcome.CANCELLED)
+            stream.finish(Outcome.CANCELLED)
             return
         attempt.has_response_started = True
         request.stream = stream
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -73,7 +73,7 @@
         self.metrics = Metrics()
         self.metrics.declare_classes(config.class_names)
         self.budget = Budget(config.sockets, config.memory_mb)
-        self.upstreams = UpstreamPool(self.budget, config.dial_timeout, config.keep_alive)
+        self.upstreams = UpstreamPool(self.budget.descriptors, config.dial_timeout, config.keep_alive)
         self.attempt_runner = self._make_attempt_runner(config)
         self.discovery = self._make_discovery_client(config)
         if config.storms:
@@ -227,7 +227,7 @@
             self.listener.stop_accepting()
         self.listener.close_between_requests()
         self._enter(Phase.SHUTTING_DOWN)
-        while self.listener.open and clock() < deadline:
+        while self.listener.connections and clock() < deadline:
             gevent.sleep(DRAIN_POLL_SECONDS)
 
     def _enter(self, phase: Phase) -> None:
--- a/linetrack/server/notifications.py
+++ b/linetrack/server/notifications.py
@@ -11,9 +11,9 @@
 
 from linetrack.policy.events import EndpointListUpdate, Outcome, RequestReceived
 from linetrack.server.active_request import Attempt, FinalResponse, never_disconnected
-from linetrack.server.connection import ResponseStream
 from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.http1.responses import Response
+from linetrack.server.response_stream import ResponseStream
 
 
 @dataclass(slots=True)
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -97,7 +97,7 @@
         self._attempt_runner.configure(new.report_fields)
         self._discovery.configure(new.zone_names, new.kind_names, new.settings)
         self._metrics.declare_classes(new.class_names)
-        self._listener.intake.set(new.class_names, new.deadlines)
+        self._listener.validator.configure(new.class_names, new.deadlines)
         self._dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
         self.config = new
         self.max_timeout = max(self.max_timeout, new.longest)
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -14,13 +14,16 @@
 import gevent
 from gevent import socket
 
-from linetrack.control.connection_slots import DecayingRate, IdleTimeModel, slot_price
+from linetrack.control.connection_demand import slot_price
+from linetrack.control.decaying_rate import DecayingRate
+from linetrack.control.idle_time_model import IdleTimeModel
 from linetrack.policy.events import EndpointStatus
-from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import Connection, readable
+from linetrack.server.connection import Connection
+from linetrack.server.descriptor_budget import DescriptorBudget
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
+from linetrack.server.sockets import is_readable
 
 MAX_IDLE_SHARE = 0.8  # of the endpoint's keep-alive, past which it may close under the next request
 REUSE_DELAY_US = 5_000  # after a response in which a connection is not reused: stray bytes may follow it
@@ -45,18 +48,18 @@
 class UpstreamPool:
     """The endpoints by name, and their idle connections.  Times are microseconds."""
 
-    def __init__(self, budget: Budget, dial_timeout: int, keep_alive: int) -> None:
-        """Start without endpoints; the budget closes idle connections here when it has no descriptor left."""
+    def __init__(self, descriptors: DescriptorBudget, dial_timeout: int, keep_alive: int) -> None:
+        """Start without endpoints; `descriptors` closes idle connections here when none is left."""
         self.endpoints: dict[str, PooledUpstream] = {}
         self.dial_timeout = 0
         self._max_idle = 0
         self.configure(dial_timeout, keep_alive)
-        self._budget = budget
+        self._descriptors = descriptors
         # all idle connections, the one that has been idle longest first
         self._idle_connections: OrderedDict[Connection, PooledUpstream] = OrderedDict()
         self._idle_times = IdleTimeModel((None,) * IDLE_DEPTH_GROUPS)
         self._dial_rate = DecayingRate()
-        budget.shrink = self.close_oldest
+        descriptors.close_idle_upstream = self.close_oldest
 
     def configure(self, dial_timeout: int, keep_alive: int) -> None:
         """Use these times from here on.
@@ -113,7 +116,7 @@
             index -= 1
             # readable while idle means closed, or bytes that belong to no request
             is_fresh = connection.idle_since >= now - self._max_idle
-            can_reuse = is_fresh and not readable(connection.sock)
+            can_reuse = is_fresh and not is_readable(connection.sock)
             self._end_idle(connection, upstream, can_reuse)
             if can_reuse:
                 return connection
@@ -121,9 +124,9 @@
         return None
 
     def dial(self, upstream: PooledUpstream, on_socket: Callable[[socket.socket], None]) -> Connection:
-        """Return a new connection, for which the caller has taken a descriptor from the budget.
+        """Return a new connection, for which the caller has acquired a descriptor.
 
-        The descriptor is given back where connecting fails.
+        The descriptor is released where connecting fails.
 
         Args:
             upstream: The endpoint to connect to.
@@ -136,28 +139,29 @@
             connection = Connection(upstream.address, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
             on_socket(connection.sock)
             self._dial_rate.add(clock())
-            connection.dial(self.dial_timeout / 1_000_000)
+            connection.connect(self.dial_timeout / 1_000_000)
             return connection
         except BaseException:
-            self._budget.give_back()
+            self._descriptors.release()
             raise
 
     def discard(self, connection: Connection) -> None:
-        """Close a connection that is not idle, and give its descriptor back."""
+        """Close a connection that is not idle, and release its descriptor."""
         connection.close()
-        self._budget.give_back()
+        self._descriptors.release()
 
     def keep_idle(self, connection: Connection, upstream: PooledUpstream, now: int) -> None:
         """Keep a connection whose response is complete, for as long as its next use is likely enough."""
         connection.idle_since = now
         connection.idle_depth = min(len(upstream.idle), IDLE_DEPTH_GROUPS - 1)
-        connection.idle_deadline = now + self._max_idle
-        budget = self._budget
-        if budget.short:
+        connection.idle_until = now + self._max_idle
+        descriptors = self._descriptors
+        if descriptors.is_contended:
             # otherwise idle connections would hold the descriptors that clients need for a whole keep-alive
-            price = slot_price(budget.used, budget.most, self._dial_rate.of(now))
-            kept, _ = self._idle_times.kept(connection.idle_depth, price, 0, self._max_idle)
-            connection.idle_deadline = now + kept
+            dials_per_second = self._dial_rate.per_second(now)
+            price = slot_price(descriptors.in_use, descriptors.limit, dials_per_second)
+            keep_time = self._idle_times.best_keep_time(connection.idle_depth, price, 0, self._max_idle)
+            connection.idle_until = now + keep_time.duration
         upstream.idle.append(connection)
         self._idle_connections[connection] = upstream
 
@@ -166,7 +170,7 @@
         upstream.idle.remove(connection)
         del self._idle_connections[connection]
         idle_time = clock() - connection.idle_since
-        self._idle_times.ended(connection.idle_depth, idle_time, was_reused)
+        self._idle_times.record(connection.idle_depth, idle_time, was_reused)
 
     def _close_one_idle(self, connection: Connection, upstream: PooledUpstream) -> None:
         self._end_idle(connection, upstream, False)
@@ -199,6 +203,6 @@
         while True:
             gevent.sleep(EXPIRY_INTERVAL_SECONDS)
             now = clock()
-            expired = [item for item in self._idle_connections.items() if item[0].idle_deadline < now]
+            expired = [item for item in self._idle_connections.items() if item[0].idle_until < now]
             for connection, upstream in expired:
                 self._close_one_idle(connection, upstream)
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, until
-from tests.test_admin import admin, ask
+from tests.server.admin_client import enable_admin, send_admin_request
 
 
 class RestartableWorld:
@@ -19,7 +19,7 @@
         self.world = World(folder, *upstreams)
         self.old = self.world.sidecar
         self.old.environ["TMPDIR"] = str(folder / "t")
-        admin(self.old)
+        enable_admin(self.old)
         self.successors: list[Sidecar] = []
 
     def __enter__(self) -> RestartableWorld:
@@ -54,7 +54,7 @@
 def is_ready(sidecar: Sidecar) -> bool:
     """Whether its admin address reports that it is ready."""
     try:
-        return ask(sidecar.config["admin_addr"], "/admin/health").status == 200
+        return send_admin_request(sidecar.config["admin_addr"], "/admin/health").status == 200
     except (OSError, AssertionError):
         return False
 
--- a/tests/server/running_attempts.py
+++ b/tests/server/running_attempts.py
@@ -8,11 +8,11 @@
 from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
-from linetrack.server.connection import ResponseStream
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.notifications import FinishedAttempt, SentBody, StartedResponse
+from linetrack.server.response_stream import ResponseStream
 from linetrack.server.upstream_pool import REUSE_DELAY_US, UpstreamPool
 from tests.stand_ins import MS, SECOND, Upstream, turns_until
 
@@ -33,7 +33,7 @@
         self.finished: list[FinishedAttempt] = []
         self.others: list[SentBody | StartedResponse] = []
         self.budget = Budget(sockets, 192)
-        self.pool = UpstreamPool(self.budget, DIAL_TIMEOUT, keep_alive)
+        self.pool = UpstreamPool(self.budget.descriptors, DIAL_TIMEOUT, keep_alive)
         self.runner = AttemptRunner(self.pool, self.budget, ("depth",), self.notify)
         self.pool.update_endpoints(tuple(endpoint_record(s.name, s.address) for s in servers), True)
 
@@ -49,11 +49,11 @@
     def read_to_end(self, stream: ResponseStream) -> None:
         """Read a streamed response as the client's connection would."""
         try:
-            while stream.next():
+            while stream.read_chunks():
                 pass
         except (OSError, MalformedMessageError):
-            stream.end(Outcome.RESET)
-        stream.end(Outcome.SUCCESS)
+            stream.finish(Outcome.RESET)
+        stream.finish(Outcome.SUCCESS)
 
     def start(self, endpoint: str = "a", timeout: int = 20 * SECOND) -> Attempt:
         now = clock()
@@ -74,7 +74,7 @@
 
     def used(self) -> int:
         """Descriptors in use."""
-        return self.budget.used
+        return self.budget.descriptors.in_use
 
     def idle(self, endpoint: str = "a") -> int:
         return len(self.pool.endpoints[endpoint].idle)
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -7,8 +7,9 @@
 import pytest
 
 from linetrack.policy.events import EndpointStatus, Outcome
-from linetrack.server.budget import COPIES, RESERVE
 from linetrack.server.connection import Connection
+from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
+from linetrack.server.memory_budget import COPIES_PER_LARGE_BODY
 from linetrack.server.upstream_pool import PooledUpstream
 from tests.server.running_attempts import DIAL_TIMEOUT, RunningAttempts, endpoint_record
 from tests.stand_ins import MS, PATIENCE, SECOND, Message, Upstream, Wire, answer, silent, turns_until, until
@@ -119,7 +120,7 @@
     server.script = stop
     attempts = RunningAttempts(server)
     attempts.start()
-    assert attempts.outcomes() == [Outcome.ERROR] and attempts.used() == attempts.budget.held == 0
+    assert attempts.outcomes() == [Outcome.ERROR] and attempts.used() == attempts.budget.memory.reserved_bytes == 0
     assert 250 * MS <= attempts.finished[0].latency < 10 * SECOND
 
 
@@ -127,16 +128,17 @@
     """Together they would need more memory than there is."""
     server.script = lambda request, wire: answer(b"x" * 300_000)
     attempts = RunningAttempts(server)
-    attempts.budget.most_held = 0
-    peak_held = 0
+    memory = attempts.budget.memory
+    memory.max_bytes = 0
+    peak_bytes = 0
     for _ in range(5):
         attempts.start()
     with gevent.Timeout(PATIENCE):
-        while len(attempts.finished) < 5 or attempts.budget.held:
-            peak_held = max(peak_held, attempts.budget.held)
+        while len(attempts.finished) < 5 or memory.reserved_bytes:
+            peak_bytes = max(peak_bytes, memory.reserved_bytes)
             gevent.sleep(0)
     assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5
-    assert peak_held <= COPIES * 300_000
+    assert peak_bytes <= COPIES_PER_LARGE_BODY * 300_000
 
 
 def test_aborting_closes_the_connection_at_once(server: Upstream) -> None:
@@ -199,7 +201,7 @@
 
 def test_without_a_descriptor_an_attempt_never_ran(server: Upstream) -> None:
     server.script = silent
-    attempts = RunningAttempts(server, sockets=RESERVE + 1)
+    attempts = RunningAttempts(server, sockets=RESERVED_DESCRIPTORS + 1)
     attempts.start()
     attempts.start()
     assert attempts.outcomes() == [Outcome.CONNECT_FAILED]
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -34,7 +34,7 @@
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
         self.updates: list[EndpointListUpdate] = []
-        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1)
+        self.upstreams = UpstreamPool(Budget(1024, 192).descriptors, 1, 1)
         self.failures: list[PollFailure] = []
         self.client = DiscoveryClient(
             parse_address(self.server.address),
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -8,8 +8,8 @@
 
 from linetrack.policy.events import EndpointStatus, Outcome
 from linetrack.server import upstream_pool
-from linetrack.server.budget import RESERVE
-from linetrack.server.connection import readable
+from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
+from linetrack.server.sockets import is_readable
 from tests.server.running_attempts import RunningAttempts, endpoint_record, wait_until_reusable
 from tests.stand_ins import SECOND, Message, Upstream, Wire, answer, silent, turns_until
 
@@ -87,7 +87,7 @@
 
 def test_idle_connections_are_closed_for_want_of_descriptors() -> None:
     servers = [Upstream(name) for name in "abc"]
-    attempts = RunningAttempts(*servers, sockets=RESERVE + 2)
+    attempts = RunningAttempts(*servers, sockets=RESERVED_DESCRIPTORS + 2)
     for count, name in enumerate("abc", 1):
         attempts.start(name)
         attempts.outcomes(count)
@@ -100,9 +100,9 @@
 def test_a_socket_closed_here_cannot_be_reused() -> None:
     """Its descriptor may be another connection's by then."""
     one, other = gevent.socket.socketpair()
-    assert not readable(one)
+    assert not is_readable(one)
     one.close()
-    assert readable(one)
+    assert is_readable(one)
     other.close()
 
 
