--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -22,7 +22,9 @@
 from linetrack.server.budget import Budget
 from linetrack.server.client_timeouts import body_timeout
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.dispatcher import Dispatcher, FinalResponse, IncomingRequest
+from linetrack.server.active_request import FinalResponse
+from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.notifications import IncomingRequest
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
 from linetrack.server.http1.requests import READINESS_PATH, ClientRequest, RequestReader
@@ -314,7 +316,7 @@
             self.host.dispatcher, self.sock, event.request_id, request.keep_alive, self.received_at
         )
         incoming = IncomingRequest(request, event, pending.result.set, pending.is_abandoned)
-        self.host.dispatcher.put(incoming, self.received_at)
+        self.host.dispatcher.enqueue(incoming, self.received_at)
         upload = request.body_stream
         if isinstance(upload, RequestUpload):
             # While the body is read, that shows whether the client is connected; the watcher takes over
--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -148,7 +148,7 @@
         assert self._listener.listener is not None
         grant = Grant(
             identity=self._identity(),
-            endpoint_list=encode_snapshot(self._discovery.version or 0, self._upstreams.members()),
+            endpoint_list=encode_snapshot(self._discovery.version or 0, self._upstreams.records()),
             discovery_address=list(self._discovery.address),
         )
         return GrantedListener(self._listener.listener.fileno(), grant)
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -200,7 +200,7 @@
         """
         assert self.listener is not None
         self.listener.setblocking(False)
-        while is_readable(self.listener) and clock() < self.dispatcher.ends:
+        while is_readable(self.listener) and clock() < self.dispatcher.shutdown_deadline:
             if not self.budget.descriptors.try_acquire_client():
                 gevent.sleep(0 if self._evict() else ACCEPT_RETRY_SECONDS)
                 continue
--- a/linetrack/server/pending_request.py
+++ b/linetrack/server/pending_request.py
@@ -7,7 +7,9 @@
 
 from linetrack.server import client_timeouts
 from linetrack.server.clock import clock
-from linetrack.server.dispatcher import DisconnectedClient, Dispatcher, FinalResponse
+from linetrack.server.active_request import FinalResponse
+from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.notifications import DisconnectedClient
 from linetrack.server.sockets import PeerState, peer_state
 
 
@@ -57,5 +59,5 @@
 
     def abandon(self) -> None:
         """The client has disconnected: notify the dispatcher, and wake whoever waits for the response."""
-        self.dispatcher.put(DisconnectedClient(self.request_id), clock())
+        self.dispatcher.enqueue(DisconnectedClient(self.request_id), clock())
         self.result.set(None)
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -14,11 +14,13 @@
 
 from linetrack.control.metrics import Metrics
 from linetrack.control.settings_switch import SettingsSwitch
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.clock import clock
 from linetrack.server.config import STREAMS, Config, ConfigError
 from linetrack.server.discovery_client import DiscoveryClient
-from linetrack.server.dispatcher import Dispatcher, SerializedCallback
+from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.listener import Listener
+from linetrack.server.notifications import SerializedCallback
 from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
@@ -38,6 +40,7 @@
         policy_switch: SettingsSwitch,
         listener: Listener,
         upstreams: UpstreamPool,
+        attempt_runner: AttemptRunner,
         discovery: DiscoveryClient,
         metrics: Metrics,
     ) -> None:
@@ -50,6 +53,7 @@
         self._policy_switch = policy_switch
         self._listener = listener
         self._upstreams = upstreams
+        self._attempt_runner = attempt_runner
         self._discovery = discovery
         self._metrics = metrics
 
@@ -66,7 +70,7 @@
             read = self._read()
             new = read.after(self.config)
         except ConfigError as fault:
-            self._metrics.files_invalid += 1
+            self._metrics.invalid_configs += 1
             log.error("reload_rejected", fault=str(fault))
             return
         needs_restart = self.config.restart_for(read)
@@ -74,7 +78,7 @@
         if switches_settings and not self._policy_switch.can:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
-        self._metrics.files_accepted += 1
+        self._metrics.accepted_configs += 1
         log.info(
             "reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart
         )
@@ -89,11 +93,12 @@
         The dispatcher takes what was read before this moment under the old settings, and what is read after
         it under the new ones.
         """
-        self._upstreams.set(new.dial_timeout, new.keep_alive, new.report_fields)
+        self._upstreams.configure(new.dial_timeout, new.keep_alive)
+        self._attempt_runner.configure(new.report_fields)
         self._discovery.configure(new.zone_names, new.kind_names, new.settings)
-        self._metrics.declare(new.class_names)
+        self._metrics.declare_classes(new.class_names)
         self._listener.validator.configure(new.class_names, new.deadlines)
-        self._dispatcher.put(SerializedCallback(partial(self._switch_policy, new)), clock())
+        self._dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
         self.config = new
         self.max_timeout = max(self.max_timeout, new.longest)
 
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -125,14 +125,14 @@
         valid = self._validate_and_count(request)
         request.class_name = valid.class_name
         # A request that arrives while the process ends must get its response before the end.
-        time_left = self.dispatcher.ends - clock()
+        time_left = self.dispatcher.shutdown_deadline - clock()
         timeout = min(valid.timeout, self.deadlines[valid.class_index], time_left)
         if timeout <= 0:
             self._count(request.class_name, RequestOutcome.REJECTED)
             raise RejectedRequestError(RejectionReason.PROCESS_ENDING, request.path)
         self.recent_ids.add(request.trace_id)
         return RequestReceived(
-            request_id=self.dispatcher.number(),
+            request_id=self.dispatcher.next_request_id(),
             class_index=valid.class_index,
             timeout=timeout,
             tenant=_parse_integer(request.properties.get(TENANT_PROPERTY, "")),
@@ -159,8 +159,8 @@
 
     def _count(self, class_name: str, outcome: RequestOutcome) -> None:
         """Count a request that ends here."""
-        self.dispatcher.figures.taken += 1
-        self.dispatcher.figures.over(class_name, outcome)
+        self.dispatcher.metrics.requests_received += 1
+        self.dispatcher.metrics.record_outcome(class_name, outcome)
 
 
 def _parse_integer(text: str) -> int:
--- a/linetrack/server/response_writer.py
+++ b/linetrack/server/response_writer.py
@@ -11,7 +11,7 @@
 from linetrack.server import client_timeouts
 from linetrack.server.client_timeouts import SECOND, DeadlineSocket
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.dispatcher import FinalResponse
+from linetrack.server.active_request import FinalResponse
 from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.requests import ClientRequest
--- a/tests/server/conftest.py
+++ b/tests/server/conftest.py
@@ -11,7 +11,7 @@
 from linetrack.server.listener import Listener
 from tests.server.in_process import InProcessSidecar
 from tests.server.listener_client import RecordingDispatcher
-from tests.stand_ins import SECOND
+from tests.stand_ins import SECOND, Upstream
 
 
 @pytest.fixture
@@ -35,3 +35,11 @@
     made.listen(("127.0.0.1", 0))
     gevent.spawn(made.accept)
     return made
+
+
+@pytest.fixture
+def server() -> Iterator[Upstream]:
+    """One endpoint, `a`, that serves every request."""
+    made = Upstream("a")
+    yield made
+    made.close()
--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -23,10 +23,11 @@
 from linetrack.server.address import parse_address
 from linetrack.server.budget import Budget
 from linetrack.server.client_connection import ClientConnection
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.listener import Listener
-from linetrack.server.upstream_pool import REST, UpstreamPool
+from linetrack.server.upstream_pool import REUSE_DELAY_US, UpstreamPool
 from tests.stand_ins import MS, PATIENCE, SECOND, Upstream, call, turns_until
 
 ENDPOINT = "a"
@@ -70,11 +71,12 @@
         self.upstream = Upstream(ENDPOINT)
         self.policy = ScriptedPolicy()
         self.budget = Budget(sockets, 192)
-        self.pool = UpstreamPool(
-            self.budget, 250 * MS, 30 * SECOND, (), lambda event, seen: self.dispatcher.put(event, seen)
+        self.pool = UpstreamPool(self.budget.descriptors, 250 * MS, 30 * SECOND)
+        self.runner = AttemptRunner(
+            self.pool, self.budget, (), lambda notification, at: self.dispatcher.enqueue(notification, at)
         )
-        self.pool.learn((self.endpoint_record(),), True)
-        self.dispatcher = Dispatcher(self.policy, self.pool.start, self.pool.give_up, lambda: None)
+        self.pool.update_endpoints((self.endpoint_record(),), True)
+        self.dispatcher = Dispatcher(self.policy, self.runner.start, self.runner.abort, lambda: None)
         self.listener = Listener(self.dispatcher, self.budget, ("look",), (20 * SECOND,), lambda: True)
         self.listener.listen(("127.0.0.1", 0))
         self.accepting = gevent.spawn(self.listener.accept)
@@ -109,12 +111,12 @@
         return sock
 
     def wait_for_idle_upstream_connection(self) -> None:
-        gevent.sleep(2 * REST / SECOND)
-        turns_until(lambda: self.pool.known[ENDPOINT].idle)
+        gevent.sleep(2 * REUSE_DELAY_US / SECOND)
+        turns_until(lambda: self.pool.endpoints[ENDPOINT].idle)
 
     def start_attempt(self, request_id: int) -> None:
         """Start an attempt at this moment, ahead of what is in the dispatcher's queue."""
-        self.dispatcher._act(StartAttempt(request_id, ENDPOINT))
+        self.dispatcher.perform(StartAttempt(request_id, ENDPOINT))
 
     def only_connection(self) -> ClientConnection:
         """The sidecar's side of the one client connection."""
--- a/tests/server/listener_client.py
+++ b/tests/server/listener_client.py
@@ -7,7 +7,7 @@
 import gevent
 
 from linetrack.server.clock import NEVER
-from linetrack.server.dispatcher import FinalResponse
+from linetrack.server.active_request import FinalResponse
 from linetrack.server.listener import Listener
 from tests.stand_ins import PATIENCE, call, turns_until
 
@@ -17,13 +17,13 @@
 
     def __init__(self) -> None:
         self.requests: list[Any] = []  # as `IncomingRequest`, or `DisconnectedClient` once a client disconnects
-        self.ends = NEVER
+        self.shutdown_deadline = NEVER
 
-    def number(self) -> int:
+    def next_request_id(self) -> int:
         return 1
 
-    def put(self, item: Any, seen: int) -> None:
-        self.requests.append(item)
+    def enqueue(self, notification: Any, seen_at: int) -> None:
+        self.requests.append(notification)
 
 
 def connect(listener: Listener) -> Any:
--- a/tests/server/test_attempt_end.py
+++ b/tests/server/test_attempt_end.py
@@ -29,15 +29,15 @@
     request_id = sidecar.send_request(sock)
     sidecar.start_attempt(request_id)
     turns_until(lambda: sidecar.upstream.seen)
-    (attempt,) = sidecar.dispatcher.open[request_id].attempts
+    (attempt,) = sidecar.dispatcher.active_requests[request_id].attempts
     sidecar.upstream.connections[0].sendall(reply)
     wait_in_kernel(attempt.sock, select.POLLIN)
-    sidecar.dispatcher._expire(attempt, attempt.until)
-    sidecar.dispatcher._act(RejectRequest(request_id, 0))
+    sidecar.dispatcher.time_out(attempt, attempt.deadline)
+    sidecar.dispatcher.perform(RejectRequest(request_id, 0))
     assert sock.recv(65536).startswith(b"HTTP/1.1 503")
     turns_until(lambda: sidecar.budget.descriptors.in_use == 1)
     assert sidecar.policy.attempt_outcomes() == [Outcome.TIMEOUT]
-    assert not sidecar.pool.known[ENDPOINT].idle
+    assert not sidecar.pool.endpoints[ENDPOINT].idle
     assert not is_readable(sock)
     sidecar.upstream.script = lambda message, wire: answer(b"next")
     sidecar.start_attempt(sidecar.send_request(sock))
@@ -56,12 +56,12 @@
 
     def connect_and_end(self: Connection, timeout: float) -> None:
         connect(self, timeout)
-        (attempt,) = sidecar.dispatcher.open[request_id].attempts
+        (attempt,) = sidecar.dispatcher.active_requests[request_id].attempts
         if reason == "attempt cancelled":
-            attempt.ended = True
-            sidecar.pool.give_up(attempt)
+            attempt.has_ended = True
+            sidecar.runner.abort(attempt)
         elif reason == "endpoint drains":
-            sidecar.pool.learn((sidecar.endpoint_record(EndpointStatus.DRAINING),), False)
+            sidecar.pool.update_endpoints((sidecar.endpoint_record(EndpointStatus.DRAINING),), False)
         else:
             sock.close()
             wait_in_kernel(server_side, select.POLLRDHUP)
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -45,7 +45,7 @@
     turns_until(sidecar.policy.disconnect_count)
     ended = (Outcome.NOT_SENT, Outcome.CANCELLED)
     turns_until(lambda: any(outcome in ended for outcome in sidecar.policy.attempt_outcomes()))
-    assert len(sidecar.upstream.seen) == count and not sidecar.dispatcher.open
+    assert len(sidecar.upstream.seen) == count and not sidecar.dispatcher.active_requests
     turns_until(lambda: not sidecar.listener.connections)
 
 
@@ -119,6 +119,6 @@
     count = len(sidecar.upstream.seen)
     sidecar.start_attempt(request_id)
     turns_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
-    sidecar.dispatcher._act(RejectRequest(request_id, 0))
+    sidecar.dispatcher.perform(RejectRequest(request_id, 0))
     assert second.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(sidecar.upstream.seen) == count and not sidecar.policy.disconnect_count()
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -65,23 +65,23 @@
 ) -> None:
     """Its own time must not end after the process has: nobody would respond to it."""
     sock = sidecar.connect()
-    sidecar.dispatcher.ends = clock() + SECOND
+    sidecar.dispatcher.shutdown_deadline = clock() + SECOND
     sidecar.send_request(sock)
     assert sidecar.policy.received_requests()[-1].timeout <= SECOND
-    sidecar.dispatcher.ends = clock()
+    sidecar.dispatcher.shutdown_deadline = clock()
     late = sidecar.connect()
     late.sendall(call(expires="20.0"))
     assert late.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(sidecar.policy.received_requests()) == 1
     # the time of a request with a streamed body starts with the body's last byte
     sidecar.budget.memory.max_bytes = 0
-    sidecar.dispatcher.ends = clock() + 2 * SECOND
+    sidecar.dispatcher.shutdown_deadline = clock() + 2 * SECOND
     sidecar.upstream.script = silent
     slow = sidecar.connect()
     request_id = sidecar.send_request(slow, call(expires="20.0", body=b"x" * 100_000))
     sidecar.start_attempt(request_id)
     turns_until(lambda: sidecar.upstream.seen)
-    turns_until(lambda: sidecar.dispatcher.open[request_id].until <= sidecar.dispatcher.ends)
+    turns_until(lambda: sidecar.dispatcher.active_requests[request_id].deadline <= sidecar.dispatcher.shutdown_deadline)
 
 
 @pytest.mark.parametrize("reason", ["deadline", "migration"])
@@ -109,5 +109,5 @@
     run_soon(interrupt)
     gevent.sleep(0)
     sidecar.listener.migrate = None
-    sidecar.dispatcher._act(RejectRequest(request_id, 0))
+    sidecar.dispatcher.perform(RejectRequest(request_id, 0))
     assert sock.recv(65536).startswith(b"HTTP/1.1 503")
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -154,7 +154,7 @@
         server.script = lambda request, wire: answer(b"ok")
         assert sidecar.ask().status == 200
         sidecar.end()
-        assert last_counts(sidecar.log())["left"] == 1
+        assert last_counts(sidecar.log())["disconnected"] == 1
 
 
 def test_a_draining_endpoint_gets_nothing_new_and_its_connections_are_closed(tmp_path: Path) -> None:
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -100,5 +100,5 @@
         for thread in threads:
             thread.join(20)
         last = last_counts(sidecar.log())
-        assert last["left"] == 0 and last["taken"] == len(answered)
+        assert last["disconnected"] == 0 and last["received"] == len(answered)
         assert set(answered) == {200}
