--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -256,7 +256,9 @@
         with gevent.Timeout(
             poll.transfer_timeout / MICROSECONDS_PER_SECOND, TimeoutError("the answer takes too long")
         ):
-            response = connection.read_response(poll.stall_timeout / MICROSECONDS_PER_SECOND, lambda size: None)
+            response = connection.read_response(
+                poll.stall_timeout / MICROSECONDS_PER_SECOND, lambda size: None
+            )
     except (TimeoutError, StalledError) as error:
         raise PollError(PollFailure.TRUNCATED, error) from None
     except OSError as error:
--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -1,6 +1,7 @@
 """The sidecar's network code in the test's own process: its greenlets run only where the test waits.
 
-So a test knows what has arrived in the kernel and was not read yet, and can force two things to happen at once.
+So a test knows what has arrived in the kernel and was not read yet, and can force two things to happen at
+once.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
     RequestReceived,
 )
 from linetrack.server.address import parse_address
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.budget import Budget
 from linetrack.server.client_connection import ClientConnection
-from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.listener import Listener
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -25,7 +25,8 @@
 ) -> None:
     """Before the first attempt, and between attempts.
 
-    The disconnect may still be in the dispatcher's queue, or hidden by what the client had sent behind its request.
+    The disconnect may still be in the dispatcher's queue, or hidden by what the client had sent behind its
+    request.
     """
     sock = sidecar.connect_and_be_served()
     request_id = sidecar.send_request(sock)
