--- a/tests/control/test_idle_time_model.py
+++ b/tests/control/test_idle_time_model.py
@@ -23,7 +23,8 @@
     dear = model.best_keep_time(0, price * 4, MIN_IDLE_US, MAX_IDLE_US)
     allowed = (0, *IDLE_BUCKET_ENDS_US[IDLE_BUCKET_ENDS_US.index(MIN_IDLE_US) :])
     assert 0 <= cheap.reuse_probability <= 1
-    assert dear.duration <= cheap.duration and cheap.duration in allowed
+    assert dear.duration <= cheap.duration
+    assert cheap.duration in allowed
     assert model.best_keep_time(0, price, 0, 5 * SECOND).duration <= 5 * SECOND
 
 
--- a/tests/policy/test_long_bodies.py
+++ b/tests/policy/test_long_bodies.py
@@ -26,7 +26,8 @@
     late = driver.balancer.late.value
     driver.now += 20 * SECOND
     driver.end(number, first)
-    assert number not in driver.balancer.requests and not driver.balancer.orphans
+    assert number not in driver.balancer.requests
+    assert not driver.balancer.orphans
     assert driver.balancer.late.value <= late, "its first bytes were in time"
 
 
@@ -43,6 +44,7 @@
     for timer in [a for a in actions if isinstance(a, SetTimer)]:
         assert not sends(driver.feed(TimerFired(timer.token), timer.delay))
     driver.feed(RequestBodySent(number, 0), 20 * SECOND)
-    assert len(upstream.out) == 1 and driver.balancer.requests[number].until == driver.now + 2 * SECOND
+    assert len(upstream.out) == 1
+    assert driver.balancer.requests[number].until == driver.now + 2 * SECOND
     ended = driver.end(number, first, Outcome.CONNECT_FAILED)
     assert [type(action) for action in ended] == [RejectRequest]
--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -39,9 +39,9 @@
 
     def __init__(self) -> None:
         self.events: list[Event] = []
-        self.respond: Callable[[Event], list[Action]] = lambda event: []
+        self.respond: Callable[[Event], list[Action]] = lambda _event: []
 
-    def handle(self, now: int, event: Event) -> list[Action]:
+    def handle(self, _now: int, event: Event) -> list[Action]:
         self.events.append(event)
         return self.respond(event)
 
@@ -53,7 +53,7 @@
 
     def forward_nothing(self) -> None:
         """Do nothing by itself from here on."""
-        self.respond = lambda event: []
+        self.respond = lambda _event: []
 
     def attempt_outcomes(self) -> list[Outcome]:
         return [event.outcome for event in self.events if isinstance(event, AttemptEnded)]
--- a/tests/server/test_listener.py
+++ b/tests/server/test_listener.py
@@ -46,7 +46,8 @@
     late = connect(listener)
     late.sendall(READINESS_CHECK)
     assert late.recv(65536).startswith(b"HTTP/1.1 200")
-    assert not is_readable(active) and is_readable(silent[0])
+    assert not is_readable(active)
+    assert is_readable(silent[0])
     exchange(dispatcher, active)
 
 
@@ -113,7 +114,8 @@
         while not is_readable(sock):
             sock.sendall(bytes([next(data)]))
             gevent.sleep(0.01)
-    assert sock.recv(65536).startswith(b"HTTP/1.1 408") and sock.recv(1) == b""
+    assert sock.recv(65536).startswith(b"HTTP/1.1 408")
+    assert sock.recv(1) == b""
     assert not dispatcher.requests
     assert clock() - began >= 150 * MS
 
