--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -47,6 +47,8 @@
     sidecar.budget.descriptors.max_clients = 2
     silent_clients = [sidecar.connect(), sidecar.connect()]
     turns_until(lambda: len(sidecar.listener.connections) == 2)
+    assert sidecar.listener.listener is not None
+    address = sidecar.listener.listener.getsockname()
     waiting = sidecar.connect()
     sidecar.policy.forward_all()
     waiting.sendall(call(expires="20.0"))
@@ -57,7 +59,7 @@
     for sock in silent_clients:
         assert sock.recv(1) == b""
     with pytest.raises(ConnectionRefusedError):
-        sidecar.connect()
+        gevent.socket.create_connection(address)
 
 
 def test_a_request_that_is_complete_late_in_the_shutdown_is_answered_before_its_end(
