--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -210,7 +210,7 @@
 
     def _take_over(self) -> None:
         if not self._has_restored_policy:
-            self._policy_switch.alone(clock())
+            self._policy_switch.resume(clock())
         self._open_socket()
         self._publish_socket()
         self.start_accepting()
@@ -225,7 +225,7 @@
             Handover(
                 socket_limit=self._budget.descriptors.yield_to_successor(),
                 request_ids=self._listener.validator.recent_ids.export(),
-                policy_snapshot=self._policy_switch.learnt(),
+                policy_snapshot=self._policy_switch.hand_over(),
                 settings_digest=self._current_config().digest,
             )
         )
@@ -246,7 +246,7 @@
         """Serve again until the end of this process: its successor has ended."""
         # first, so that there is room for the clients that come back
         self._budget.restore()
-        self._policy_switch.alone(clock())
+        self._policy_switch.resume(clock())
         self._listener.migrate = None
         self.start_accepting()
 
@@ -269,11 +269,14 @@
         if self._shutdown_command is not Command.HAND_OVER:
             return False
         while self._listener.connections and clock() < deadline:
-            if self._shutdown_command is Command.RESUME:
+            if self._has_resumed():
                 return False
             gevent.sleep(POLL_SECONDS)
         return True
 
+    def _has_resumed(self) -> bool:
+        return self._shutdown_command is Command.RESUME
+
     def stop_accepting(self) -> None:
         """Accept no more connections; they wait in the listening socket's queue."""
         if self._accepting is not None:
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -44,7 +44,10 @@
         discovery: DiscoveryClient,
         metrics: Metrics,
     ) -> None:
-        """Make one with `config` in force; `read` returns the file's configuration or raises a ConfigError."""
+        """Make one with `config` in force.
+
+        `read` returns the configuration as its file is now, or raises a ConfigError.
+        """
         self.config = config
         self.max_timeout = config.longest  # of any class since the start, in microseconds
         self.requested = Event()
@@ -75,7 +78,7 @@
             return
         needs_restart = self.config.restart_for(read)
         switches_settings = not new.same_settings(self.config)
-        if switches_settings and not self._policy_switch.can:
+        if switches_settings and not self._policy_switch.is_supported:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
         self._metrics.accepted_configs += 1
@@ -104,9 +107,7 @@
 
     def _switch_policy(self, new: Config) -> None:
         in_flight = self._policy_switch.switch(new.settings)
-        log.info(
-            "settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals()
-        )
+        log.info("settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals())
 
 
 def log_unused_multiplexing(config: Config) -> None:
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -6,7 +6,6 @@
 import socket
 from pathlib import Path
 
-from linetrack.control.settings_switch import count_unavailable
 from linetrack.policy.events import Outcome
 from tests.helpers import SAFE, SECOND, Driver
 from tests.server.admin_client import (
@@ -115,12 +114,12 @@
 
 def test_an_endpoint_is_out_of_rotation_while_it_drains_or_is_ejected_for_every_class() -> None:
     driver = Driver(slow_start_duration=0)
-    assert count_unavailable(driver.balancer, driver.now) == 0
+    assert driver.balancer.count_unavailable(driver.now) == 0
     request, actions = driver.ask(SAFE)
     first = actions[0].endpoint  # type: ignore[union-attr]
     driver.end(request, first, Outcome.CONNECT_FAILED)
-    assert count_unavailable(driver.balancer, driver.now) == 1
-    driver.balancer.fleet[first].spells.pop(SAFE)
-    assert count_unavailable(driver.balancer, driver.now) == 0, "some class still uses it"
-    driver.balancer.fleet["h0"].gone = True
-    assert count_unavailable(driver.balancer, driver.now + 60 * SECOND) == 1
+    assert driver.balancer.count_unavailable(driver.now) == 1
+    driver.balancer.endpoints[first].ejections.pop(SAFE)
+    assert driver.balancer.count_unavailable(driver.now) == 0, "some class still uses it"
+    driver.balancer.endpoints["h0"].is_routable = False
+    assert driver.balancer.count_unavailable(driver.now + 60 * SECOND) == 1
