--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -13,7 +13,7 @@
 from linetrack.control.hot_restart import Command, Identity
 from linetrack.policy.events import Outcome
 from linetrack.server.admin import AdminServer
-from linetrack.server.config import config_of
+from linetrack.server.config import parse_config
 from linetrack.server.connection import Connection
 from linetrack.server.descriptor_budget import RESERVED_DESCRIPTORS
 from linetrack.server.hot_restart_channel import GrantedListener
@@ -133,7 +133,7 @@
 def test_a_process_whose_successor_has_ended_has_all_descriptors_again() -> None:
     """It accepts again, and must have room for the clients that come back to it."""
     values = config("127.0.0.1:9", [])
-    sidecar = Sidecar(lambda: config_of({**values, "listen": "127.0.0.1:1"}, {}))
+    sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.listener.listen(("127.0.0.1", 0))
     limit = sidecar.budget.descriptors.limit
     sidecar.budget.descriptors.yield_to_successor()
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from linetrack.server.config import config_of
+from linetrack.server.config import parse_config
 from linetrack.server.hot_restart_channel import socket_path
 from tests.server.recorded_hot_restart import (
     DIGESTS,
@@ -230,7 +230,7 @@
 
 @pytest.mark.parametrize("recording", DIGESTS["configurations"], ids=lambda recording: recording["case"])
 def test_a_settings_digest_is_that_of_the_old_build(recording: dict[str, Any]) -> None:
-    assert config_of(recording["config"], {}).digest == recording["digest"]
+    assert parse_config(recording["config"], {}).digest == recording["digest"]
 
 
 def test_the_recorded_digests_cover_each_repeat_with_each_deduplication_scope() -> None:
@@ -252,4 +252,4 @@
         "discovery": "127.0.0.1:9",
         "settings": RECORDED["settings"],
     }
-    assert config_of(values, {}).digest == recorded("hello")["identity"]["settings"]
+    assert parse_config(values, {}).digest == recorded("hello")["identity"]["settings"]
