--- a/tests/control/test_discovery_schedule.py
+++ b/tests/control/test_discovery_schedule.py
@@ -22,7 +22,7 @@
 class SimulatedDiscovery:
     """One change of the list, and polls: answered in turn, rejected, or silent.
 
-    All that wait at `silence_at` are never answered.  A poll that continues a watch is taken at once, another
+    All that wait at `silence_at` are never answered.  A poll that continues a watch is accepted at once, another
     one after up to `max_queue_delay`; of those, up to two in a row are rejected where `rejects_polls`.
     """
 
@@ -48,18 +48,18 @@
         is_watching = False
         while now < until:
             poll = schedule.next_poll(now)
-            start = taken = poll.due_at
+            start = accepted_at = poll.due_at
             self.polled_at.append(start)
             if not is_watching:
                 if self._rejects_next():
                     schedule.record_failure(start, PollFailure.REJECTED)
                     now = start
                     continue
-                taken = start + self.random.randrange(1, self.max_queue_delay)
+                accepted_at = start + self.random.randrange(1, self.max_queue_delay)
                 self.rejections_in_a_row = 0
             wait_ends = start + poll.long_poll_wait
-            has_change = self.change_at <= max(taken, wait_ends) and received_at == until
-            answered_at = max(taken, self.change_at if has_change else wait_ends)
+            has_change = self.change_at <= max(accepted_at, wait_ends) and received_at == until
+            answered_at = max(accepted_at, self.change_at if has_change else wait_ends)
             is_watching = not (poll.long_poll_wait and start <= self.silence_at < answered_at)
             if not is_watching:
                 given_up_at = start + poll.response_timeout
@@ -224,18 +224,18 @@
                 continue
             watch_ends = -1
             end, state = next((end, state) for start, end, state in self.states if start <= poll.due_at < end)
-            taken = poll.due_at + self.random.randrange(1, 900 * MS)
-            if state == "answers" and taken < end:
+            accepted_at = poll.due_at + self.random.randrange(1, 900 * MS)
+            if state == "answers" and accepted_at < end:
                 if poll.due_at >= self.reachable_at:
-                    return taken, binding_at
-                now = taken
+                    return accepted_at, binding_at
+                now = accepted_at
                 watch_ends = end
                 schedule.record_success(now, poll, poll.long_poll_wait > 0)
                 continue
-            now, failure = self._failure(state, poll, taken)
+            now, failure = self._failure(state, poll, accepted_at)
             schedule.record_failure(now, failure)
 
-    def _failure(self, state: str, poll: Poll, taken: int) -> tuple[int, PollFailure]:
+    def _failure(self, state: str, poll: Poll, accepted_at: int) -> tuple[int, PollFailure]:
         """Return when and how a poll fails."""
         start = poll.due_at
         match state:
@@ -246,11 +246,11 @@
             case "rejects":
                 return start + MS, PollFailure.REJECTED
             case "sends invalid lists":
-                return taken, PollFailure.INVALID
+                return accepted_at, PollFailure.INVALID
             case "stalls":
-                return taken + poll.stall_timeout, PollFailure.TRUNCATED
+                return accepted_at + poll.stall_timeout, PollFailure.TRUNCATED
             case "trickles":
-                return taken + poll.transfer_timeout, PollFailure.TRUNCATED
+                return accepted_at + poll.transfer_timeout, PollFailure.TRUNCATED
         return start + poll.response_timeout, PollFailure.TIMEOUT
 
 
