--- a/tests/control/test_discovery_schedule.py
+++ b/tests/control/test_discovery_schedule.py
@@ -22,8 +22,8 @@
 class SimulatedDiscovery:
     """One change of the list, and polls: answered in turn, rejected, or silent.
 
-    All that wait at `silence_at` are never answered.  A poll that continues a watch is accepted at once, another
-    one after up to `max_queue_delay`; of those, up to two in a row are rejected where `rejects_polls`.
+    All that wait at `silence_at` are never answered.  A poll that continues a watch is accepted at once,
+    another one after up to `max_queue_delay`; of those, up to two in a row are rejected where `rejects_polls`.
     """
 
     def __init__(
