--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from tests.server.admin_client import read_metrics
 from tests.server.hot_restart_world import (
     KeptConnectionLoad,
     RestartableWorld,
@@ -33,7 +34,6 @@
     silent,
     until,
 )
-from tests.server.admin_client import read_metrics
 
 
 def has_served_more_than(servers: list[Upstream], minimum: int, faults: list[str]) -> bool:
