--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -172,7 +172,7 @@
         try:
             # Where no descriptor is left the poll fails, and the process goes on.
             connection = Connection(self.address, MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
-            connection.dial(poll.connect_timeout / MICROSECONDS_PER_SECOND)
+            connection.connect(poll.connect_timeout / MICROSECONDS_PER_SECOND)
         except OSError as error:
             raise PollError(PollFailure.UNREACHABLE, error) from None
         return connection
@@ -234,7 +234,7 @@
 
     def _publish(self, records: EndpointRecords, form: ListForm) -> None:
         received_at = clock()
-        self.upstreams.learn(records.endpoints, form is not ListForm.DELTA)
+        self.upstreams.update_endpoints(records.endpoints, form is not ListForm.DELTA)
         entries = tuple(self._to_entry(record) for record in records.endpoints)
         self.publish(EndpointListUpdate(form, entries), received_at)
 
@@ -256,7 +256,9 @@
         with gevent.Timeout(
             poll.transfer_timeout / MICROSECONDS_PER_SECOND, TimeoutError("the answer takes too long")
         ):
-            response = connection.read(poll.stall_timeout / MICROSECONDS_PER_SECOND, _reserve_nothing)
+            response = connection.read_response(
+                poll.stall_timeout / MICROSECONDS_PER_SECOND, _reserve_nothing
+            )
     except (TimeoutError, StalledError) as error:
         raise PollError(PollFailure.TRUNCATED, error) from None
     except OSError as error:
--- a/linetrack/server/hot_restart_predecessor.py
+++ b/linetrack/server/hot_restart_predecessor.py
@@ -18,7 +18,6 @@
 
 from linetrack.control.hot_restart import Command, Identity, PredecessorStateMachine
 from linetrack.server.clock import clock
-from linetrack.server.connection import is_transient_accept_error
 from linetrack.server.hot_restart_channel import GrantedListener, HotRestartChannel
 from linetrack.server.hot_restart_messages import (
     BusyReply,
@@ -30,6 +29,7 @@
     Ready,
     VersionReply,
 )
+from linetrack.server.sockets import is_transient_accept_error
 
 log = structlog.get_logger()
 
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -46,7 +46,7 @@
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
         self.server = stand_ins.Discovery([entry("a"), entry("b")])
         self.updates: list[EndpointListUpdate] = []
-        self.upstreams = UpstreamPool(Budget(1024, 192), 1, 1, (), lambda _event, _seen: None)
+        self.upstreams = UpstreamPool(Budget(1024, 192).descriptors, 1, 1)
         self.client = DiscoveryClient(
             parse_address(self.server.address),
             self.upstreams,
@@ -226,10 +226,10 @@
     watched.start()
     watched.server.change(entry("a", addr="127.0.0.1:99"))
     watched.forms(2)
-    assert watched.upstreams.known["a"].address == ("127.0.0.1", 99)
+    assert watched.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
     watched.server.change({"id": "a", "state": "DELETED"})
     watched.forms(3)
-    assert "a" not in watched.upstreams.known
+    assert "a" not in watched.upstreams.endpoints
 
 
 def test_another_server_is_polled_at_once_for_a_snapshot(watched: WatchedClient) -> None:
@@ -240,7 +240,7 @@
     watched.client.switch_server(parse_address(other.address))
     assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
     assert [e.endpoint for e in watched.updates[1].entries] == ["c"]
-    assert list(watched.upstreams.known) == ["c"]
+    assert list(watched.upstreams.endpoints) == ["c"]
     assert "?" not in other.calls[0]
     other.version = 3
     other.change(entry("d"))
@@ -276,13 +276,13 @@
         turns_until(lambda: other.connections)
         watched.server.change(entry("b", state="DRAINING"))
         assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
-        assert watched.upstreams.known["b"].health is EndpointStatus.DRAINING
+        assert watched.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
     assert watched.forms(3)[2] is ListForm.SNAPSHOT
     # what the previous server sends from here on does not count
     watched.server.change(entry("c", state="DRAINING"))
     turns_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert watched.upstreams.known["c"].health is EndpointStatus.UP
+    assert watched.upstreams.endpoints["c"].status is EndpointStatus.UP
     assert len(watched.updates) == 3
     other.close()
 
@@ -342,7 +342,7 @@
     watched.client.switch_server(parse_address(stand_ins.free_address()))
     turns_until(lambda: watched.schedule.failures)
     assert watched.schedule.failures == [PollFailure.UNREACHABLE]
-    assert sorted(watched.upstreams.known) == ["a", "b"]
+    assert sorted(watched.upstreams.endpoints) == ["a", "b"]
 
 
 def test_where_updates_are_pushed_it_polls_unasked_and_first_for_an_immediate_response() -> None:
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from tests.server.admin_client import read_metrics
 from tests.server.hot_restart_world import (
     KeptConnectionLoad,
     RestartableWorld,
@@ -33,7 +34,6 @@
     silent,
     until,
 )
-from tests.test_admin import figures
 
 
 def has_served_more_than(servers: list[Upstream], minimum: int, faults: list[str]) -> bool:
@@ -56,7 +56,7 @@
         assert not load.faults, load.faults
         ids = [message.headers["x-trace-id"] for server in servers for message in server.seen]
         assert len(set(ids)) == len(ids), "something ran twice"
-        until(lambda: figures(serving.config["admin_addr"])["app_open_requests"] == 0)
+        until(lambda: read_metrics(serving.config["admin_addr"])["app_open_requests"] == 0)
         assert '"snapshot_restored": true' in serving.log()
 
 
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -107,7 +107,7 @@
         assert held.wait(20)
         reload(sidecar, reshaped(old))
         until(lambda: "settings_switched" in sidecar.log())
-        assert '"still_open": 1' in sidecar.log()
+        assert '"in_flight": 1' in sidecar.log()
         switched.set()
         thread.join()
         # rejected, as a retry is harmless; a non-idempotent one that may have run gets 502
