--- a/linetrack/simhost/fields.py
+++ b/linetrack/simhost/fields.py
@@ -88,7 +88,7 @@
 def numbers_field(fields: Fields, name: str) -> tuple[float, ...]:
     """Numbers separated by commas; what is no number becomes NaN."""
     row = fields.get(name, "")
-    return tuple(_number_or_nan(part) for part in row.split(",")) if row else ()
+    return tuple(map(_number_or_nan, row.split(","))) if row else ()
 
 
 def _number_or_nan(text: str) -> float:
--- a/linetrack/simhost/host.py
+++ b/linetrack/simhost/host.py
@@ -60,7 +60,7 @@
             self._handle_message(line)
 
     def _handle_message(self, line: str) -> None:
-        if wire.is_instance_start(line):
+        if line.startswith(wire.INSTANCE_START_PREFIX):
             self._start_instance(line)
             return
         name, fields = split_line(line)
--- a/linetrack/simhost/wire.py
+++ b/linetrack/simhost/wire.py
@@ -90,15 +90,11 @@
     return integer_field(fields, "clockUs")
 
 
-def is_instance_start(line: str) -> bool:
-    """Whether a line starts an instance; only `parse_instance_start` can read it."""
-    return line.startswith(INSTANCE_START_PREFIX)
-
-
 def parse_instance_start(line: str) -> tuple[str, int, Fields]:
     """The instance, its seed, and the settings among the fields.
 
-    `bootInfo` has no name and fills the rest of the line, so the settings stand among the fields.
+    `bootInfo` has no name and fills the rest of the line, so the settings stand among the fields, and no
+    other function can split the line.
     """
     _, fields = split_line(line.replace(" bootInfo=", " ", 1))
     return instance_of(fields), integer_field(fields, "entropy"), fields
