--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -8,6 +8,7 @@
 import gc
 import signal
 from collections.abc import Callable, Mapping
+from dataclasses import asdict
 from enum import Enum
 from functools import partial
 
@@ -19,6 +20,7 @@
 from linetrack.control.settings_switch import SettingsSwitch
 from linetrack.policy.balancer import Balancer
 from linetrack.server.admin import AdminServer
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
 from linetrack.server.config import Config, ConfigError, read_config
@@ -69,9 +71,10 @@
         config = read()
         self.phase = Phase.STARTING
         self.metrics = Metrics()
-        self.metrics.declare(config.class_names)
+        self.metrics.declare_classes(config.class_names)
         self.budget = Budget(config.sockets, config.memory_mb)
-        self.upstreams = self._make_upstream_pool(config)
+        self.upstreams = UpstreamPool(self.budget.descriptors, config.dial_timeout, config.keep_alive_timeout)
+        self.attempt_runner = self._make_attempt_runner(config)
         self.discovery = self._make_discovery_client(config)
         if config.overload_control_enabled:
             make_policy = with_overload_control(make_policy)
@@ -85,6 +88,7 @@
             policy_switch=self.policy_switch,
             listener=self.listener,
             upstreams=self.upstreams,
+            attempt_runner=self.attempt_runner,
             discovery=self.discovery,
             metrics=self.metrics,
         )
@@ -126,13 +130,12 @@
         return EXIT_OK
 
     # --- Parts -------------------------------------------------------------------------------------
-    def _make_upstream_pool(self, config: Config) -> UpstreamPool:
-        return UpstreamPool(
+    def _make_attempt_runner(self, config: Config) -> AttemptRunner:
+        return AttemptRunner(
+            self.upstreams,
             self.budget,
-            config.dial_timeout,
-            config.keep_alive_timeout,
             config.load_report_fields,
-            lambda event, seen: self.dispatcher.put(event, seen),
+            lambda notification, seen_at: self.dispatcher.enqueue(notification, seen_at),
             self.metrics,
         )
 
@@ -140,7 +143,7 @@
         return DiscoveryClient(
             config.discovery,
             self.upstreams,
-            lambda update, seen: self.dispatcher.put(update, seen),
+            lambda update, seen_at: self.dispatcher.enqueue(update, seen_at),
             config.zone_names,
             config.host_class_names,
             config.settings,
@@ -150,8 +153,8 @@
     def _make_dispatcher(self) -> Dispatcher:
         return Dispatcher(
             self.policy_switch,
-            self.upstreams.start,
-            self.upstreams.give_up,
+            self.attempt_runner.start,
+            self.attempt_runner.abort,
             self.discovery.watch,
             self.upstreams.close_idle,
             self.metrics,
@@ -182,7 +185,7 @@
         if not self.hot_restart.has_predecessor:
             self.hot_restart.start_accepting()
         spawn_essential("discovery", self.discovery.run)
-        spawn_essential("upstream sweep", self.upstreams.sweep)
+        spawn_essential("idle connection expiry", self.upstreams.run_expiry)
         spawn_essential("client sweep", self.listener.sweep)
         spawn_essential("reload", self.reloader.run)
         spawn_essential("garbage collection", _collect_garbage_forever)
@@ -199,7 +202,7 @@
             return
         events = [self.discovery.initial_poll_finished, self._shutdown_requested]
         if not gevent.wait(events, ENDPOINT_LIST_TIMEOUT_SECONDS, count=1):
-            log.warning("endpoint_list_timeout", entries=len(self.upstreams.known))
+            log.warning("endpoint_list_timeout", entries=len(self.upstreams.endpoints))
 
     # --- End ---------------------------------------------------------------------------------------
     def _drain(self) -> None:
@@ -209,7 +212,7 @@
         self.hot_restart.begin_shutdown()
         grace = int((CONNECT_GRACE_SECONDS + FINAL_WRITE_GRACE_SECONDS) * SECOND_US)
         deadline = began + self.reloader.max_timeout + grace
-        self.dispatcher.ends = deadline - int(FINAL_WRITE_GRACE_SECONDS * SECOND_US)
+        self.dispatcher.shutdown_deadline = deadline - int(FINAL_WRITE_GRACE_SECONDS * SECOND_US)
         if not self.hot_restart.wait_for_handover(deadline):
             self._shut_down(deadline)
 
@@ -224,7 +227,7 @@
             self.listener.stop_accepting()
         self.listener.close_between_requests()
         self._enter(Phase.SHUTTING_DOWN)
-        while self.listener.open and clock() < deadline:
+        while self.listener.connections and clock() < deadline:
             gevent.sleep(DRAIN_POLL_SECONDS)
 
     def _enter(self, phase: Phase) -> None:
@@ -232,7 +235,8 @@
         log.info("phase_changed", phase=phase.value, **self.metrics.totals())
 
     def _metrics_text(self) -> str:
-        return self.metrics.text(len(self.upstreams.known), self.policy_switch.count_unavailable(clock()))
+        unavailable = self.policy_switch.count_unavailable(clock())
+        return self.metrics.prometheus_text(len(self.upstreams.endpoints), unavailable)
 
 
 def main(environ: Mapping[str, str]) -> int:
@@ -262,11 +266,10 @@
         return make_policy
     # imported here only, so that a sidecar without overload control does not pay the memory
     from linetrack.control.idempotency_keys import IdempotencyKeyTable
-    from linetrack.control.overload_control import AdaptiveOverloadController
-    from linetrack.control.overload_control import Phase as OverloadPhase
+    from linetrack.control.overload_control import AdaptiveOverloadController, OverloadPhase, OverloadStatus
 
-    def log_phase(phase: OverloadPhase, figures: dict[str, float]) -> None:
-        log.info("overload_phase_changed", phase=phase.value, **figures)
+    def log_phase(phase: OverloadPhase, status: OverloadStatus) -> None:
+        log.info("overload_phase_changed", phase=phase.value, **asdict(status))
 
     return lambda settings, seed: Balancer(
         settings, seed, AdaptiveOverloadController(seed, log_phase), IdempotencyKeyTable()
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -14,11 +14,13 @@
 
 from linetrack.control.metrics import Metrics
 from linetrack.control.settings_switch import SettingsSwitch
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.clock import clock
 from linetrack.server.config import HTTP1_STREAMS_PER_CONNECTION, Config, ConfigError
 from linetrack.server.discovery_client import DiscoveryClient
-from linetrack.server.dispatcher import Dispatcher, SerializedCallback
+from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.listener import Listener
+from linetrack.server.notifications import SerializedCallback
 from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
@@ -38,6 +40,7 @@
         policy_switch: SettingsSwitch,
         listener: Listener,
         upstreams: UpstreamPool,
+        attempt_runner: AttemptRunner,
         discovery: DiscoveryClient,
         metrics: Metrics,
     ) -> None:
@@ -53,6 +56,7 @@
         self._policy_switch = policy_switch
         self._listener = listener
         self._upstreams = upstreams
+        self._attempt_runner = attempt_runner
         self._discovery = discovery
         self._metrics = metrics
 
@@ -69,7 +73,7 @@
             read = self._read()
             new = read.for_reload_of(self.config)
         except ConfigError as fault:
-            self._metrics.files_invalid += 1
+            self._metrics.invalid_configs += 1
             log.error("reload_rejected", fault=str(fault))
             return
         needs_restart = self.config.keys_needing_restart(read)
@@ -77,8 +81,10 @@
         if switches_settings and not self._policy_switch.is_supported:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
-        self._metrics.files_accepted += 1
-        log.info("reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart)
+        self._metrics.accepted_configs += 1
+        log.info(
+            "reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart
+        )
         self._discovery.switch_server(new.discovery)
         if switches_settings:
             log_unused_multiplexing(new)
@@ -90,11 +96,12 @@
         The dispatcher takes what was read before this moment under the old settings, and what is read after
         it under the new ones.
         """
-        self._upstreams.set(new.dial_timeout, new.keep_alive_timeout, new.load_report_fields)
+        self._upstreams.configure(new.dial_timeout, new.keep_alive_timeout)
+        self._attempt_runner.configure(new.load_report_fields)
         self._discovery.configure(new.zone_names, new.host_class_names, new.settings)
-        self._metrics.declare(new.class_names)
-        self._listener.intake.set(new.class_names, new.class_timeouts)
-        self._dispatcher.put(SerializedCallback(partial(self._switch_policy, new)), clock())
+        self._metrics.declare_classes(new.class_names)
+        self._listener.validator.configure(new.class_names, new.class_timeouts)
+        self._dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
         self.config = new
         self.max_timeout = max(self.max_timeout, new.max_class_timeout)
 
--- /dev/null
+++ b/tests/server/test_dispatcher.py
@@ -0,0 +1,372 @@
+"""The dispatcher: order of events and timers, one response for each request, one end for each attempt."""
+
+import weakref
+from collections.abc import Callable
+from random import Random
+
+import gevent
+import pytest
+from gevent.event import AsyncResult
+from hypothesis import given
+from hypothesis import strategies as st
+
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendHealthCheck,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    ListForm,
+    Outcome,
+    RequestReceived,
+    TimerFired,
+)
+from linetrack.server import dispatcher as dispatcher_module
+from linetrack.server.active_request import Attempt, FinalResponse
+from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.http1.requests import ClientRequest
+from linetrack.server.http1.responses import Response
+from linetrack.server.notifications import (
+    DisconnectedClient,
+    FinishedAttempt,
+    IncomingRequest,
+    Notification,
+)
+from tests.stand_ins import MS, PATIENCE, SECOND
+
+GET = ClientRequest("GET", "/look/k", "1")
+
+
+class ScriptedPolicy:
+    """Records the events it is given and returns the actions that a test wants."""
+
+    def __init__(self) -> None:
+        self.events: list[tuple[int, Event]] = []
+        self.decide: Callable[[Event], list[Action]] = lambda event: []
+
+    def handle(self, now: int, event: Event) -> list[Action]:
+        self.events.append((now, event))
+        return self.decide(event)
+
+    def ended(self) -> list[tuple[int, Outcome, bool]]:
+        events = [event for _, event in self.events if isinstance(event, AttemptEnded)]
+        return [(event.attempt, event.outcome, event.request_completed) for event in events]
+
+
+class DispatcherDriver:
+    """A dispatcher whose clock a test moves, and what it did."""
+
+    def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
+        self.now = 1000 * SECOND
+        monkeypatch.setattr(dispatcher_module, "clock", lambda: self.now)
+        self.started: list[Attempt] = []
+        self.aborted: list[Attempt] = []
+        self.watch_count = 0
+        self.responses: list[FinalResponse] = []
+        self.policy = ScriptedPolicy()
+        self.dispatcher = Dispatcher(self.policy, self.started.append, self.aborted.append, self.watch)
+        self.greenlet = gevent.spawn(self.dispatcher.run)
+
+    def watch(self) -> None:
+        self.watch_count += 1
+
+    def receive(self, request_id: int = 1, timeout: int = 2 * SECOND) -> None:
+        received = RequestReceived(request_id, 0, timeout)
+        self.enqueue(IncomingRequest(GET, received, self.responses.append))
+
+    def enqueue(self, notification: Notification, seen_at: int | None = None) -> None:
+        self.dispatcher.enqueue(notification, self.now if seen_at is None else seen_at)
+        self.settle()
+
+    def settle(self) -> None:
+        """Wait until the dispatcher has nothing left that is due."""
+        with gevent.Timeout(PATIENCE):
+            while self.dispatcher.queue:
+                gevent.sleep(0)
+            gevent.sleep(0)
+
+    def wait(self, time: int) -> None:
+        """Move the clock on; the dispatcher looks at it once it is notified of anything."""
+        self.now += time
+        self.enqueue(EndpointListUpdate(ListForm.DELTA))
+
+
+@pytest.fixture
+def driver(monkeypatch: pytest.MonkeyPatch) -> DispatcherDriver:
+    return DispatcherDriver(monkeypatch)
+
+
+def send(event: Event) -> list[Action]:
+    return [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
+
+
+def succeed(attempt: Attempt, latency: int = 5 * MS) -> FinishedAttempt:
+    attempt.has_ended = True
+    return FinishedAttempt(attempt, Outcome.SUCCESS, latency, Response(200, b"body"))
+
+
+def test_the_first_response_goes_to_the_client_and_ends_the_request(driver: DispatcherDriver) -> None:
+    driver.policy.decide = send
+    driver.receive()
+    driver.enqueue(succeed(driver.started[0]))
+    assert driver.responses == [FinalResponse(200, b"body")]
+    assert driver.policy.ended() == [(0, Outcome.SUCCESS, True)]
+    assert not driver.dispatcher.active_requests
+
+
+def test_a_response_is_written_before_the_policy_works_on_its_end(driver: DispatcherDriver) -> None:
+    """The client does not wait for what the policy learns from the response."""
+    order: list[str] = []
+
+    def decide(event: Event) -> list[Action]:
+        order.append(type(event).__name__)
+        return send(event)
+
+    result: AsyncResult[FinalResponse] = AsyncResult()
+    result.rawlink(lambda given: order.append("written"))
+    driver.policy.decide = decide
+    driver.enqueue(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), result.set))
+    driver.enqueue(succeed(driver.started[0]))
+    assert order == ["RequestReceived", "written", "AttemptEnded"]
+
+
+def test_a_hedged_attempt_ends_as_completed_and_its_response_goes_to_nobody(driver: DispatcherDriver) -> None:
+    driver.policy.decide = lambda event: 2 * send(event)
+    driver.receive()
+    first, second = driver.started
+    driver.enqueue(succeed(second))
+    driver.enqueue(succeed(first))
+    assert len(driver.responses) == 1
+    assert driver.policy.ended() == [(1, Outcome.SUCCESS, True), (0, Outcome.SUCCESS, True)]
+    assert not driver.dispatcher.active_requests
+
+
+def test_a_cancelled_attempt_is_closed_at_once_and_its_end_comes_after_the_action(
+    driver: DispatcherDriver,
+) -> None:
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, AttemptEnded) and event.outcome is Outcome.SUCCESS:
+            return [CancelAttempt(1, 0), CancelAttempt(1, 0)]
+        return 2 * send(event)
+
+    driver.policy.decide = decide
+    driver.receive()
+    first, second = driver.started
+    driver.now += 7 * MS
+    driver.enqueue(succeed(second))
+    assert driver.aborted == [first]
+    assert driver.policy.ended() == [(1, Outcome.SUCCESS, True), (0, Outcome.CANCELLED, True)]
+    assert not driver.dispatcher.active_requests
+
+
+def test_an_attempt_times_out_with_the_client_and_the_response_is_still_owed(
+    driver: DispatcherDriver,
+) -> None:
+    def decide(event: Event) -> list[Action]:
+        return [FailRequest(1)] if isinstance(event, AttemptEnded) else send(event)
+
+    driver.policy.decide = decide
+    driver.receive(timeout=300 * MS)
+    driver.wait(299 * MS)
+    assert not driver.aborted
+    driver.wait(1 * MS)
+    assert driver.aborted == driver.started
+    assert driver.policy.ended() == [(0, Outcome.TIMEOUT, False)]
+    assert driver.responses == [FinalResponse(502)]
+
+
+def test_an_attempts_own_timeout_ends_it_sooner(driver: DispatcherDriver) -> None:
+    def decide(event: Event) -> list[Action]:
+        return [StartAttempt(1, "a", 50 * MS)] if isinstance(event, RequestReceived) else []
+
+    driver.policy.decide = decide
+    driver.receive()
+    driver.wait(50 * MS)
+    assert driver.policy.ended() == [(0, Outcome.TIMEOUT, False)]
+
+
+def test_a_rejection_carries_its_advice_and_a_late_response_changes_nothing(driver: DispatcherDriver) -> None:
+    def decide(event: Event) -> list[Action]:
+        return [*send(event), RejectRequest(1, 250 * MS)]
+
+    driver.policy.decide = decide
+    driver.receive()
+    driver.enqueue(succeed(driver.started[0]))
+    assert driver.responses == [FinalResponse(503, retry_after=250 * MS)]
+    assert driver.policy.ended() == [(0, Outcome.SUCCESS, True)]
+
+
+def test_a_disconnected_client_is_notified_once_and_owed_nothing(driver: DispatcherDriver) -> None:
+    def decide(event: Event) -> list[Action]:
+        return [CancelAttempt(1, 0)] if isinstance(event, ClientDisconnected) else send(event)
+
+    driver.policy.decide = decide
+    driver.receive()
+    driver.enqueue(DisconnectedClient(1))
+    driver.enqueue(DisconnectedClient(1))
+    assert [type(event) for _, event in driver.policy.events].count(ClientDisconnected) == 1
+    assert driver.aborted == driver.started and not driver.responses
+    assert not driver.dispatcher.active_requests
+
+
+def test_due_timers_come_before_later_events_each_at_its_own_time(driver: DispatcherDriver) -> None:
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, RequestReceived):
+            return [SetTimer(30 * MS, "late"), SetTimer(10 * MS, "soon"), SetTimer(10 * MS, "then")]
+        return []
+
+    driver.policy.decide = decide
+    at = driver.now
+    driver.receive()
+    driver.now += 100 * MS
+    driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=at + 20 * MS)
+    events = [(now - at, getattr(e, "token", type(e).__name__)) for now, e in driver.policy.events[1:]]
+    assert events[:3] == [(10 * MS, "soon"), (10 * MS, "then"), (20 * MS, "EndpointListUpdate")]
+    driver.wait(0)
+    late_at, late = driver.policy.events[4]
+    assert (late_at - at, late) == (30 * MS, TimerFired("late"))
+
+
+def test_the_policys_clock_never_goes_back(driver: DispatcherDriver) -> None:
+    driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=driver.now + 5)
+    driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=driver.now)
+    times = [now for now, _ in driver.policy.events]
+    assert times == sorted(times)
+
+
+def test_the_dispatchers_own_lag_does_not_count_as_latency(driver: DispatcherDriver) -> None:
+    """A busy moment would look like slow endpoints: an event has the time at which the socket showed it."""
+    driver.policy.decide = send
+    driver.receive()
+    seen_at = driver.now + 5 * MS
+    driver.now += 500 * MS
+    driver.enqueue(succeed(driver.started[0]), seen_at=seen_at)
+    now, event = driver.policy.events[-1]
+    assert isinstance(event, AttemptEnded) and event.latency == 5 * MS and now == seen_at
+
+
+def test_a_completed_request_frees_its_body_before_its_timers_are_due(driver: DispatcherDriver) -> None:
+    """The timer of an attempt remains for seconds after the response."""
+
+    class Reply:
+        def __call__(self, final: FinalResponse) -> None:
+            self.final = final
+
+    reply = Reply()
+    reference = weakref.ref(reply)
+    driver.policy.decide = send
+    driver.enqueue(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), reply))
+    del reply
+    assert reference() is not None
+    driver.enqueue(succeed(driver.started[0]))
+    gevent.sleep(0)
+    assert driver.dispatcher.timers and reference() is None
+    assert driver.started[0].request.client_request is not GET
+
+
+def test_the_policy_can_subscribe_to_endpoints(driver: DispatcherDriver) -> None:
+    driver.policy.decide = lambda event: [WatchEndpoints(True)]
+    driver.enqueue(EndpointListUpdate(ListForm.CACHED))
+    assert driver.watch_count == 1
+
+
+def test_an_action_never_seen_before_ends_the_greenlet(driver: DispatcherDriver) -> None:
+    driver.policy.decide = lambda event: [SendHealthCheck("a")]
+    driver.enqueue(EndpointListUpdate(ListForm.CACHED))
+    with gevent.Timeout(PATIENCE):
+        driver.greenlet.join()
+    assert isinstance(driver.greenlet.exception, NotImplementedError)
+
+
+class RandomPolicy:
+    """Starts, cancels and completes at random, within what the policy's interface allows."""
+
+    def __init__(self, draw: Callable[[int], int]) -> None:
+        self.draw = draw
+        self.attempt_counts: dict[int, int] = {}
+        self.completed: set[int] = set()
+        self.ended: list[tuple[int, int]] = []
+
+    def handle(self, now: int, event: Event) -> list[Action]:
+        if not isinstance(event, RequestReceived | AttemptEnded | ClientDisconnected):
+            return []
+        request_id = event.request_id
+        if isinstance(event, AttemptEnded):
+            self.ended.append((request_id, event.attempt))
+            is_completed = request_id in self.completed or event.outcome is Outcome.SUCCESS
+            assert event.request_completed == is_completed
+        if isinstance(event, ClientDisconnected) or (
+            isinstance(event, AttemptEnded) and event.request_completed
+        ):
+            self.completed.add(request_id)
+        if request_id in self.completed:
+            attempts = range(self.attempt_counts.get(request_id, 0))
+            return [CancelAttempt(request_id, attempt) for attempt in attempts if self.draw(2)]
+        return self.proceed(request_id)
+
+    def proceed(self, request_id: int) -> list[Action]:
+        """Start one or two attempts, or complete the request."""
+        attempt_count = self.attempt_counts.get(request_id, 0)
+        if attempt_count < 4 and self.draw(3):
+            starts = 1 + self.draw(2)
+            self.attempt_counts[request_id] = attempt_count + starts
+            return [StartAttempt(request_id, "a", self.draw(2) * 100 * MS) for _ in range(starts)]
+        self.completed.add(request_id)
+        final: list[Action] = [RejectRequest(request_id) if self.draw(2) else FailRequest(request_id)]
+        return final + [CancelAttempt(request_id, 0)] * self.draw(2)
+
+
+REQUEST_IDS = range(1, 9)
+
+
+@given(st.integers(0, 2**32))
+def test_every_attempt_ends_once_and_every_request_is_answered_once(seed: int) -> None:
+    # not drawn from hypothesis itself: the dispatcher's greenlet, too, takes from it
+    random = Random(seed)
+    with pytest.MonkeyPatch.context() as patch:
+        driver = DispatcherDriver(patch)
+        policy = RandomPolicy(random.randrange)
+        driver.dispatcher.policy = policy
+        responses: dict[int, int] = {}
+        disconnected: set[int] = set()
+        for request_id in REQUEST_IDS:
+
+            def reply(final: FinalResponse, request_id: int = request_id) -> None:
+                responses[request_id] = responses.get(request_id, 0) + 1
+
+            driver.enqueue(IncomingRequest(GET, RequestReceived(request_id, 0, 300 * MS), reply))
+            if random.random() < 0.2:
+                disconnected.add(request_id)
+                driver.enqueue(DisconnectedClient(request_id))
+            finish_some(driver, random)
+            driver.wait(random.randrange(150) * MS)
+        for _ in range(12):
+            driver.wait(300 * MS)
+        assert all(attempt.has_ended for attempt in driver.started)
+        started = sorted((attempt.request.request_id, attempt.index) for attempt in driver.started)
+        assert sorted(policy.ended) == started
+        assert all(responses.get(n, 0) == 1 for n in REQUEST_IDS if n not in disconnected)
+        assert all(count == 1 for count in responses.values())
+        assert not driver.dispatcher.active_requests
+        driver.greenlet.kill()
+
+
+def finish_some(driver: DispatcherDriver, random: Random) -> None:
+    """End two in five of the attempts in flight, half of them well."""
+    for attempt in driver.started:
+        if not attempt.has_ended and random.random() < 0.4:
+            attempt.has_ended = True
+            if random.random() < 0.5:
+                finished = FinishedAttempt(attempt, Outcome.SUCCESS, MS, Response(200, b""))
+            else:
+                finished = FinishedAttempt(attempt, Outcome.RESET, MS)
+            driver.enqueue(finished)
