--- a/linetrack/cli/common.py
+++ b/linetrack/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit statuses, options, reading experiment files, printing figures."""
+"""What the commands share: exit statuses, options, reading experiment files, printing metrics."""
 
 from __future__ import annotations
 
@@ -91,13 +91,13 @@
     return folder
 
 
-def print_figures(columns: Mapping[str, Mapping[str, float]], as_json: bool) -> None:
+def print_metrics(columns: Mapping[str, Mapping[str, float]], as_json: bool) -> None:
     """Print a table with a column for each name, or JSON."""
     if as_json:
         click.echo(json.dumps(columns))
         return
     table = Table("figure", *columns)
-    for figure in dict.fromkeys(figure for values in columns.values() for figure in values):
-        cells = (f"{values[figure]:.4g}" if figure in values else "" for values in columns.values())
-        table.add_row(figure, *cells)
+    for metric in dict.fromkeys(metric for values in columns.values() for metric in values):
+        cells = (f"{values[metric]:.4g}" if metric in values else "" for values in columns.values())
+        table.add_row(metric, *cells)
     Console().print(table)
--- a/linetrack/cli/emulation.py
+++ b/linetrack/cli/emulation.py
@@ -20,7 +20,7 @@
     json_option,
     ledger_folder,
     ledgers_option,
-    print_figures,
+    print_metrics,
     read_experiment_or_exit,
     seed_option,
     set_option,
@@ -98,7 +98,7 @@
     """Send the load of an experiment file to addresses on loopback, on time whatever is answered."""
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.ledger import now
-    from linetrack.experiments.load_figures import load_figures
+    from linetrack.experiments.load_metrics import load_metrics
     from linetrack.load.workers import WorkerGroup
 
     experiment, path = read_experiment_or_exit(path, overrides)
@@ -116,9 +116,9 @@
         exit_bad_input(error)
     except ChildFailedError as error:
         exit_invalid(error)
-    figures = load_figures(folder, start, counts)
-    print_figures({"load": figures}, as_json)
-    is_on_time = figures["late"] <= experiment.load.max_late_share
+    metrics = load_metrics(folder, start, counts)
+    print_metrics({"load": metrics}, as_json)
+    is_on_time = metrics["late"] <= experiment.load.max_late_share
     sys.exit(ExitStatus.HELD if is_on_time else ExitStatus.INVALID)
 
 
--- a/linetrack/cli/experiment.py
+++ b/linetrack/cli/experiment.py
@@ -22,7 +22,7 @@
     exit_bad_input,
     exit_invalid,
     json_option,
-    print_figures,
+    print_metrics,
     read_experiment_or_exit,
     set_option,
 )
@@ -114,6 +114,7 @@
         self._tasks: dict[str, TaskID] = {}
 
     def update(self, run: str, fraction: float) -> None:
+        """Show how much of a run is done."""
         if run not in self._tasks:
             self._tasks[run] = self._progress.add_task(run, total=1.0)
         self._progress.update(self._tasks[run], completed=fraction)
@@ -135,7 +136,7 @@
     shown = {
         "verdict": results.verdict,
         "bounds": results.bounds,
-        "figures": {name: arm.figures for name, arm in results.arms.items()},
+        "figures": {name: arm.metrics for name, arm in results.arms.items()},
         "out": str(out),
     }
     click.echo(json.dumps(msgspec.to_builtins(shown)))
@@ -143,10 +144,10 @@
 
 def _print_results(results: Results, out: Path) -> None:
     medians = {
-        name: {figure: values.median for figure, values in (arm.figures or {}).items()}
+        name: {metric: values.median for metric, values in (arm.metrics or {}).items()}
         for name, arm in results.arms.items()
     }
-    print_figures(medians, as_json=False)
+    print_metrics(medians, as_json=False)
     _print_bounds(results.bounds or [])
     held = [run.audit["held"] for run in results.arms["main"].runs]
     click.echo(f"the four rules: {'held' if all(held) else 'BROKEN'} in {sum(held)} of {len(held)} runs")
@@ -163,7 +164,7 @@
             low = bound.found.low
             high = bound.found.high
         held = "held" if bound.held else "NOT HELD"
-        table.add_row(bound.figure, bound.bound, f"{median:.4g}", f"{low:.4g} to {high:.4g}", held)
+        table.add_row(bound.metric, bound.bound, f"{median:.4g}", f"{low:.4g} to {high:.4g}", held)
     Console().print(table)
 
 
--- a/linetrack/experiments/arms.py
+++ b/linetrack/experiments/arms.py
@@ -15,7 +15,7 @@
 
 @dataclass
 class Arm:
-    """One way in which an experiment is run, and the bounds on its figures or differences."""
+    """One way in which an experiment is run, and the bounds on its metrics or differences."""
 
     name: str
     policy: PolicyName
--- a/linetrack/experiments/latency.py
+++ b/linetrack/experiments/latency.py
@@ -1,4 +1,4 @@
-"""Percentiles of latencies, and intervals of figures over several seeds."""
+"""Percentiles of latencies, and intervals of metrics over several seeds."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
     if not latencies:
         return {}
     made = histogram(latencies)
-    figures = {
+    metrics = {
         prefix + name: made.get_value_at_percentile(percentile) / 1000
         for name, percentile in PERCENTILES.items()
     }
-    figures[prefix + "mean_ms"] = float(np.mean(latencies)) / 1000
-    return figures
+    metrics[prefix + "mean_ms"] = float(np.mean(latencies)) / 1000
+    return metrics
 
 
 def interval(values: Sequence[float]) -> Interval:
--- a/linetrack/experiments/load_figures.py
+++ b/linetrack/experiments/load_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of load that was sent without an experiment around it."""
+"""The metrics of load that was sent without an experiment around it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from linetrack.experiments.measurements import client_outcomes
 
 
-def load_figures(folder: Path, start: int, counts: Mapping[str, int]) -> dict[str, float]:
-    """The figures of the requests that were due from `start` on."""
+def load_metrics(folder: Path, start: int, counts: Mapping[str, int]) -> dict[str, float]:
+    """The metrics of the requests that were due from `start` on."""
     outcomes = client_outcomes(read_events(folder, LOAD_LEDGERS))
     requests = [one for one in outcomes if one.due_at >= start]
     served = [one for one in requests if one.served_at is not None]
--- a/linetrack/experiments/measurements.py
+++ b/linetrack/experiments/measurements.py
@@ -1,6 +1,6 @@
-"""The figures of one run, worked out from its ledgers.
+"""The metrics of one run, worked out from its ledgers.
 
-Knows how each figure of `schema.FIGURES` is worked out, and judges none.
+Knows how each metric of `schema.METRICS` is worked out, and judges none.
 """
 
 from __future__ import annotations
@@ -119,7 +119,7 @@
 def measure_run(
     experiment: Experiment, folder: Path, findings: Findings, counts: Counts
 ) -> tuple[dict[str, float], Series]:
-    """The figures of the run in a folder, and what the plots show."""
+    """The metrics of the run in a folder, and what the plots show."""
     run = _Run(
         experiment=experiment,
         facts=read_facts(folder),
@@ -130,28 +130,28 @@
         run.all_outcomes, run.classes, run.facts.start, round(experiment.length_s * 1e6)
     )
     attempts_by_upstream = _attempts_by_upstream(run)
-    figures: dict[str, float] = {
-        **_request_figures(run),
-        **_cost_figures(run, counts),
+    metrics: dict[str, float] = {
+        **_request_metrics(run),
+        **_cost_metrics(run, counts),
         "crashed": run.facts.crashes,
         **{rule.value: findings.breaches[rule] for rule in Rule},
-        **_discovery_figures(run),
+        **_discovery_metrics(run),
     }
     if run.facts.sidecar_zones:
-        figures["crossings"] = _cross_zone_share(run)
-    figures["goal"] = _goal_figure(run, weight, figures)
+        metrics["crossings"] = _cross_zone_share(run)
+    metrics["goal"] = _goal_metric(run, weight, metrics)
     if experiment.faults:
-        figures["recovers_s"] = _recovery_figure(experiment, weight)
+        metrics["recovers_s"] = _recovery_metric(experiment, weight)
     if experiment.direct:
-        figures |= latency_differences(experiment, run.facts.start, run.sent, figures)
-    figures["uneven"] = _unevenness(experiment, attempts_by_upstream)
-    return figures, Series(weight, attempts_by_upstream, _latency_curves(run))
+        metrics |= latency_differences(experiment, run.facts.start, run.sent, metrics)
+    metrics["uneven"] = _unevenness(experiment, attempts_by_upstream)
+    return metrics, Series(weight, attempts_by_upstream, _latency_curves(run))
 
 
-# --- Groups of figures -------------------------------------------------------------------------------------
+# --- Groups of metrics -------------------------------------------------------------------------------------
 
 
-def _request_figures(run: _Run) -> dict[str, float]:
+def _request_metrics(run: _Run) -> dict[str, float]:
     offered_weight = sum(run.classes[one.class_name].priority_weight for one in run.outcomes)
     served_weight = sum(run.classes[one.class_name].priority_weight for one in run.in_time)
     count = max(1, len(run.outcomes))
@@ -171,7 +171,7 @@
     }
 
 
-def _cost_figures(run: _Run, counts: Counts) -> dict[str, float]:
+def _cost_metrics(run: _Run, counts: Counts) -> dict[str, float]:
     sent = max(1, len({event.trace for event in run.sent}))
     return {
         "dialled": counts.dialled / sent,
@@ -181,7 +181,7 @@
     }
 
 
-def _discovery_figures(run: _Run) -> dict[str, float]:
+def _discovery_metrics(run: _Run) -> dict[str, float]:
     calls = sum(isinstance(event, DiscoveryCalled) for event in run.emulator)
     return {"discovery_calls": calls / run.experiment.length_s}
 
@@ -198,28 +198,28 @@
     return len(crossing) / max(1, len(run.attempts))
 
 
-def _goal_figure(run: _Run, weight: WeightBySecond, figures: dict[str, float]) -> float:
+def _goal_metric(run: _Run, weight: WeightBySecond, metrics: dict[str, float]) -> float:
     goal = run.experiment.goal
     shares = [
         sum(one.class_name == name for one in run.in_time) / count
         for name in run.classes
         if (count := sum(one.class_name == name for one in run.outcomes))
     ]
-    retries = max(0.0, figures["attempts"] - 1)
+    retries = max(0.0, metrics["attempts"] - 1)
     return (
         goal_value(goal, weight, run.counted_from - run.facts.start, min(shares, default=0.0))
-        - goal.cross_zone_cost * figures.get("crossings", 0.0)
+        - goal.cross_zone_cost * metrics.get("crossings", 0.0)
         - goal.wasted_work_cost * retries
     )
 
 
-def _recovery_figure(experiment: Experiment, weight: WeightBySecond) -> float:
+def _recovery_metric(experiment: Experiment, weight: WeightBySecond) -> float:
     first = min(fault.at_s for fault in experiment.faults)
     last = max(fault.at_s + fault.duration_s for fault in experiment.faults)
     return recovery_seconds(weight, first, last)
 
 
-# --- Single figures ----------------------------------------------------------------------------------------
+# --- Single metrics ----------------------------------------------------------------------------------------
 
 
 def weight_by_second(
--- a/linetrack/experiments/play.py
+++ b/linetrack/experiments/play.py
@@ -74,10 +74,10 @@
 
 
 def judge(experiment: Experiment, results: Results) -> None:
-    """Add the figures over all seeds, each bound with what was found, and the verdict."""
+    """Add the metrics over all seeds, each bound with what was found, and the verdict."""
     main = results.arms[MAIN_ARM]
     for name, result in results.arms.items():
-        result.figures = _intervals(result.runs)
+        result.metrics = _intervals(result.runs)
         if name != MAIN_ARM:
             result.differences = _differences(main, result)
     bounds: list[BoundResult] = []
@@ -91,37 +91,37 @@
 
 
 def _intervals(runs: list[RunResult]) -> dict[str, Interval]:
-    """Each figure that every run has."""
+    """Each metric that every run has."""
     return {
-        figure: interval([run.figures[figure] for run in runs])
-        for figure in runs[0].figures
-        if all(figure in run.figures for run in runs)
+        metric: interval([run.metrics[metric] for run in runs])
+        for metric in runs[0].metrics
+        if all(metric in run.metrics for run in runs)
     }
 
 
 def _differences(main: ArmResult, other: ArmResult) -> dict[str, Interval]:
     """Differences of the main arm from another one, paired by seed."""
-    assert main.figures is not None
-    assert other.figures is not None
+    assert main.metrics is not None
+    assert other.metrics is not None
     pairs = list(zip(main.runs, other.runs, strict=True))
     return {
-        figure: interval([ours.figures[figure] - theirs.figures[figure] for ours, theirs in pairs])
-        for figure in other.figures
-        if figure in main.figures
+        metric: interval([ours.metrics[metric] - theirs.metrics[metric] for ours, theirs in pairs])
+        for metric in other.metrics
+        if metric in main.metrics
     }
 
 
 def _judge_arm(arm: Arm, result: ArmResult) -> list[BoundResult]:
-    """The bounds on the figures of the main arm, or on the differences of another one."""
-    found = result.figures if arm.is_main else result.differences
+    """The bounds on the metrics of the main arm, or on the differences of another one."""
+    found = result.metrics if arm.is_main else result.differences
     assert found is not None
     bounds = []
-    for figure, text in arm.expect.items():
+    for metric, text in arm.expect.items():
         bound = Bound.parse(text)
-        value = found.get(figure)
+        value = found.get(metric)
         bounds.append(
             BoundResult(
-                figure=figure if arm.is_main else f"{figure}, beside {arm.name}",
+                metric=metric if arm.is_main else f"{metric}, beside {arm.name}",
                 bound=str(bound),
                 found=value,
                 held=value is not None and bound.holds(value.median),
--- a/linetrack/experiments/queue_comparison.py
+++ b/linetrack/experiments/queue_comparison.py
@@ -13,14 +13,14 @@
 
 
 def latency_differences(
-    experiment: Experiment, start: int, sent: list[RequestSent], figures: dict[str, float]
+    experiment: Experiment, start: int, sent: list[RequestSent], metrics: dict[str, float]
 ) -> dict[str, float]:
     """The largest relative difference of the latencies measured from those of the model."""
     model = model_latencies(experiment, start, sent)
     rare = {RARE_PERCENTILE: model.pop(RARE_PERCENTILE)}
     return {
-        "disagrees_p999": _largest_difference(figures, rare),
-        "disagrees": _largest_difference(figures, model),
+        "disagrees_p999": _largest_difference(metrics, rare),
+        "disagrees": _largest_difference(metrics, model),
     }
 
 
--- a/linetrack/experiments/report.py
+++ b/linetrack/experiments/report.py
@@ -1,6 +1,6 @@
 """Results as one self-contained HTML page with plots.
 
-Shows what `results.json` holds; it works out no figure and judges none.
+Shows what `results.json` holds; it works out no metric and judges none.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from matplotlib.figure import Figure
 
 from linetrack.experiments.results import MAIN_ARM, ArmResult, Results, read_results
-from linetrack.experiments.schema import FIGURES
+from linetrack.experiments.schema import METRICS
 
 REPORT_FILE = "report.html"
 STYLE = """body{font:15px/1.5 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
@@ -80,20 +80,20 @@
         if found is not None:
             shown = " ".join(_number(value) for value in (found.median, found.low, found.high))
         verdict = "<span class=held>held</span>" if bound.held else "<span class=not_held>not held</span>"
-        rows.append([html.escape(bound.figure), html.escape(bound.bound), shown, verdict])
+        rows.append([html.escape(bound.metric), html.escape(bound.bound), shown, verdict])
     return _table(["figure", "bound", "median and 90 % interval", ""], rows)
 
 
 def _arm_section(name: str, arm: ArmResult) -> list[str]:
     rows = [
         [
-            html.escape(figure),
+            html.escape(metric),
             _number(values.median),
             _number(values.low),
             _number(values.high),
-            html.escape(FIGURES[figure]),
+            html.escape(METRICS[metric]),
         ]
-        for figure, values in (arm.figures or {}).items()
+        for metric, values in (arm.metrics or {}).items()
     ]
     table = _table(["figure", "median", "5 %", "95 %", ""], rows)
     parts = [f"<h2>Figures: {html.escape(name)}</h2>", table]
--- a/linetrack/experiments/results.py
+++ b/linetrack/experiments/results.py
@@ -39,11 +39,11 @@
 
 
 class RunResult(
-    msgspec.Struct, frozen=True, rename={"figures": "values", "is_valid": "valid", "is_partial": "partial"}
+    msgspec.Struct, frozen=True, rename={"metrics": "values", "is_valid": "valid", "is_partial": "partial"}
 ):
     """One seed of one arm."""
 
-    figures: dict[str, float]
+    metrics: dict[str, float]
     series: Series
     seed: int
     audit: dict[str, Any]  # as `audit.summary` gives it
@@ -51,20 +51,20 @@
     is_partial: bool
 
 
-class ArmResult(msgspec.Struct, omit_defaults=True):
-    """All seeds of one arm; figures and differences are there once the experiment is complete."""
+class ArmResult(msgspec.Struct, omit_defaults=True, rename={"metrics": "figures"}):
+    """All seeds of one arm; metrics and differences are there once the experiment is complete."""
 
     policy: str
     build: str
     runs: list[RunResult]
-    figures: dict[str, Interval] | None = None
+    metrics: dict[str, Interval] | None = None
     differences: dict[str, Interval] | None = None  # of the main arm less this one
 
 
-class BoundResult(msgspec.Struct, frozen=True):
+class BoundResult(msgspec.Struct, frozen=True, rename={"metric": "figure"}):
     """One bound, and what was found."""
 
-    figure: str
+    metric: str
     bound: str
     found: Interval | None
     held: bool
--- a/linetrack/experiments/run.py
+++ b/linetrack/experiments/run.py
@@ -86,13 +86,13 @@
             memory_mb=round(max((sidecar.max_memory_mb for sidecar in self.sidecars), default=0.0), 1),
         )
         findings = audit(self.folder)
-        figures, series = measure_run(self.experiment, self.folder, findings, counts)
+        metrics, series = measure_run(self.experiment, self.folder, findings, counts)
         return RunResult(
-            figures=figures,
+            metrics=metrics,
             series=series,
             seed=self.seed,
             audit=summary(findings),
-            is_valid=figures["late"] <= self.load.max_late_share,
+            is_valid=metrics["late"] <= self.load.max_late_share,
             is_partial=False,
         )
 
--- a/linetrack/experiments/schema.py
+++ b/linetrack/experiments/schema.py
@@ -1,6 +1,6 @@
 """An experiment file (YAML, version 1): topology, load, faults, and the bounds that it must hold.
 
-The only module that knows its keys and checks, and the names of all figures.
+The only module that knows its keys and checks, and the names of all metrics.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from linetrack.emulator.timeline import FaultError, timeline
 from linetrack.load.schema import Load
 
-#: Every figure that a run gives, and what it means.
-FIGURES = {
+#: Every metric that a run gives, and what it means.
+METRICS = {
     "requests": "clients' requests, retries not counted",
     "in_time": "share of requests served within their class's latency objective, from the scheduled time",
     "served": "share of requests served at all, retries included",
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
-    """A bound on a figure, such as `>= 0.95`, `== 0` or `<= 5 %`."""
+    """A bound on a metric, such as `>= 0.95`, `== 0` or `<= 5 %`."""
 
     comparison: str
     value: float
@@ -160,7 +160,7 @@
         "wasted_work_cost": "waste",
     },
 ):
-    """One figure for a whole day: weighted shares of priority weight served in time, less costs."""
+    """One metric for a whole day: weighted shares of priority weight served in time, less costs."""
 
     weight_of_total: Fraction = 0.7
     weight_of_worst_window: Fraction = 0.2
@@ -177,7 +177,7 @@
     name: Name
     question: Annotated[str, Meta(min_length=1)]
     length_s: Annotated[float, Meta(gt=0, le=7200)] = 10.0
-    warm_s: NotNegative = 1.0  # at the beginning, which figures leave out
+    warm_s: NotNegative = 1.0  # at the beginning, which metrics leave out
     seeds: Annotated[tuple[int, ...], Meta(min_length=1)] = (1,)
     sidecars: Sidecars = Sidecars()
     direct: bool = False  # load goes to the upstreams themselves, with no sidecar between
@@ -192,9 +192,9 @@
     def __post_init__(self) -> None:
         """Check the tables against one another."""
         for bounds in (self.expect, *(comparison.expect for comparison in self.comparisons)):
-            for figure, text in bounds.items():
-                if figure not in FIGURES:
-                    raise ValueError(f"expected one of the figures for {figure!r}: {', '.join(FIGURES)}")
+            for metric, text in bounds.items():
+                if metric not in METRICS:
+                    raise ValueError(f"expected one of the figures for {metric!r}: {', '.join(METRICS)}")
                 Bound.parse(text)
         if self.warm_s >= self.length_s:
             raise ValueError("expected warm_s to be less than length_s")
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiment files, figures and verdicts, and experiments on loopback."""
+"""Experiment files, metrics and verdicts, and experiments on loopback."""
 
 import json
 import os
@@ -31,7 +31,7 @@
     WeightBySecond,
 )
 from linetrack.experiments.run import Run
-from linetrack.experiments.schema import FIGURES, Bound, Goal, read_experiment
+from linetrack.experiments.schema import METRICS, Bound, Goal, read_experiment
 from linetrack.experiments.sidecar_process import RunError
 from linetrack.policy.actions import FailRequest, StartAttempt
 from linetrack.policy.events import (
@@ -132,18 +132,18 @@
     assert Bound.parse(text).holds(value) is held
 
 
-def run_result(figures: dict[str, float], is_valid: bool = True) -> RunResult:
+def run_result(metrics: dict[str, float], is_valid: bool = True) -> RunResult:
     series = Series(WeightBySecond([], []), {}, {})
-    return RunResult(figures, series, 1, {"named": {}}, is_valid, False)
+    return RunResult(metrics, series, 1, {"named": {}}, is_valid, False)
 
 
 def test_a_verdict_needs_every_bound_and_a_machine_in_time() -> None:
     experiment = read_experiment(ROOT / "experiments" / "calm.yaml")
 
     def verdict(in_time: float, valid: bool = True, other: float = 0.9) -> Verdict | None:
-        figures = {**dict.fromkeys(FIGURES, 0.0), "in_time": in_time}
-        runs = [run_result(figures, valid)] * 3
-        others = [run_result({**figures, "in_time": other})] * 3
+        metrics = {**dict.fromkeys(METRICS, 0.0), "in_time": in_time}
+        runs = [run_result(metrics, valid)] * 3
+        others = [run_result({**metrics, "in_time": other})] * 3
         arms = {"main": ArmResult("linetrack", "", runs), "random": ArmResult("random", "", others)}
         results = Results("calm", "", False, [], 0.0, arms)
         judge(experiment, results)
