--- a/linetrack/config/operators.py
+++ b/linetrack/config/operators.py
@@ -104,7 +104,7 @@
     kw_only=True,
     rename={"enabled": "damp", "retry_after_in_whole_seconds": "whole_seconds"},
 ):
-    """Retry storms (docs/storms/operate.md)."""
+    """Retry storms (docs/operating/overload-control.md)."""
 
     enabled: bool = False  # admit by goodput while most requests fail, and remember callers' keys
     retry_after_in_whole_seconds: bool = False  # for callers that read only those
--- a/linetrack/control/discovery_schedule.py
+++ b/linetrack/control/discovery_schedule.py
@@ -2,7 +2,7 @@
 
 A change of the endpoint list is binding for an instance from a moment that the protocol names, whether or
 not the instance has received it.  Every decision here follows from that moment, `binding_deadline`;
-`docs/list.md` has the table of all cases.
+`docs/design/endpoint-list.md` has the table of all cases.
 
 The schedule keeps that moment, the count of consecutive failures and the jitter that spreads polls over the
 fleet.  It makes no poll itself and reads no clock: `server/discovery_client.py` makes the polls.  All times
--- a/linetrack/policy/balancer.py
+++ b/linetrack/policy/balancer.py
@@ -3,7 +3,7 @@
 The events are in `linetrack/policy/events.py`, the actions in `linetrack/policy/actions.py`, the settings
 in `linetrack/policy/settings.py`; these and `linetrack/policy/protocols.py` are the whole interface.  The
 mechanism, after "Load Balancing in FoundationDB", is in `linetrack/policy/candidate_selection.py` and
-`linetrack/policy/attempts.py`; `docs/design.md` lists each departure and when it acts.
+`linetrack/policy/attempts.py`; `docs/design/policy.md` lists each departure and when it acts.
 """
 
 from __future__ import annotations
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -5,8 +5,8 @@
 penalty, none removed.  The first attempt goes to the first one.  The second is for a hedged attempt, if the
 first is silent for long, or for the retry after it fails.  Further retries rotate through the rest.
 
-Departures from the note, all listed in `docs/design.md`: the first candidate is usually of the own zone, and
-of another one only where the value gained exceeds the price of crossing.
+Departures from the note, all listed in `docs/design/policy.md`: the first candidate is usually of the own
+zone, and of another one only where the value gained exceeds the price of crossing.
 """
 
 from __future__ import annotations
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -1,6 +1,6 @@
 """Clients that disconnect while their requests are pending: nothing more is started for them.
 
-Each crossing is forced over loopback sockets in this process; `docs/endings.md` lists all of them.
+Each crossing is forced over loopback sockets in this process; `docs/design/termination.md` lists all of them.
 """
 
 from __future__ import annotations
