--- /dev/null
+++ b/tests/docs/test_named_code.py
@@ -0,0 +1,62 @@
+"""What a page names of the code exists: a module by its path, and a class, function or member behind it."""
+
+import ast
+import re
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent.parent
+PAGES = ("README.md", "docs/architecture.md", "docs/glossary.md")
+#: `server/listener.py: Listener.accept`; the path starts at the root or in linetrack/.
+NAMED = re.compile(r"`((?:[\w.]+/)+\w+\.py)(?:: ([A-Za-z_][\w.]*))?`")
+
+
+def find_module(path: str) -> Path | None:
+    """Return the file that a page names, or None where there is none."""
+    return next((file for file in (ROOT / path, ROOT / "linetrack" / path) if file.is_file()), None)
+
+
+def defined_names(module: Path) -> set[str]:
+    """Return all that a module defines: its own names, and members as `Class.member`."""
+    names: set[str] = set()
+    for node in ast.parse(module.read_text()).body:
+        names |= _names_of(node)
+        if isinstance(node, ast.ClassDef):
+            names |= {f"{node.name}.{member}" for member in _members_of(node)}
+    return names
+
+
+def _names_of(node: ast.stmt) -> set[str]:
+    match node:
+        case ast.ClassDef(name=name) | ast.FunctionDef(name=name):
+            return {name}
+        case ast.Assign(targets=targets):
+            return {target.id for target in targets if isinstance(target, ast.Name)}
+        case ast.AnnAssign(target=ast.Name(id=name)):
+            return {name}
+    return set()
+
+
+def _members_of(class_: ast.ClassDef) -> set[str]:
+    members = {name for statement in class_.body for name in _names_of(statement)}
+    # attributes that a constructor sets
+    return members | {
+        node.attr
+        for node in ast.walk(class_)
+        if isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store)
+        if isinstance(node.value, ast.Name) and node.value.id == "self"
+    }
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_what_a_page_names_exists(page: str) -> None:
+    named = NAMED.findall((ROOT / page).read_text())
+    assert named, "the page names no code"
+    missing = [f"{path}: {name}" if name else path for path, name in named if not _exists(path, name)]
+    assert not missing
+
+
+def _exists(path: str, name: str) -> bool:
+    module = find_module(path)
+    return module is not None and (not name or name in defined_names(module))
