--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -261,9 +261,7 @@
         log.warning("response_malformed", endpoint=self.attempt.endpoint, fault=str(error))
         self._finish(Outcome.ERROR)
 
-    def _finish(
-        self, outcome: Outcome, response: Response | None = None, seen_at: int | None = None
-    ) -> None:
+    def _finish(self, outcome: Outcome, response: Response | None = None, seen_at: int | None = None) -> None:
         """Report the attempt's end, unless it has ended."""
         attempt = self.attempt
         if attempt.has_ended:
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -19,18 +19,18 @@
 from linetrack.control.connection_slots import ConnectionSlots, SlotState
 from linetrack.policy.events import RequestReceived
 from linetrack.server import client_timeouts
+from linetrack.server.active_request import FinalResponse
 from linetrack.server.budget import Budget
 from linetrack.server.client_timeouts import body_timeout
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.active_request import FinalResponse
 from linetrack.server.dispatcher import Dispatcher
-from linetrack.server.notifications import IncomingRequest
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
 from linetrack.server.http1.requests import READINESS_PATH, ClientRequest, RequestReader
 from linetrack.server.http1.responses import CONTINUE_RESPONSE, encode_response
 from linetrack.server.lingering_close import discard_until_close
 from linetrack.server.memory_budget import SMALL_BODY_BYTES
+from linetrack.server.notifications import IncomingRequest
 from linetrack.server.pending_request import PendingRequest
 from linetrack.server.request_upload import RequestUpload
 from linetrack.server.request_validation import RequestValidator
@@ -326,7 +326,7 @@
         else:
             self.watcher.start(self._on_readable, pending)
         try:
-            response = pending.result.get()
+            response: FinalResponse | None = pending.result.get()
         finally:
             self.watcher.stop()
             self.host.unread_connections.pop(self, None)
--- a/linetrack/server/pending_request.py
+++ b/linetrack/server/pending_request.py
@@ -6,8 +6,8 @@
 from gevent.event import AsyncResult
 
 from linetrack.server import client_timeouts
-from linetrack.server.clock import clock
 from linetrack.server.active_request import FinalResponse
+from linetrack.server.clock import clock
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.notifications import DisconnectedClient
 from linetrack.server.sockets import PeerState, peer_state
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -79,9 +79,7 @@
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
         self._metrics.accepted_configs += 1
-        log.info(
-            "reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart
-        )
+        log.info("reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart)
         self._discovery.switch_server(new.discovery)
         if switches_settings:
             log_unused_multiplexing(new)
@@ -104,9 +102,7 @@
 
     def _switch_policy(self, new: Config) -> None:
         in_flight = self._policy_switch.switch(new.settings)
-        log.info(
-            "settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals()
-        )
+        log.info("settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals())
 
 
 def log_unused_multiplexing(config: Config) -> None:
--- a/linetrack/server/response_writer.py
+++ b/linetrack/server/response_writer.py
@@ -9,9 +9,9 @@
 
 from linetrack.policy.events import Outcome
 from linetrack.server import client_timeouts
+from linetrack.server.active_request import FinalResponse
 from linetrack.server.client_timeouts import SECOND, DeadlineSocket
 from linetrack.server.clock import NEVER, clock
-from linetrack.server.active_request import FinalResponse
 from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.requests import ClientRequest
@@ -52,7 +52,7 @@
         keep_alive,
         response.content_type,
         request.is_http10,
-        response.length if request.method == "HEAD" else None,
+        response.content_length if request.method == "HEAD" else None,
     )
     client.deadline = clock() + client_timeouts.REQUEST_TIMEOUT_US
     write(client.sock, data)
--- a/tests/control/simulated_service.py
+++ b/tests/control/simulated_service.py
@@ -22,7 +22,7 @@
 
 
 class SimulatedService:
-    """A service that serves `capacity` requests a second, first come first served, from a queue of one second.
+    """A service of `capacity` requests a second, first come first served, with a queue of one second.
 
     Clients retry after a rejection or failure; a share of them, `obedient`, when they were asked to.
     """
--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -24,7 +24,7 @@
     service = SimulatedService(AdaptiveOverloadController(seed), seed, obedient)
     service.play(60, ((10, 30),))
     assert service.seconds_to_recover(30, 0.8) <= 4 and service.seconds_to_recover(30) <= 6
-    # no second collapse: a second may be poor at four fifths of what the service can do, three in a row may not
+    # no second collapse: at four fifths of the capacity one second may be poor, but not three in a row
     served = service.served_in_time
     goal = 0.6 * 3 * service.rate_before()
     assert all(sum(served[second + k] for k in range(3)) >= goal for second in range(40, 56))
--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -21,9 +21,9 @@
     RequestReceived,
 )
 from linetrack.server.address import parse_address
+from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.budget import Budget
 from linetrack.server.client_connection import ClientConnection
-from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.listener import Listener
--- a/tests/server/listener_client.py
+++ b/tests/server/listener_client.py
@@ -6,8 +6,8 @@
 
 import gevent
 
-from linetrack.server.clock import NEVER
 from linetrack.server.active_request import FinalResponse
+from linetrack.server.clock import NEVER
 from linetrack.server.listener import Listener
 from tests.stand_ins import PATIENCE, call, turns_until
 
@@ -16,7 +16,9 @@
     """Takes requests, to which the test responds."""
 
     def __init__(self) -> None:
-        self.requests: list[Any] = []  # as `IncomingRequest`, or `DisconnectedClient` once a client disconnects
+        self.requests: list[
+            Any
+        ] = []  # as `IncomingRequest`, or `DisconnectedClient` once a client disconnects
         self.shutdown_deadline = NEVER
 
     def next_request_id(self) -> int:
--- a/tests/server/running_attempts.py
+++ b/tests/server/running_attempts.py
@@ -20,9 +20,7 @@
 DIAL_TIMEOUT = 250 * MS
 
 
-def endpoint_record(
-    name: str, address: str, status: EndpointStatus = EndpointStatus.UP
-) -> EndpointRecord:
+def endpoint_record(name: str, address: str, status: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
     return EndpointRecord(name, parse_address(address), "north", "plain", 1, status, 1.0, 0)
 
 
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -120,7 +120,10 @@
     server.script = stop
     attempts = RunningAttempts(server)
     attempts.start()
-    assert attempts.outcomes() == [Outcome.ERROR] and attempts.used() == attempts.budget.memory.reserved_bytes == 0
+    assert (
+        attempts.outcomes() == [Outcome.ERROR]
+        and attempts.used() == attempts.budget.memory.reserved_bytes == 0
+    )
     assert 250 * MS <= attempts.finished[0].latency < 10 * SECOND
 
 
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -81,7 +81,11 @@
     request_id = sidecar.send_request(slow, call(expires="20.0", body=b"x" * 100_000))
     sidecar.start_attempt(request_id)
     turns_until(lambda: sidecar.upstream.seen)
-    turns_until(lambda: sidecar.dispatcher.active_requests[request_id].deadline <= sidecar.dispatcher.shutdown_deadline)
+    turns_until(
+        lambda: (
+            sidecar.dispatcher.active_requests[request_id].deadline <= sidecar.dispatcher.shutdown_deadline
+        )
+    )
 
 
 @pytest.mark.parametrize("reason", ["deadline", "migration"])
--- a/tests/server/test_listener.py
+++ b/tests/server/test_listener.py
@@ -8,8 +8,8 @@
 
 from linetrack.server import client_timeouts
 from linetrack.server import listener as listener_module
-from linetrack.server.clock import clock
 from linetrack.server.active_request import FinalResponse
+from linetrack.server.clock import clock
 from linetrack.server.listener import Listener
 from linetrack.server.sockets import is_readable
 from tests.server.listener_client import RecordingDispatcher, connect, exchange
