--- a/tests/control/test_connection_slots.py
+++ b/tests/control/test_connection_slots.py
@@ -174,7 +174,8 @@
     # connections that are never used again must not keep all the slots
     totals = ClientSimulation(capacity, 1).run(20 * SECOND, one_time_rate=2.0 * capacity, steady_clients=0)
     assert totals.requests > 30 * capacity
-    assert totals.rejections < totals.requests / 50 and totals.longest_wait <= MIN_IDLE_US
+    assert totals.rejections < totals.requests / 50
+    assert totals.longest_wait <= MIN_IDLE_US
     assert totals.evictions < totals.requests / 50
 
 
@@ -184,7 +185,8 @@
     simulation.run(5 * SECOND, one_time_rate=0, steady_clients=int(128 * share))
     totals = simulation.run_on(20 * SECOND)
     assert totals.requests > 3000
-    assert totals.closed_with_response <= totals.requests / 100 and not totals.rejections
+    assert totals.closed_with_response <= totals.requests / 100
+    assert not totals.rejections
 
 
 def test_steady_clients_keep_their_connections_among_one_time_clients() -> None:
@@ -201,7 +203,8 @@
     simulation = ClientSimulation(128, 4)
     simulation.run(10 * SECOND, one_time_rate=0, steady_clients=100)
     one_time = simulation.run(10 * SECOND, one_time_rate=400, steady_clients=0)
-    assert one_time.longest_wait <= MIN_IDLE_US + 50 * MS and one_time.rejections < one_time.requests / 20
+    assert one_time.longest_wait <= MIN_IDLE_US + 50 * MS
+    assert one_time.rejections < one_time.requests / 20
     simulation.run(3 * SECOND, one_time_rate=0, steady_clients=100)
     steady = simulation.run_on(5 * SECOND)
     assert steady.closed_with_response < steady.requests / 50
@@ -219,7 +222,8 @@
 def test_busy_connections_are_never_evicted_and_slots_recover_afterwards() -> None:
     simulation = ClientSimulation(64, 6)
     stalled = simulation.run(5 * SECOND, one_time_rate=300, steady_clients=0, service_time=4 * SECOND)
-    assert stalled.requests <= 64 * 2 and not stalled.evictions
+    assert stalled.requests <= 64 * 2
+    assert not stalled.evictions
     simulation.run(5 * SECOND, one_time_rate=100, steady_clients=0)
     totals = simulation.run_on(10 * SECOND)
     assert totals.rejections < totals.requests / 50
@@ -287,5 +291,6 @@
     slot = slots.open(SECOND)
     slots.begin_request(slot, SECOND)
     slots.finish_readiness_check(slot, SECOND)
-    assert slot.state is SlotState.NEW and not slots.occupied_count
+    assert slot.state is SlotState.NEW
+    assert not slots.occupied_count
     assert slots.select_eviction(SECOND + MIN_NEW_US) is slot
--- a/tests/server/admin_client.py
+++ b/tests/server/admin_client.py
@@ -24,7 +24,8 @@
     with wire.sock:
         wire.sock.sendall(request(path, method))
         response = wire.read()
-        assert response is not None and wire.ended()
+        assert response is not None
+        assert wire.ended()
     return response
 
 
--- a/tests/server/listener_client.py
+++ b/tests/server/listener_client.py
@@ -24,7 +24,7 @@
     def next_request_id(self) -> int:
         return 1
 
-    def enqueue(self, notification: Any, seen_at: int) -> None:
+    def enqueue(self, notification: Any, _seen_at: int) -> None:
         self.requests.append(notification)
 
 
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -36,12 +36,13 @@
         assert sidecar.ask("pay").status == 200
         assert sidecar.ask("look", "0").status == 504
         assert sidecar.ask("nothing").status == 400
-        world.upstreams[0].script = lambda message, wire: None
+        world.upstreams[0].script = lambda _message, _wire: None
         assert sidecar.ask("pay").status == 502
         metrics = until(lambda: (m := read_metrics(address))[outcome_metric("pay", "faulted")] and m)
         assert outcome_counts(metrics, "look") == (3, 1)
         assert outcome_counts(metrics, "pay") == (1, 1)
-        assert metrics["app_relayed_total"] == 5 and metrics["app_open_requests"] == 0
+        assert metrics["app_relayed_total"] == 5
+        assert metrics["app_open_requests"] == 0
         assert (metrics["app_registry_entries"], metrics["app_out_of_rotation"]) == (1, 0)
 
 
@@ -74,7 +75,8 @@
         silent_clients = [connect(address) for _ in range(120)]
         for wire in silent_clients[::2]:
             wire.sock.sendall(b"GET /admin/stats HTTP/1.1\r\nHo")
-        assert send_admin_request(address, "/admin/health").status == 200 and sidecar.ask().status == 200
+        assert send_admin_request(address, "/admin/health").status == 200
+        assert sidecar.ask().status == 200
         assert all(wire.read() is None for wire in silent_clients[1::2]), "each is closed"
         for wire in silent_clients:
             wire.sock.close()
@@ -90,16 +92,18 @@
         with wire.sock:
             wire.sock.sendall(b"\x00\x01\r\n\r\n")
             response = wire.read()
-        assert response and response.status == 400
+        assert response
+        assert response.status == 400
         wire = connect(address)
         with wire.sock:
             wire.sock.sendall(b"GET /admin/stats HTTP/1.1\r\nA: " + b"a" * 60_000)
             response = wire.read()
-        assert response and response.status == 431
+        assert response
+        assert response.status == 431
 
 
 def test_the_environment_overrides_the_configured_address(tmp_path: Path) -> None:
-    world = World(tmp_path, Upstream("a", lambda message, wire: answer()))
+    world = World(tmp_path, Upstream("a", lambda _message, _wire: answer()))
     configured, override = enable_admin(world.sidecar), free_address()
     world.sidecar.environ["EDGE_ADMIN_ADDR"] = override
     with world:
--- a/tests/server/test_attempt_end.py
+++ b/tests/server/test_attempt_end.py
@@ -39,7 +39,7 @@
     assert sidecar.policy.attempt_outcomes() == [Outcome.TIMEOUT]
     assert not sidecar.pool.endpoints[ENDPOINT].idle
     assert not is_readable(sock)
-    sidecar.upstream.script = lambda message, wire: answer(b"next")
+    sidecar.upstream.script = lambda _message, _wire: answer(b"next")
     sidecar.start_attempt(sidecar.send_request(sock))
     assert sock.recv(65536).endswith(b"next")
 
@@ -71,4 +71,5 @@
     turns_until(lambda: sidecar.upstream.closed == 1)
     descriptors = sidecar.budget.descriptors
     turns_until(lambda: descriptors.in_use == descriptors.client_count)
-    assert not sidecar.upstream.seen and Outcome.SUCCESS not in sidecar.policy.attempt_outcomes()
+    assert not sidecar.upstream.seen
+    assert Outcome.SUCCESS not in sidecar.policy.attempt_outcomes()
--- a/tests/server/test_budget.py
+++ b/tests/server/test_budget.py
@@ -21,7 +21,8 @@
     # descriptors for requests, and most requests are small
     budget = Budget(sockets, memory_mb)
     max_clients, max_bytes = budget.descriptors.max_clients, budget.memory.max_bytes
-    assert max_clients >= clients and max_bytes >= large_bodies_mb * MB
+    assert max_clients >= clients
+    assert max_bytes >= large_bodies_mb * MB
     assert max_clients * CLIENT_CONNECTION_KB * 1024 + max_bytes <= (memory_mb - BASE_MEMORY_MB) * MB
     assert Budget(64, 192).descriptors.max_clients >= 10
     assert Budget(256, 16).descriptors.max_clients == MIN_CLIENTS
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -25,12 +25,13 @@
 ) -> None:
     """Before the first attempt, and between attempts.
 
-    The disconnect may still be in the dispatcher's queue, or hidden by what the client had sent behind its request.
+    The disconnect may still be in the dispatcher's queue, or hidden by what the client had sent behind its
+    request.
     """
     sock = sidecar.connect_and_be_served()
     request_id = sidecar.send_request(sock)
     if has_earlier_attempt:
-        sidecar.upstream.script = lambda message, wire: answer(b"", 500)
+        sidecar.upstream.script = lambda _message, _wire: answer(b"", 500)
         sidecar.start_attempt(request_id)
         turns_until(lambda: Outcome.ERROR in sidecar.policy.attempt_outcomes())
         sidecar.wait_for_idle_upstream_connection()
@@ -45,7 +46,8 @@
     turns_until(sidecar.policy.disconnect_count)
     ended = (Outcome.NOT_SENT, Outcome.CANCELLED)
     turns_until(lambda: any(outcome in ended for outcome in sidecar.policy.attempt_outcomes()))
-    assert len(sidecar.upstream.seen) == count and not sidecar.dispatcher.active_requests
+    assert len(sidecar.upstream.seen) == count
+    assert not sidecar.dispatcher.active_requests
     turns_until(lambda: not sidecar.listener.connections)
 
 
@@ -121,4 +123,5 @@
     turns_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
     sidecar.dispatcher.perform(RejectRequest(request_id, 0))
     assert second.recv(65536).startswith(b"HTTP/1.1 503")
-    assert len(sidecar.upstream.seen) == count and not sidecar.policy.disconnect_count()
+    assert len(sidecar.upstream.seen) == count
+    assert not sidecar.policy.disconnect_count()
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -1,4 +1,4 @@
-"""Requests that arrive just as their connection is closed or migrated, or as the process ends: each is served."""
+"""Requests that arrive just as their connection is closed or migrated, or as the process ends."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     assert waiting.recv(65536).startswith(b"HTTP/1.1 200")
     for sock in silent_clients:
         assert sock.recv(1) == b""
-    with pytest.raises(OSError):
+    with pytest.raises(ConnectionRefusedError):
         sidecar.connect()
 
 
@@ -107,7 +107,7 @@
         connection.expire()
         data = data[20:]
     else:
-        sidecar.listener.migrate_connections(lambda fd, response_count: True)
+        sidecar.listener.migrate_connections(lambda _fd, _response_count: True)
     (interrupt,) = planned
     request_id = sidecar.send_request(sock, data)
     run_soon(interrupt)
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -30,7 +30,7 @@
     """Let the first call of a function find no descriptor; the list has an item once it was called."""
     function, calls = getattr(owner, name), []
 
-    def fail(*args: Any, **kwargs: Any) -> Any:
+    def fail(*_args: Any, **_kwargs: Any) -> Any:
         monkeypatch.setattr(owner, name, function)
         calls.append(1)
         raise OSError(errno.EMFILE, "Too many open files")
@@ -57,7 +57,8 @@
     calls = fail_once(monkeypatch, sidecar.listener, "_accept_one")
     sock = sidecar.connect()
     sock.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
-    assert sock.recv(65536).startswith(b"HTTP/1.1 200") and calls
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+    assert calls
 
 
 def test_an_attempt_ends_as_never_executed(
@@ -68,7 +69,8 @@
     calls = fail_once(monkeypatch, Connection, "connect")
     sidecar.start_attempt(request_id)
     turns_until(sidecar.policy.attempt_outcomes)
-    assert calls and sidecar.policy.attempt_outcomes() == [Outcome.CONNECT_FAILED]
+    assert calls
+    assert sidecar.policy.attempt_outcomes() == [Outcome.CONNECT_FAILED]
     assert sidecar.budget.descriptors.in_use == 1
     sidecar.start_attempt(request_id)
     assert sock.recv(65536).startswith(b"HTTP/1.1 200")
@@ -82,7 +84,8 @@
     sock = gevent.socket.create_connection(address)
     sock.settimeout(PATIENCE)
     sock.sendall(request("/admin/health"))
-    assert sock.recv(65536).startswith(b"HTTP/1.1 200") and failing.has_failed
+    assert sock.recv(65536).startswith(b"HTTP/1.1 200")
+    assert failing.has_failed
     sock.close()
     accepting.kill()
 
@@ -91,15 +94,16 @@
     """A process that serves must not end because one that would replace it connects."""
     path, own = tmp_path / "link.sock", Identity(("look",), "1")
     grant = GrantedListener(0, Grant(own, endpoint_list=None, discovery_address=None))
-    old = Predecessor(path, lambda: own, lambda: grant, lambda command: None)
+    old = Predecessor(path, lambda: own, lambda: grant, lambda _command: None)
     old.open_socket()
     old.publish_socket()
     old.listener = failing = FailingListener(old.listener)
     running = gevent.spawn(old.run)
-    new = Successor(path, own, lambda command: None, lambda message, descriptors: None)
+    new = Successor(path, own, lambda _command: None, lambda _message, _descriptors: None)
     with gevent.Timeout(PATIENCE):
         received = new.connect()
-    assert received is not None and failing.has_failed
+    assert received is not None
+    assert failing.has_failed
     os.close(received.descriptor)
     assert new.channel is not None
     new.channel.close()
@@ -135,5 +139,6 @@
     sidecar.budget.descriptors.yield_to_successor()
     assert sidecar.budget.descriptors.limit < limit
     sidecar.hot_restart.execute(Command.RESUME)
-    assert sidecar.budget.descriptors.limit == limit and sidecar.listener.migrate is None
+    assert sidecar.budget.descriptors.limit == limit
+    assert sidecar.listener.migrate is None
     sidecar.hot_restart.stop_accepting()
--- a/tests/server/test_http1_long_bodies.py
+++ b/tests/server/test_http1_long_bodies.py
@@ -38,7 +38,8 @@
             break
     if ends_with_connection:
         response = reader.feed_eof()
-    assert response is not None and reader.exceeds_body_buffer == (size > MAX_BUFFERED_BODY_BYTES)
+    assert response is not None
+    assert reader.exceeds_body_buffer == (size > MAX_BUFFERED_BODY_BYTES)
     assert (streamed if reader.exceeds_body_buffer else response.body) == body
 
 
--- a/tests/server/test_long_requests.py
+++ b/tests/server/test_long_requests.py
@@ -97,7 +97,8 @@
                     head, _ = read_response(sock)
                 got.add(int(head.split()[1]))
                 assert got <= statuses
-        assert 200 in got and good.seen
+        assert 200 in got
+        assert good.seen
 
 
 def test_a_slow_head_and_a_slow_body_are_served_and_a_stalled_one_times_out(tmp_path: Path) -> None:
@@ -149,7 +150,7 @@
 
 
 def test_a_client_that_announced_its_half_close_gets_its_response(tmp_path: Path) -> None:
-    def script(message: Message, wire: Wire) -> bytes:
+    def script(_message: Message, _wire: Wire) -> bytes:
         time.sleep(0.1)
         return answer(b"ok")
 
--- a/tests/server/test_long_responses.py
+++ b/tests/server/test_long_responses.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("size", [1000, MAX_BUFFERED_BODY_BYTES, 66_000, 131_000, len(LONG_BODY)])
 def test_a_response_of_any_framing_and_size_arrives_unchanged(tmp_path: Path, form: str, size: int) -> None:
     # one that exceeds the buffer and ends within the same bytes must not lose its body
-    def script(message: Message, wire: Wire) -> bytes | None:
+    def script(_message: Message, wire: Wire) -> bytes | None:
         data = RESPONSE_FORMS[form](LONG_BODY[:size])
         if form in ("until close", "1.0"):
             wire.sock.sendall(data)
@@ -42,14 +42,15 @@
                     request_head("look", f"v{version}").replace(b"HTTP/1.1", f"HTTP/{version}".encode())
                 )
                 head, body = read_response(wire.sock)
-            assert head.startswith(b"http/1.1 200") and body == LONG_BODY[:size]
+            assert head.startswith(b"http/1.1 200")
+            assert body == LONG_BODY[:size]
             assert version == "1.1" or b"chunked" not in head
 
 
 def test_first_bytes_are_forwarded_at_once_and_the_deadline_cuts_nothing_off(tmp_path: Path) -> None:
     may_continue = threading.Event()
 
-    def script(message: Message, wire: Wire) -> bytes:
+    def script(_message: Message, wire: Wire) -> bytes:
         wire.sock.sendall(answer(LONG_BODY)[:100_000])
         assert may_continue.wait(20)
         return answer(LONG_BODY)[100_000:]
@@ -76,7 +77,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunks", "1.0 client"])
 def test_an_aborted_response_ends_so_that_the_client_can_tell(tmp_path: Path, form: str) -> None:
-    def script(message: Message, wire: Wire) -> None:
+    def script(_message: Message, wire: Wire) -> None:
         wire.sock.sendall((answer(LONG_BODY) if form == "length" else chunked_response(LONG_BODY))[:150_000])
 
     world = World(tmp_path, server := Upstream("a", script))
@@ -98,7 +99,7 @@
     body = LONG_BODY * 96  # 24 MiB, more than the kernel holds
     ended = threading.Event()
 
-    def script(message: Message, wire: Wire) -> None:
+    def script(_message: Message, wire: Wire) -> None:
         try:
             wire.sock.sendall(answer(body))
         finally:
@@ -124,7 +125,7 @@
 
 
 def test_a_connection_is_used_further_after_the_response_to_head(tmp_path: Path) -> None:
-    def script(message: Message, wire: Wire) -> bytes:
+    def script(message: Message, _wire: Wire) -> bytes:
         if message.start.startswith("HEAD"):
             return b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
         return answer(message.target.encode())
@@ -134,7 +135,8 @@
         with wire.sock:
             wire.sock.sendall(request_head("look", "1", method="HEAD"))
             head, _ = read_response(wire.sock, has_body=False)
-            assert b"200" in head and b"content-length: 400000" in head
+            assert b"200" in head
+            assert b"content-length: 400000" in head
             wire.sock.sendall(request_head("look", "2"))
             assert read_response(wire.sock)[1] == b"/look/k"
 
