--- a/linetrack/experiments/baselines.py
+++ b/linetrack/experiments/baselines.py
@@ -13,7 +13,14 @@
 import sys
 from functools import partial
 
-from linetrack.policy.actions import Action, FailRequest, RejectRequest, SetTimer, StartAttempt, WatchEndpoints
+from linetrack.policy.actions import (
+    Action,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
 from linetrack.policy.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -65,7 +72,10 @@
                 if event.request_completed or request not in self.asked:
                     self.asked.pop(request, None)
                     return []
-                if event.outcome in NEVER_EXECUTED and len(self.asked[request][1]) < self.settings.max_attempts:
+                if (
+                    event.outcome in NEVER_EXECUTED
+                    and len(self.asked[request][1]) < self.settings.max_attempts
+                ):
                     return self._send(request)
                 del self.asked[request]
                 return [RejectRequest(request) if event.outcome in NEVER_EXECUTED else FailRequest(request)]
@@ -75,7 +85,9 @@
 
     def _send(self, request: int) -> list[Action]:
         tried = self.asked[request][1]
-        ready = [n for n, entry in self.entries.items() if entry.status is EndpointStatus.UP and n not in tried]
+        ready = [
+            n for n, entry in self.entries.items() if entry.status is EndpointStatus.UP and n not in tried
+        ]
         if not ready:
             del self.asked[request]
             return [RejectRequest(request)]
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -87,7 +87,6 @@
             dispatcher=self.dispatcher,
             policy_switch=self.policy_switch,
             listener=self.listener,
-            upstreams=self.upstreams,
             attempt_runner=self.attempt_runner,
             discovery=self.discovery,
             metrics=self.metrics,
@@ -235,7 +234,7 @@
         log.info("phase_changed", phase=phase.value, **self.metrics.totals())
 
     def _metrics_text(self) -> str:
-        unavailable = self.policy_switch.avoided(clock())
+        unavailable = self.policy_switch.count_unavailable(clock())
         return self.metrics.prometheus_text(len(self.upstreams.endpoints), unavailable)
 
 
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -140,10 +140,10 @@
             on_socket(connection.sock)
             self._dial_rate.add(clock())
             connection.connect(self.dial_timeout / 1_000_000)
-            return connection
         except BaseException:
             self._descriptors.release()
             raise
+        return connection
 
     def discard(self, connection: Connection) -> None:
         """Close a connection that is not idle, and release its descriptor."""
--- a/linetrack/settings.py
+++ b/linetrack/settings.py
@@ -12,7 +12,11 @@
 
 from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField, RequestClass, Settings
 
-EFFECTS = {"free": Idempotency.IDEMPOTENT, "guarded": Idempotency.IDEMPOTENCY_KEY, "single_shot": Idempotency.NON_IDEMPOTENT}
+EFFECTS = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.IDEMPOTENCY_KEY,
+    "single_shot": Idempotency.NON_IDEMPOTENT,
+}
 GROUPS = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 LOADS = {
     "concurrent": LoadField.IN_FLIGHT,
@@ -141,7 +145,9 @@
         instance_count=root.above("balancers", 1, 1),
         zone=root.whole("zone", 0),
         zone_count=max(1, len(root.names("azs"))),
-        load_report_fields=tuple(LOADS.get(f, LoadField.OTHER) for f in (stats.names("fields") if inline else [])),
+        load_report_fields=tuple(
+            LOADS.get(f, LoadField.OTHER) for f in (stats.names("fields") if inline else [])
+        ),
         must_subscribe=root.text("registryMode", "automatic") == "subscribe",
         poll_interval=rules.whole("askEveryUs", 0),
         drain_grace=rules.whole("drainGraceUs", 0),
--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -23,7 +23,8 @@
 def test_a_service_that_was_down_serves_again_within_seconds_and_stays_so(seed: int, obedient: float) -> None:
     service = SimulatedService(AdaptiveOverloadController(seed), seed, obedient)
     service.play(60, ((10, 30),))
-    assert service.seconds_to_recover(30, 0.8) <= 4 and service.seconds_to_recover(30) <= 6
+    assert service.seconds_to_recover(30, 0.8) <= 4
+    assert service.seconds_to_recover(30) <= 6
     # no second collapse: at four fifths of the capacity one second may be poor, but not three in a row
     served = service.served_in_time
     goal = 0.6 * 3 * service.rate_before()
@@ -140,7 +141,8 @@
     rejected_at = [overloaded_at + n * 2 * MS for n in range(1000)]
     times = [at + controller.retry_after(at, 500 * MS, 10 * SECOND) for at in rejected_at]
     seconds = Counter(at // SECOND for at in times)
-    assert len(seconds) >= 8 and max(seconds.values()) <= 3 * len(times) / len(seconds)
+    assert len(seconds) >= 8
+    assert max(seconds.values()) <= 3 * len(times) / len(seconds)
 
 
 def test_retries_that_waited_go_before_those_that_did_not_and_none_starves() -> None:
--- a/tests/server/test_dispatcher.py
+++ b/tests/server/test_dispatcher.py
@@ -51,7 +51,7 @@
 
     def __init__(self) -> None:
         self.events: list[tuple[int, Event]] = []
-        self.decide: Callable[[Event], list[Action]] = lambda event: []
+        self.decide: Callable[[Event], list[Action]] = lambda _event: []
 
     def handle(self, now: int, event: Event) -> list[Action]:
         self.events.append((now, event))
@@ -132,7 +132,7 @@
         return send(event)
 
     result: AsyncResult[FinalResponse] = AsyncResult()
-    result.rawlink(lambda given: order.append("written"))
+    result.rawlink(lambda _given: order.append("written"))
     driver.policy.decide = decide
     driver.enqueue(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), result.set))
     driver.enqueue(succeed(driver.started[0]))
@@ -214,7 +214,8 @@
     driver.enqueue(DisconnectedClient(1))
     driver.enqueue(DisconnectedClient(1))
     assert [type(event) for _, event in driver.policy.events].count(ClientDisconnected) == 1
-    assert driver.aborted == driver.started and not driver.responses
+    assert driver.aborted == driver.started
+    assert not driver.responses
     assert not driver.dispatcher.active_requests
 
 
@@ -251,7 +252,9 @@
     driver.now += 500 * MS
     driver.enqueue(succeed(driver.started[0]), seen_at=seen_at)
     now, event = driver.policy.events[-1]
-    assert isinstance(event, AttemptEnded) and event.latency == 5 * MS and now == seen_at
+    assert isinstance(event, AttemptEnded)
+    assert event.latency == 5 * MS
+    assert now == seen_at
 
 
 def test_a_completed_request_frees_its_body_before_its_timers_are_due(driver: DispatcherDriver) -> None:
@@ -269,18 +272,19 @@
     assert reference() is not None
     driver.enqueue(succeed(driver.started[0]))
     gevent.sleep(0)
-    assert driver.dispatcher.timers and reference() is None
+    assert driver.dispatcher.timers
+    assert reference() is None
     assert driver.started[0].request.client_request is not GET
 
 
 def test_the_policy_can_subscribe_to_endpoints(driver: DispatcherDriver) -> None:
-    driver.policy.decide = lambda event: [WatchEndpoints(True)]
+    driver.policy.decide = lambda _event: [WatchEndpoints(True)]
     driver.enqueue(EndpointListUpdate(ListForm.CACHED))
     assert driver.watch_count == 1
 
 
 def test_an_action_never_seen_before_ends_the_greenlet(driver: DispatcherDriver) -> None:
-    driver.policy.decide = lambda event: [SendHealthCheck("a")]
+    driver.policy.decide = lambda _event: [SendHealthCheck("a")]
     driver.enqueue(EndpointListUpdate(ListForm.CACHED))
     with gevent.Timeout(PATIENCE):
         driver.greenlet.join()
@@ -296,7 +300,7 @@
         self.completed: set[int] = set()
         self.ended: list[tuple[int, int]] = []
 
-    def handle(self, now: int, event: Event) -> list[Action]:
+    def handle(self, _now: int, event: Event) -> list[Action]:
         if not isinstance(event, RequestReceived | AttemptEnded | ClientDisconnected):
             return []
         request_id = event.request_id
@@ -340,7 +344,7 @@
         disconnected: set[int] = set()
         for request_id in REQUEST_IDS:
 
-            def reply(final: FinalResponse, request_id: int = request_id) -> None:
+            def reply(_final: FinalResponse, request_id: int = request_id) -> None:
                 responses[request_id] = responses.get(request_id, 0) + 1
 
             driver.enqueue(IncomingRequest(GET, RequestReceived(request_id, 0, 300 * MS), reply))
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -20,8 +20,9 @@
         attempts.start()
         attempts.outcomes(count)
         wait_until_reusable()
-    assert len(server.connections) == 1 and attempts.idle() == attempts.used() == 1
-    server.script = lambda request, wire: answer(b"ok", 200, "Connection: close")
+    assert len(server.connections) == 1
+    assert attempts.idle() == attempts.used() == 1
+    server.script = lambda _request, _wire: answer(b"ok", 200, "Connection: close")
     attempts.start()
     attempts.outcomes(3)
     assert attempts.idle() == attempts.used() == 0
@@ -30,7 +31,7 @@
 def test_a_connection_that_the_endpoint_closed_is_not_reused(server: Upstream) -> None:
     """The request would end as a reset, and may then have run."""
 
-    def script(request: Message, wire: Wire) -> None:
+    def script(_request: Message, wire: Wire) -> None:
         wire.sock.sendall(answer(b"ok"))
 
     server.script = script
@@ -39,11 +40,12 @@
         attempts.start()
         attempts.outcomes(count)
         turns_until(partial(lambda closed: server.closed >= closed, count))
-    assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5 and len(server.connections) == 5
+    assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5
+    assert len(server.connections) == 5
 
 
 def test_a_second_response_to_one_request_spoils_the_connection(server: Upstream) -> None:
-    server.script = lambda request, wire: answer(b"ok") + answer(b"not yours")
+    server.script = lambda _request, _wire: answer(b"ok") + answer(b"not yours")
     attempts = RunningAttempts(server)
     attempts.start()
     attempts.outcomes()
@@ -92,7 +94,8 @@
         attempts.start(name)
         attempts.outcomes(count)
     assert attempts.outcomes(3) == [Outcome.SUCCESS] * 3
-    assert [attempts.idle(name) for name in "abc"] == [0, 1, 1] and attempts.used() == 2
+    assert [attempts.idle(name) for name in "abc"] == [0, 1, 1]
+    assert attempts.used() == 2
     for server in servers:
         server.close()
 
@@ -114,7 +117,8 @@
     turns_until(lambda: server.seen)
     attempts.pool.update_endpoints((endpoint_record("a", "127.0.0.1:9"),), False)
     server.connections[0].sendall(answer(b"ok"))
-    assert attempts.outcomes() == [Outcome.SUCCESS] and attempts.idle() == attempts.used() == 0
+    assert attempts.outcomes() == [Outcome.SUCCESS]
+    assert attempts.idle() == attempts.used() == 0
 
 
 def test_a_removed_endpoint_is_forgotten_and_its_connection_never_used_for_another(server: Upstream) -> None:
@@ -128,12 +132,14 @@
     assert not pool.endpoints
     both = (endpoint_record("a", server.address), endpoint_record("b", server.address))
     pool.update_endpoints(both, False)
-    server.script = lambda request, wire: answer(b"new")
+    server.script = lambda _request, _wire: answer(b"new")
     server.connections[0].sendall(answer(b"old"))
     assert attempts.outcomes() == [Outcome.SUCCESS]
     assert attempts.idle("a") == attempts.idle("b") == attempts.used() == 0
     attempts.start("b")
     attempts.outcomes(2)
-    assert len(server.connections) == 2 and attempts.idle("b") == 1
+    assert len(server.connections) == 2
+    assert attempts.idle("b") == 1
     pool.update_endpoints((), True)
-    assert not pool.endpoints and attempts.used() == 0
+    assert not pool.endpoints
+    assert attempts.used() == 0
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -49,7 +49,10 @@
     config = config_of(operators.platform(file), {})
     assert config.name == "n0" and config.class_names == ("lookup", "sale")
     assert config.deadlines == (1_000_000, 2_000_000) and config.settings.max_attempts == 3
-    assert config.settings.classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY and config.settings.slow_start_initial_fraction == 0.2
+    assert (
+        config.settings.classes[1].idempotency is Idempotency.IDEMPOTENCY_KEY
+        and config.settings.slow_start_initial_fraction == 0.2
+    )
 
 
 def test_limits_on_further_attempts_are_off_until_the_file_says_them(tmp_path: Path) -> None:
@@ -192,7 +195,9 @@
     plain = Plain(name, settings(), 1)
     driver = Driver()
     plain.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, fleet()))
-    plain.handle(0, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
+    plain.handle(
+        0, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),))
+    )
     sent = set()
     for n in range(200):
         (action,) = plain.handle(n, RequestReceived(n, 0, 1000))
