--- a/tests/server/test_invalid_requests.py
+++ b/tests/server/test_invalid_requests.py
@@ -10,7 +10,6 @@
 
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, call, request, until
 
-
 VALID_HEADERS = ("X-Trace-Id: 1", "X-Expires-In: 2.0")
 
 
