--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -73,10 +73,10 @@
         self.metrics = Metrics()
         self.metrics.declare_classes(config.class_names)
         self.budget = Budget(config.sockets, config.memory_mb)
-        self.upstreams = UpstreamPool(self.budget.descriptors, config.dial_timeout, config.keep_alive)
+        self.upstreams = UpstreamPool(self.budget.descriptors, config.dial_timeout, config.keep_alive_timeout)
         self.attempt_runner = self._make_attempt_runner(config)
         self.discovery = self._make_discovery_client(config)
-        if config.storms:
+        if config.overload_control_enabled:
             make_policy = with_overload_control(make_policy)
         self.policy_switch = SettingsSwitch(make_policy(config.settings, config.seed))
         self.dispatcher = self._make_dispatcher()
@@ -133,7 +133,7 @@
         return AttemptRunner(
             self.upstreams,
             self.budget,
-            config.report_fields,
+            config.load_report_fields,
             lambda notification, seen_at: self.dispatcher.enqueue(notification, seen_at),
             self.metrics,
         )
@@ -144,7 +144,7 @@
             self.upstreams,
             lambda update, seen_at: self.dispatcher.enqueue(update, seen_at),
             config.zone_names,
-            config.kind_names,
+            config.host_class_names,
             config.settings,
             config.seed,
         )
@@ -164,9 +164,9 @@
             self.dispatcher,
             self.budget,
             config.class_names,
-            config.deadlines,
+            config.class_timeouts,
             self.is_serving,
-            config.whole_seconds,
+            config.retry_after_in_whole_seconds,
         )
 
     # --- Start -------------------------------------------------------------------------------------
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -16,7 +16,7 @@
 from linetrack.control.settings_switch import SettingsSwitch
 from linetrack.server.attempt_runner import AttemptRunner
 from linetrack.server.clock import clock
-from linetrack.server.config import STREAMS, Config, ConfigError
+from linetrack.server.config import HTTP1_STREAMS_PER_CONNECTION, Config, ConfigError
 from linetrack.server.discovery_client import DiscoveryClient
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.listener import Listener
@@ -47,7 +47,7 @@
         `read` returns the configuration as its file is now, or raises a ConfigError.
         """
         self.config = config
-        self.max_timeout = config.longest  # of any class since the start, in microseconds
+        self.max_timeout = config.max_class_timeout  # of any class since the start, in microseconds
         self.requested = Event()
         self._read = read
         self._dispatcher = dispatcher
@@ -68,13 +68,13 @@
         """Read the configuration again and apply it; a faulty one changes nothing."""
         try:
             read = self._read()
-            new = read.after(self.config)
+            new = read.for_reload_of(self.config)
         except ConfigError as fault:
             self._metrics.invalid_configs += 1
             log.error("reload_rejected", fault=str(fault))
             return
-        needs_restart = self.config.restart_for(read)
-        switches_settings = not new.same_settings(self.config)
+        needs_restart = self.config.keys_needing_restart(read)
+        switches_settings = not new.has_same_settings(self.config)
         if switches_settings and not self._policy_switch.is_supported:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
@@ -91,13 +91,13 @@
         The dispatcher takes what was read before this moment under the old settings, and what is read after
         it under the new ones.
         """
-        self._attempt_runner.configure(new.dial_timeout, new.keep_alive, new.report_fields)
-        self._discovery.configure(new.zone_names, new.kind_names, new.settings)
+        self._attempt_runner.configure(new.dial_timeout, new.keep_alive_timeout, new.load_report_fields)
+        self._discovery.configure(new.zone_names, new.host_class_names, new.settings)
         self._metrics.declare_classes(new.class_names)
-        self._listener.validator.configure(new.class_names, new.deadlines)
+        self._listener.validator.configure(new.class_names, new.class_timeouts)
         self._dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
         self.config = new
-        self.max_timeout = max(self.max_timeout, new.longest)
+        self.max_timeout = max(self.max_timeout, new.max_class_timeout)
 
     def _switch_policy(self, new: Config) -> None:
         in_flight = self._policy_switch.switch(new.settings)
@@ -106,5 +106,7 @@
 
 def log_unused_multiplexing(config: Config) -> None:
     """Warn where more requests a connection are configured than HTTP/1.1 carries at once."""
-    if config.told_streams > STREAMS:
-        log.warning("multiplex_unused", configured=config.told_streams, used=STREAMS)
+    if config.configured_streams > HTTP1_STREAMS_PER_CONNECTION:
+        log.warning(
+            "multiplex_unused", configured=config.configured_streams, used=HTTP1_STREAMS_PER_CONNECTION
+        )
--- a/tests/policy/test_retry_limits.py
+++ b/tests/policy/test_retry_limits.py
@@ -188,18 +188,23 @@
 
 
 @pytest.mark.parametrize(
-    ("rules", "message"),
+    ("rules", "key", "message"),
     [
-        ({"freeResends": 2}, "extraWindowUs is missing"),
-        ({"furtherRatio": 0.1, "extraWindowUs": 0}, "extraWindowUs: 0 is under 1"),
-        ({"freeResends": -1, "extraWindowUs": 1}, "freeResends: -1 is under 0"),
-        ({"furtherRatio": "many", "extraWindowUs": 1}, "furtherRatio: 'many' is not a number"),
-        ({"goneIsAdvice": 3}, "goneIsAdvice: 3 is not true or false"),
+        ({"freeResends": 2}, "extraWindowUs", "extraWindowUs is missing"),
+        ({"furtherRatio": 0.1, "extraWindowUs": 0}, "extraWindowUs", "extraWindowUs: 0 is under 1"),
+        ({"freeResends": -1, "extraWindowUs": 1}, "freeResends", "freeResends: -1 is under 0"),
+        (
+            {"furtherRatio": "many", "extraWindowUs": 1},
+            "furtherRatio",
+            "furtherRatio: 'many' is not a number",
+        ),
+        ({"goneIsAdvice": 3}, "goneIsAdvice", "goneIsAdvice: 3 is not true or false"),
     ],
 )
-def test_invalid_settings_name_their_key(rules: dict[str, Any], message: str) -> None:
-    with pytest.raises(SettingsError, match=message):
+def test_invalid_settings_name_their_key(rules: dict[str, Any], key: str, message: str) -> None:
+    with pytest.raises(SettingsError, match=message) as raised:
         read_settings({"classes": [{"deadlineUs": 1}], "rules": rules})
+    assert raised.value.key == f"rules.{key}"
 
 
 def test_limits_are_off_where_settings_are_absent() -> None:
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, request, until
 from tests.server.admin_client import enable_admin, send_admin_request
+from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, request, until
 
 MAX_REQUESTS = 100_000  # of one client
 
