--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from linetrack.control.overload_control import AdaptiveOverloadController, OverloadPhase
@@ -104,7 +104,12 @@
         assert controller.phase is OverloadPhase.NORMAL or controller.rate_limit >= 2
 
 
+#: Bad responses before a baseline rate is known: the limit then has nothing to increase by.
+OVERLOAD_AT_START = [("good", 0, 0), *[("bad", 0, 0)] * 5, ("bad", 0, 25 * MS)]
+
+
 @given(call_lists, st.integers(0, 9))
+@example(OVERLOAD_AT_START, 0)
 @settings(deadline=None, max_examples=40)
 def test_after_any_disturbance_a_service_that_serves_well_is_given_all_within_a_minute(
     calls: list[tuple[str, int, int]], seed: int
