--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 
 import structlog
@@ -21,27 +22,30 @@
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.listener import Listener
 from linetrack.server.notifications import SerializedCallback
+from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
 
 SETTINGS_KEY = "settings"
 
 
+@dataclass(slots=True, frozen=True)
+class ConfiguredParts:
+    """The parts of the program that a new configuration reaches."""
+
+    dispatcher: Dispatcher
+    policy_switch: SettingsSwitch
+    listener: Listener
+    upstreams: UpstreamPool
+    attempt_runner: AttemptRunner
+    discovery: DiscoveryClient
+    metrics: Metrics
+
+
 class Reloader:
     """The configuration in force, which each SIGHUP may replace."""
 
-    def __init__(
-        self,
-        read: Callable[[], Config],
-        config: Config,
-        *,
-        dispatcher: Dispatcher,
-        policy_switch: SettingsSwitch,
-        listener: Listener,
-        attempt_runner: AttemptRunner,
-        discovery: DiscoveryClient,
-        metrics: Metrics,
-    ) -> None:
+    def __init__(self, read: Callable[[], Config], config: Config, parts: ConfiguredParts) -> None:
         """Make one with `config` in force.
 
         `read` returns the configuration as its file is now, or raises a ConfigError.
@@ -50,12 +54,7 @@
         self.max_timeout = config.max_class_timeout  # of any class since the start, in microseconds
         self.requested = Event()
         self._read = read
-        self._dispatcher = dispatcher
-        self._policy_switch = policy_switch
-        self._listener = listener
-        self._attempt_runner = attempt_runner
-        self._discovery = discovery
-        self._metrics = metrics
+        self._parts = parts
 
     def run(self) -> None:
         """Reload each time that `requested` is set, for ever."""
@@ -70,17 +69,17 @@
             read = self._read()
             new = read.for_reload_of(self.config)
         except ConfigError as fault:
-            self._metrics.invalid_configs += 1
+            self._parts.metrics.invalid_configs += 1
             log.error("reload_rejected", fault=str(fault))
             return
         needs_restart = self.config.keys_needing_restart(read)
         switches_settings = not new.has_same_settings(self.config)
-        if switches_settings and not self._policy_switch.is_supported:
+        if switches_settings and not self._parts.policy_switch.is_supported:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
-        self._metrics.accepted_configs += 1
+        self._parts.metrics.accepted_configs += 1
         log.info("reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart)
-        self._discovery.switch_server(new.discovery)
+        self._parts.discovery.switch_server(new.discovery)
         if switches_settings:
             log_unused_multiplexing(new)
             self._apply(new)
@@ -91,17 +90,20 @@
         The dispatcher takes what was read before this moment under the old settings, and what is read after
         it under the new ones.
         """
-        self._attempt_runner.configure(new.dial_timeout, new.keep_alive_timeout, new.load_report_fields)
-        self._discovery.configure(new.zone_names, new.host_class_names, new.settings)
-        self._metrics.declare_classes(new.class_names)
-        self._listener.validator.configure(new.class_names, new.class_timeouts)
-        self._dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
+        self._parts.upstreams.configure(new.dial_timeout, new.keep_alive_timeout)
+        self._parts.attempt_runner.configure(new.load_report_fields)
+        self._parts.discovery.configure(new.zone_names, new.host_class_names, new.settings)
+        self._parts.metrics.declare_classes(new.class_names)
+        self._parts.listener.validator.configure(new.class_names, new.class_timeouts)
+        self._parts.dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
         self.config = new
         self.max_timeout = max(self.max_timeout, new.max_class_timeout)
 
     def _switch_policy(self, new: Config) -> None:
-        in_flight = self._policy_switch.switch(new.settings)
-        log.info("settings_switched", still_open=in_flight, classes=new.class_names, **self._metrics.totals())
+        in_flight = self._parts.policy_switch.switch(new.settings)
+        log.info(
+            "settings_switched", in_flight=in_flight, classes=new.class_names, **self._parts.metrics.totals()
+        )
 
 
 def log_unused_multiplexing(config: Config) -> None:
