--- a/linetrack/policy/admission.py
+++ b/linetrack/policy/admission.py
@@ -10,8 +10,8 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
 from random import Random
+from typing import NamedTuple
 
 from linetrack.policy.class_statistics import FAILING_RATIO
 from linetrack.policy.decaying_average import DECAY_TIME, SECOND, SLOW_EWMA_WEIGHT, DecayingAverage, decayed
@@ -35,8 +35,7 @@
 RETRY_TIMEOUT_RATIO = 0.95  # a client's retry with less than this of the longest timeout used time up before
 
 
-@dataclass(slots=True, frozen=True)
-class AdmissionState:
+class AdmissionState(NamedTuple):
     """What was learnt, in a form that another process can take over."""
 
     last_response_at: int
--- a/linetrack/policy/balancer.py
+++ b/linetrack/policy/balancer.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 from random import Random
+from typing import NamedTuple
 
 from linetrack.policy.actions import Action
 from linetrack.policy.admission import Admission, AdmissionState
@@ -47,8 +47,7 @@
 SEED_BITS = 64
 
 
-@dataclass(slots=True, frozen=True)
-class PolicyState:
+class PolicyState(NamedTuple):
     """All that an instance has learnt, in a form that another process can take over."""
 
     latency: LatencyState
@@ -61,8 +60,7 @@
     endpoints: Mapping[str, EndpointState]  # by name
 
 
-@dataclass(slots=True, frozen=True)
-class SharedState:
+class SharedState(NamedTuple):
     """What an instance and its successors under other settings use together."""
 
     endpoints: dict[str, Endpoint]  # by name, in list order
--- a/linetrack/policy/class_statistics.py
+++ b/linetrack/policy/class_statistics.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from linetrack.policy.decaying_average import DECAY_TIME, SECOND, SLOWEST_EWMA_WEIGHT, decayed
@@ -22,8 +21,7 @@
     updated_at: int
 
 
-@dataclass(slots=True, frozen=True)
-class ClassState:
+class ClassState(NamedTuple):
     """What was counted, by class, in a form that another process can take over.
 
     The lists are None where the classes mean something else there.
--- a/linetrack/policy/endpoint.py
+++ b/linetrack/policy/endpoint.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import zlib
-from dataclasses import dataclass
 from typing import NamedTuple
 
 from linetrack.policy.decaying_average import SECOND, DecayingAverage
@@ -36,8 +35,7 @@
 NO_EJECTION = Ejection(0, 0)
 
 
-@dataclass(slots=True, frozen=True)
-class EndpointState:
+class EndpointState(NamedTuple):
     """What was learnt of one endpoint, in a form that another process can take over."""
 
     started_at: int
--- a/linetrack/policy/endpoint_weights.py
+++ b/linetrack/policy/endpoint_weights.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import zlib
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from linetrack.policy.endpoint import ESTIMATE_LIFETIME, Endpoint
 from linetrack.policy.latency_model import SHARPNESS
@@ -22,8 +22,7 @@
 INSTANCE_HASH_MULTIPLIER = 0x85EBCA6B  # makes marks of instance numbers that differ in many bits
 
 
-@dataclass(slots=True)
-class WeightedEndpoints:
+class WeightedEndpoints(NamedTuple):
     """Endpoints with what is known of each, in lists of the same order."""
 
     endpoints: list[Endpoint]
--- a/linetrack/policy/idle_connections.py
+++ b/linetrack/policy/idle_connections.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from linetrack.policy.decaying_average import DECAY_TIME
 from linetrack.policy.endpoint import Attempt
@@ -15,8 +15,7 @@
 MAX_IDLE_RATIO = 0.7  # of the idle time after which a connection was reset at once
 
 
-@dataclass(slots=True, frozen=True)
-class IdleConnectionState:
+class IdleConnectionState(NamedTuple):
     """What was learnt, in a form that another process can take over."""
 
     max_idle: float
--- a/linetrack/policy/latency_model.py
+++ b/linetrack/policy/latency_model.py
@@ -14,7 +14,7 @@
 import math
 from collections import defaultdict
 from collections.abc import Mapping
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from linetrack.policy.class_statistics import ClassStatistics
 from linetrack.policy.decaying_average import SLOW_EWMA_WEIGHT, DecayingAverage
@@ -33,8 +33,7 @@
 HEDGE_DELAY_RATIO = 3.0  # a hedged attempt waits so many expected latencies of the first attempt
 
 
-@dataclass(slots=True, frozen=True)
-class LatencyState:
+class LatencyState(NamedTuple):
     """What was learnt, in a form that another process can take over."""
 
     baseline: float
--- a/linetrack/policy/load_reports.py
+++ b/linetrack/policy/load_reports.py
@@ -5,7 +5,7 @@
 import math
 from collections import defaultdict
 from collections.abc import Mapping
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from linetrack.policy.decaying_average import (
     EWMA_WEIGHT,
@@ -25,8 +25,7 @@
 SIGNIFICANT_CHANGE = 0.15  # a load that changes by more than this share renews the endpoint's estimate
 
 
-@dataclass(slots=True, frozen=True)
-class LoadState:
+class LoadState(NamedTuple):
     """What was learnt, in a form that another process can take over."""
 
     utilization: float
--- a/linetrack/policy/retry_limits.py
+++ b/linetrack/policy/retry_limits.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from linetrack.policy.protocols import OverloadController
 from linetrack.policy.settings import Settings
@@ -49,8 +49,7 @@
         self.tokens = min(MAX_TOKENS, self.tokens + price)
 
 
-@dataclass(slots=True, frozen=True)
-class RetryWindowState:
+class RetryWindowState(NamedTuple):
     """What was counted, in a form that another process can take over."""
 
     window: int
--- a/linetrack/policy/success_model.py
+++ b/linetrack/policy/success_model.py
@@ -5,7 +5,7 @@
 import math
 from collections import defaultdict
 from collections.abc import Mapping
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from linetrack.policy.decaying_average import (
     DECAY_TIME,
@@ -21,8 +21,7 @@
 MAX_FAILURE_PROBABILITY = 0.9  # of one kind of failure: no endpoint is without any chance
 
 
-@dataclass(slots=True, frozen=True)
-class SuccessState:
+class SuccessState(NamedTuple):
     """What was learnt, in a form that another process can take over."""
 
     usual_error_ratio: float
