--- a/tests/control/test_policy_snapshot.py
+++ b/tests/control/test_policy_snapshot.py
@@ -12,14 +12,14 @@
 from linetrack.control import policy_snapshot as snapshot
 from linetrack.policy.balancer import Balancer
 from linetrack.policy.events import Outcome
-from tests.helpers import MS, SAFE, Driver
+from tests.helpers import IDEMPOTENT, MS, Driver
 
 
 def trained_driver(seed: int = 3) -> Driver:
     driver = Driver(seed, slow_start_duration=0)
     for n in range(120):
         driver.finish(
-            lambda name: (Outcome.ERROR if name == "h1" else Outcome.SUCCESS, 30 * MS), n % 2 * SAFE
+            lambda name: (Outcome.ERROR if name == "h1" else Outcome.SUCCESS, 30 * MS), n % 2 * IDEMPOTENT
         )
     return driver
 
@@ -38,8 +38,8 @@
         assert one.name == two.name
         assert one.ejections == two.ejections
         assert one.warmup_sends == two.warmup_sends
-        probability = balancer.models.success.success_probability(driver.now, one, SAFE)
-        assert probability == other.models.success.success_probability(driver.now, two, SAFE)
+        probability = balancer.models.success.success_probability(driver.now, one, IDEMPOTENT)
+        assert probability == other.models.success.success_probability(driver.now, two, IDEMPOTENT)
         factor = balancer.models.latency.endpoint_log(driver.now, one)
         assert factor == pytest.approx(other.models.latency.endpoint_log(driver.now, two))
     assert other.count_unavailable(driver.now) == balancer.count_unavailable(driver.now)
--- /dev/null
+++ b/tests/control/test_settings_switch.py
@@ -0,0 +1,68 @@
+"""Other settings in a running instance: which policy instance decides about what."""
+
+from __future__ import annotations
+
+from linetrack.control.settings_switch import SettingsSwitch
+from linetrack.policy.actions import Action, RejectRequest
+from linetrack.policy.balancer import Balancer
+from linetrack.policy.events import (
+    AttemptEnded,
+    EndpointListUpdate,
+    Event,
+    ListForm,
+    Outcome,
+    RequestReceived,
+)
+from tests.helpers import IDEMPOTENT, MS, SECOND, listed_entries, sends, settings
+
+NOW = 1000 * SECOND
+
+
+class FixedPolicy:
+    """A policy that is no `Balancer`, as a bench may give."""
+
+    def handle(self, now: int, event: Event) -> list[Action]:
+        return [RejectRequest(event.request_id, now)] if isinstance(event, RequestReceived) else []
+
+
+def started_switch() -> SettingsSwitch:
+    switch = SettingsSwitch(Balancer(settings(), seed=1))
+    switch.handle(NOW, EndpointListUpdate(ListForm.CACHED, listed_entries()))
+    return switch
+
+
+def test_what_is_open_ends_under_the_settings_it_was_received_with() -> None:
+    switch = started_switch()
+    before = switch.policy
+    (endpoint,) = sends(switch.handle(NOW, RequestReceived(1, IDEMPOTENT, 2 * SECOND)))
+    assert switch.switch(settings(max_attempts=1)) == 1
+    assert switch.draining_policies == [before]
+    failed = AttemptEnded(1, 0, endpoint, Outcome.CONNECT_FAILED, MS)
+    (retried,) = sends(switch.handle(NOW + MS, failed))
+    assert switch.draining_policies == [before], "an older instance allows a retry"
+    switch.handle(NOW + 2 * MS, AttemptEnded(1, 1, retried, Outcome.SUCCESS, MS, request_completed=True))
+    assert not switch.draining_policies
+
+
+def test_what_is_received_after_a_switch_is_decided_by_the_newest_instance() -> None:
+    switch = started_switch()
+    switch.handle(NOW, RequestReceived(1, IDEMPOTENT, 2 * SECOND))
+    switch.switch(settings(max_attempts=1))
+    (endpoint,) = sends(switch.handle(NOW, RequestReceived(2, IDEMPOTENT, 2 * SECOND)))
+    actions = switch.handle(NOW + MS, AttemptEnded(2, 0, endpoint, Outcome.CONNECT_FAILED, MS))
+    assert [type(action) for action in actions] == [RejectRequest]
+
+
+def test_an_instance_without_open_work_is_dropped_at_once() -> None:
+    switch = started_switch()
+    assert switch.switch(settings()) == 0
+    assert not switch.draining_policies
+
+
+def test_a_policy_that_is_no_balancer_is_used_as_it_is() -> None:
+    switch = SettingsSwitch(FixedPolicy())
+    assert not switch.is_supported
+    assert switch.handle(NOW, RequestReceived(1, IDEMPOTENT, SECOND)) == [RejectRequest(1, NOW)]
+    assert switch.hand_over() == {}
+    assert not switch.restore({}, NOW, same_classes=True, same_zones=True)
+    assert switch.count_unavailable(NOW) == 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,6 +1,7 @@
 """Made-up settings and a driver for one policy instance; nothing here comes from any deployment."""
 
 from collections.abc import Callable
+from typing import Any
 
 from linetrack.policy.actions import Action, StartAttempt
 from linetrack.policy.balancer import Balancer
@@ -46,11 +47,11 @@
         deduplication_window=SECOND,
     ),
 )
-SAFE, KEYED, UNSAFE, CELL, KEYED_ALL = range(5)
+IDEMPOTENT, KEYED_IN_ZONE, NON_IDEMPOTENT, KEYED_IN_CELL, KEYED_EVERYWHERE = range(5)
 
 
-def settings(**changes: object) -> Settings:
-    values: dict[str, object] = {
+def settings(**changes: Any) -> Settings:
+    values: dict[str, Any] = {
         "classes": CLASSES,
         "instance_count": 3,
         "zone_count": 2,
@@ -67,10 +68,10 @@
         "max_attempts": 4,
         "cross_zone_cost": 0.1,
     }
-    return Settings(**{**values, **changes})  # type: ignore[arg-type]
+    return Settings(**{**values, **changes})
 
 
-def fleet(home: int = 4, away: int = 3) -> tuple[EndpointEntry, ...]:
+def listed_entries(home: int = 4, away: int = 3) -> tuple[EndpointEntry, ...]:
     entries = [EndpointEntry(f"h{n}", zone=0, cell=n // 2) for n in range(home)]
     return (*entries, *(EndpointEntry(f"a{n}", zone=1, cell=10 + n // 2) for n in range(away)))
 
@@ -79,23 +80,23 @@
     """Feeds events to one balancer, with a clock of its own."""
 
     def __init__(
-        self, seed: int = 1, entries: tuple[EndpointEntry, ...] | None = None, **changes: object
+        self, seed: int = 1, entries: tuple[EndpointEntry, ...] | None = None, **changes: Any
     ) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 1000 * SECOND
         self.count = 0
-        self.feed(EndpointListUpdate(ListForm.CACHED, fleet() if entries is None else entries))
+        self.feed(EndpointListUpdate(ListForm.CACHED, listed_entries() if entries is None else entries))
 
     def feed(self, event: Event, after: int = 0) -> list[Action]:
         self.now += after
         return self.balancer.handle(self.now, event)
 
-    def switch_settings(self, **changes: object) -> None:
+    def switch_settings(self, **changes: Any) -> None:
         """Go on with the successor under other settings."""
         self.balancer = self.balancer.make_successor(settings(**changes))
 
     def ask(
-        self, class_index: int = SAFE, after: int = 0, timeout: int = 2 * SECOND
+        self, class_index: int = IDEMPOTENT, after: int = 0, timeout: int = 2 * SECOND
     ) -> tuple[int, list[Action]]:
         self.count += 1
         return self.count, self.feed(RequestReceived(self.count, class_index, timeout), after)
@@ -112,7 +113,9 @@
         over = outcome is Outcome.SUCCESS
         return self.feed(AttemptEnded(request, attempt, endpoint, outcome, latency, over, report), latency)
 
-    def finish(self, answer: Callable[[str], tuple[Outcome, int]], class_index: int = SAFE) -> list[str]:
+    def finish(
+        self, answer: Callable[[str], tuple[Outcome, int]], class_index: int = IDEMPOTENT
+    ) -> list[str]:
         """Lead one request to its end, attempts ended as `answer` says; return where they went."""
         request, actions = self.ask(class_index)
         went: list[str] = []
@@ -122,7 +125,9 @@
             actions = self.end(request, endpoints[0], outcome, latency, len(went) - 1)
         return went
 
-    def serve(self, class_index: int = SAFE, latency: int = 50 * MS, report: tuple[float, ...] = ()) -> str:
+    def serve(
+        self, class_index: int = IDEMPOTENT, latency: int = 50 * MS, report: tuple[float, ...] = ()
+    ) -> str:
         """Lead one request to its response from wherever it was sent; return where."""
         request, actions = self.ask(class_index)
         endpoint = sends(actions)[0]
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import math
-from dataclasses import replace
 
 import pytest
 
@@ -20,12 +19,12 @@
 from linetrack.policy.request import Request
 from linetrack.policy.tenant_quotas import TenantQuotas
 from tests import helpers
-from tests.helpers import KEYED_ALL, MS, SAFE, SECOND, Driver, fleet, sends
+from tests.helpers import IDEMPOTENT, KEYED_EVERYWHERE, MS, SECOND, Driver, listed_entries, sends
 
 
 def test_overload_is_shed_at_once_and_shedding_does_not_last() -> None:
     """Shed requests have no outcomes, so an estimate that sheds everything must fade by itself."""
-    driver = Driver(entries=fleet(2, 0))
+    driver = Driver(entries=listed_entries(2, 0))
     rejected = 0
     for _ in range(90):
         request, actions = driver.ask()
@@ -60,8 +59,7 @@
         endpoint.in_flight.clear()
         endpoint.latency_factor = DecayingAverage()
         # the same latency is expected both times, once as baseline and once as congestion
-        state = replace(
-            model.export_state(),
+        state = model.export_state()._replace(
             baseline=math.log(200.0 * MS) - congestion,
             mean_endpoint_factor=0.0,
             zone_congestion={0: DecayingAverage(congestion, 1e9, balancer.now)},
@@ -83,7 +81,7 @@
         balancer, request, endpoint = one_received()
         admission = balancer.admission
         late_ratio = DecayingAverage(late, 1.0, balancer.now)
-        admission.import_state(replace(admission.export_state(), late_ratio=late_ratio))
+        admission.import_state(admission.export_state()._replace(late_ratio=late_ratio))
         admission.assess(balancer.now, request)
         weighted = WeightedEndpoints([endpoint], [400.0 * MS], [1.0], [])
         net_values += admission.net_values(balancer.now, request, weighted)
@@ -97,7 +95,7 @@
     quota_factors = {}
     for number in range(600):
         tenant = int(number % 12 == 0)
-        driver.feed(RequestReceived(number, SAFE, SECOND, tenant), 10 * MS)
+        driver.feed(RequestReceived(number, IDEMPOTENT, SECOND, tenant), 10 * MS)
         if number in driver.balancer.lifecycle.requests:
             quota_factors[tenant] = driver.balancer.lifecycle.requests[number].quota_factor
     assert quota_factors[1] == 1.0
@@ -107,17 +105,17 @@
 def test_client_retries_do_not_count_as_a_tenants_traffic() -> None:
     quotas = TenantQuotas(helpers.settings(tenant_quotas=(30.0,), over_quota_weight=0.1, instance_count=3))
     for number in range(300):
-        received = RequestReceived(number, SAFE, SECOND, 0, is_retry=number % 10 != 0)
+        received = RequestReceived(number, IDEMPOTENT, SECOND, 0, is_retry=number % 10 != 0)
         quotas.record_request(1000 * SECOND + number * 10 * MS, received)
-    assert quotas.record_request(1003 * SECOND, RequestReceived(999, SAFE, SECOND, 0)) == 1.0
+    assert quotas.record_request(1003 * SECOND, RequestReceived(999, IDEMPOTENT, SECOND, 0)) == 1.0
 
 
 def test_a_client_retry_with_less_time_is_judged_by_what_the_first_request_used() -> None:
     driver = Driver(slow_start_duration=0)
     driver.ask(timeout=SECOND)
-    driver.feed(RequestReceived(7, SAFE, 800 * MS, is_retry=True), 10 * MS)
-    driver.feed(RequestReceived(8, SAFE, SECOND, is_retry=True), 10 * MS)
-    driver.feed(RequestReceived(9, SAFE, 800 * MS), 10 * MS)
+    driver.feed(RequestReceived(7, IDEMPOTENT, 800 * MS, is_retry=True), 10 * MS)
+    driver.feed(RequestReceived(8, IDEMPOTENT, SECOND, is_retry=True), 10 * MS)
+    driver.feed(RequestReceived(9, IDEMPOTENT, 800 * MS), 10 * MS)
     at = {n: driver.now - driver.balancer.lifecycle.requests[n].started_at for n in (7, 8, 9)}
     assert at == {7: 1200 * MS + 20 * MS, 8: 10 * MS, 9: 0}
 
@@ -127,7 +125,7 @@
     sent = 0
     for _ in range(count):
         driver.now += 20 * MS
-        driver.serve(SAFE if class_index != SAFE else KEYED_ALL)
+        driver.serve(IDEMPOTENT if class_index != IDEMPOTENT else KEYED_EVERYWHERE)
         request, actions = driver.ask(class_index)
         if endpoints := sends(actions):
             sent += 1
@@ -139,23 +137,23 @@
 def test_a_class_that_alone_is_late_everywhere_is_sampled_only() -> None:
     """Its requests take capacity from all others, which would be shed as in an overload."""
     driver = Driver(max_attempts=1)
-    assert admitted(driver, KEYED_ALL, 50 * MS) == 40
-    admitted(driver, KEYED_ALL, 900 * MS, 20)
-    assert 0 < admitted(driver, KEYED_ALL, 900 * MS, 200) < 30
-    assert sends(driver.ask(SAFE)[1]), "the others go on"
-    admitted(driver, KEYED_ALL, 50 * MS, 200)
-    assert admitted(driver, KEYED_ALL, 50 * MS, 20) == 20, "and the few that are sampled bring it back"
+    assert admitted(driver, KEYED_EVERYWHERE, 50 * MS) == 40
+    admitted(driver, KEYED_EVERYWHERE, 900 * MS, 20)
+    assert 0 < admitted(driver, KEYED_EVERYWHERE, 900 * MS, 200) < 30
+    assert sends(driver.ask(IDEMPOTENT)[1]), "the others go on"
+    admitted(driver, KEYED_EVERYWHERE, 50 * MS, 200)
+    assert admitted(driver, KEYED_EVERYWHERE, 50 * MS, 20) == 20, "and the few that are sampled bring it back"
 
 
 def test_classes_that_are_late_together_are_not_failing() -> None:
     driver = Driver()
     late = 0
-    for class_index in (SAFE, KEYED_ALL) * 20:
+    for class_index in (IDEMPOTENT, KEYED_EVERYWHERE) * 20:
         request, actions = driver.ask(class_index, after=6 * SECOND)
         if endpoints := sends(actions):
             late += 1
             driver.end(request, endpoints[0], latency=900 * MS)
     assert late > 20
     classes = driver.balancer.models.classes
-    assert classes.relative_on_time_ratio(driver.now, SAFE) > 0.5
-    assert classes.relative_on_time_ratio(driver.now, KEYED_ALL) > 0.5
+    assert classes.relative_on_time_ratio(driver.now, IDEMPOTENT) > 0.5
+    assert classes.relative_on_time_ratio(driver.now, KEYED_EVERYWHERE) > 0.5
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -15,7 +15,7 @@
     Outcome,
     TimerFired,
 )
-from tests.helpers import MS, SECOND, Driver, fleet, sends
+from tests.helpers import MS, SECOND, Driver, listed_entries, sends
 
 
 def test_empty_list_is_answered_promptly() -> None:
@@ -32,7 +32,7 @@
 def test_waiting_request_is_sent_once_an_endpoint_appears() -> None:
     driver = Driver(entries=())
     request, actions = driver.ask()
-    driver.feed(EndpointListUpdate(ListForm.DELTA, fleet(1, 0)))
+    driver.feed(EndpointListUpdate(ListForm.DELTA, listed_entries(1, 0)))
     assert sends(driver.feed(TimerFired(f"hold:{request}"), 20 * MS)) == ["h0"]
     assert actions
     assert isinstance(actions[0], SetTimer)
@@ -134,7 +134,7 @@
 def test_what_is_given_up_is_answered_at_once(streams: int) -> None:
     """Nothing is held back for the client's sake: the answer stands among the actions of the same event."""
     driver = Driver(
-        entries=fleet(2, 0),
+        entries=listed_entries(2, 0),
         max_streams_per_connection=streams,
         keep_alive_timeout=SECOND,
         max_attempts=1,
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -13,7 +13,16 @@
     EndpointEntry,
     Outcome,
 )
-from tests.helpers import KEYED, KEYED_ALL, MS, SAFE, SECOND, Driver, fleet, sends
+from tests.helpers import (
+    IDEMPOTENT,
+    KEYED_EVERYWHERE,
+    KEYED_IN_ZONE,
+    MS,
+    SECOND,
+    Driver,
+    listed_entries,
+    sends,
+)
 
 
 def sends_by_endpoint(driver: Driver, count: int = 300) -> Counter[str]:
@@ -23,7 +32,7 @@
 def home_weights(driver: Driver) -> list[float]:
     balancer = driver.balancer
     home = [u for u in balancer.endpoints.values() if u.zone == 0]
-    return balancer.weights.weigh(driver.now, home, SAFE).weights
+    return balancer.weights.weigh(driver.now, home, IDEMPOTENT).weights
 
 
 def test_first_candidate_is_of_the_own_zone_and_none_is_removed() -> None:
@@ -86,7 +95,7 @@
 
 
 def test_zone_without_endpoints_is_served_from_the_other() -> None:
-    driver = Driver(entries=fleet(0, 3))
+    driver = Driver(entries=listed_entries(0, 3))
     assert sends(driver.ask()[1])[0].startswith("a")
 
 
@@ -95,13 +104,13 @@
         driver = Driver(cross_zone_cost=price)
         for _ in range(40):
             driver.serve(latency=60 * MS)
-        went = {name[0] for _ in range(60) for name in sends(driver.ask(SAFE)[1])}
+        went = {name[0] for _ in range(60) for name in sends(driver.ask(IDEMPOTENT)[1])}
         assert went == ({"h", "a"} if price < 1 else {"h"})
 
 
 def test_failing_own_zone_spills_over() -> None:
     """Errors count into the chance that decides spillover."""
-    driver = Driver(entries=fleet(1, 3))
+    driver = Driver(entries=listed_entries(1, 3))
     for _ in range(40):
         driver.finish(lambda u: (Outcome.ERROR if u == "h0" else Outcome.SUCCESS, 30 * MS))
     assert sends(driver.ask()[1])[0].startswith("a")
@@ -112,7 +121,7 @@
     monkeypatch: pytest.MonkeyPatch, others: int, away: bool
 ) -> None:
     """The best of many weak estimates flatters: a congested zone would never spill over."""
-    driver = Driver(entries=fleet(20, 1))
+    driver = Driver(entries=listed_entries(20, 1))
     for _ in range(30):
         driver.serve(latency=60 * MS)
     balancer = driver.balancer
@@ -128,7 +137,9 @@
 
 
 def test_limited_retries_go_where_something_was_served_lately() -> None:
-    driver = Driver(entries=fleet(12, 0), retry_window=SECOND, retry_window_allowance=9.0, max_attempts=2)
+    driver = Driver(
+        entries=listed_entries(12, 0), retry_window=SECOND, retry_window_allowance=9.0, max_attempts=2
+    )
     served = {driver.serve() for _ in range(4)}
     further = set()
     for _ in range(60):
@@ -145,10 +156,12 @@
 
 def test_no_attempt_crosses_into_a_zone_as_full_as_the_own_one() -> None:
     # attempts after attempts would take each other's room, and cross for it
-    driver = Driver(entries=fleet(3, 6), cross_zone_cost=0.1, max_attempts=6, may_run_parallel_attempts=False)
+    driver = Driver(
+        entries=listed_entries(3, 6), cross_zone_cost=0.1, max_attempts=6, may_run_parallel_attempts=False
+    )
     crossed = []
     for _ in range(100):
-        went = driver.finish(lambda _: (Outcome.OVERLOADED, MS), KEYED_ALL)
+        went = driver.finish(lambda _: (Outcome.OVERLOADED, MS), KEYED_EVERYWHERE)
         crossed.append(sum(u[0] == "a" for u in went))
         driver.now += 100 * MS
     assert sum(crossed[40:]) < 60
@@ -156,13 +169,15 @@
 
 def test_request_bound_to_an_unreachable_zone_may_still_try_it() -> None:
     # its key is known in that zone alone: that another zone can be reached is no help to it
-    driver = Driver(entries=fleet(4, 4), keep_alive_timeout=30 * SECOND, may_run_parallel_attempts=False)
-    request, actions = driver.ask(KEYED)
+    driver = Driver(
+        entries=listed_entries(4, 4), keep_alive_timeout=30 * SECOND, may_run_parallel_attempts=False
+    )
+    request, actions = driver.ask(KEYED_IN_ZONE)
     (first,) = sends(actions)
     for endpoint in driver.balancer.endpoints.values():
         if endpoint.zone == 0:
             endpoint.ejections, endpoint.connected_until = (
-                {KEYED: Ejection(SECOND, driver.now + 9 * SECOND)},
+                {KEYED_IN_ZONE: Ejection(SECOND, driver.now + 9 * SECOND)},
                 0,
             )
         else:
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from tests import helpers
-from tests.helpers import MS, SECOND, Driver, fleet, sends
+from tests.helpers import MS, SECOND, Driver, listed_entries, sends
 
 
 def sends_by_endpoint(driver: Driver, count: int = 300) -> Counter[str]:
@@ -33,7 +33,7 @@
     driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
     driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),)))
     assert not set(sends_by_endpoint(driver, 100)) & {"h0", "h1"}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(3, 0)[2:]))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(3, 0)[2:]))
     assert set(sends_by_endpoint(driver, 50)) == {"h2"}
 
 
@@ -57,7 +57,7 @@
             seed=seed, must_subscribe=True, poll_interval=10 * SECOND, instance_count=instances, entries=()
         )
         timers = Balancer(driver.balancer.settings, seed).handle(
-            0, EndpointListUpdate(ListForm.CACHED, fleet())
+            0, EndpointListUpdate(ListForm.CACHED, listed_entries())
         )
         assert isinstance(timers[0], SetTimer)
         assert timers[0].token == "ask"
@@ -85,7 +85,7 @@
     assert len(balancer.endpoints) == 7
     # the rotation goes on although what was attempted last is no longer listed
     assert sends(driver.end(request, old, Outcome.RESET)) != [old]
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(2, 0)))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(2, 0)))
     assert set(balancer.endpoints) == {"h0", "h1"}
     for _ in range(20):
         driver.serve(report=(1.0,))
@@ -121,14 +121,14 @@
     for advice in (False, True):
         driver = Driver(removal_is_advisory=advice)
         if left_out:
-            driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.fleet()[1:]))
+            driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
         else:
             list_status(driver, EndpointStatus.REMOVED)
         assert (count_sends_to(driver, "h0") > 10) is advice
 
 
 def test_an_endpoint_that_is_removed_indeed_costs_few_trials_and_is_forgotten() -> None:
-    driver = Driver(removal_is_advisory=True, entries=helpers.fleet(2, 0), max_attempts=1)
+    driver = Driver(removal_is_advisory=True, entries=helpers.listed_entries(2, 0), max_attempts=1)
     list_status(driver, EndpointStatus.REMOVED)
     went = 0
     for _ in range(100):
@@ -143,7 +143,7 @@
     driver = Driver(removal_is_advisory=True, slow_start_duration=0)
     list_status(driver, EndpointStatus.DRAINING)
     list_status(driver, EndpointStatus.REMOVED)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.fleet()[1:]))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
     assert not count_sends_to(driver, "h0")
     list_status(driver, EndpointStatus.UP)
     assert not count_sends_to(driver, "h0"), "the same process"
@@ -177,7 +177,7 @@
     first, old = sends(actions)[0], driver.balancer
     driver.switch_settings(slow_start_duration=0)
     left = next(name for name in old.endpoints if name != first)
-    listed = tuple(entry for entry in helpers.fleet() if entry.endpoint in (first, left))
+    listed = tuple(entry for entry in helpers.listed_entries() if entry.endpoint in (first, left))
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed))
     list_status(driver, EndpointStatus.DRAINING, first)
     ended = AttemptEnded(request, 0, first, Outcome.CONNECT_FAILED, MS)
--- a/tests/policy/test_endpoint_weights.py
+++ b/tests/policy/test_endpoint_weights.py
@@ -16,12 +16,12 @@
     RequestReceived,
 )
 from linetrack.policy.latency_model import LatencyModel
-from tests.helpers import MS, SAFE, SECOND, Driver, fleet, sends
+from tests.helpers import IDEMPOTENT, MS, SECOND, Driver, listed_entries, sends
 
 
 def test_each_expected_latency_is_worked_out_once_a_decision(monkeypatch: pytest.MonkeyPatch) -> None:
     """Weighing a large fleet several times for one request takes too long."""
-    driver = Driver(entries=fleet(60, 40))
+    driver = Driver(entries=listed_entries(60, 40))
     for _ in range(30):
         driver.serve()
     worked: Counter[str] = Counter()
@@ -62,23 +62,23 @@
 
 def test_failure_in_another_zone_is_seen_at_the_next_request() -> None:
     """The other zones are weighed once in a while only; a failure there must not wait for the next time."""
-    driver = Driver(entries=fleet(0, 4))
+    driver = Driver(entries=listed_entries(0, 4))
     request, actions = driver.ask()
     broken = sends(actions)[0]
     (other,) = sends(driver.end(request, broken, Outcome.CONNECT_FAILED, MS))
     driver.end(request, other, attempt=1)
     assert broken not in {driver.serve() for _ in range(15)}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet(0, 1)))
+    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(0, 1)))
     assert {driver.serve() for _ in range(15)} == {"a0"}
 
 
 def test_affinity_key_prefers_the_same_endpoints_at_all_instances_and_excludes_none() -> None:
     went = []
     for seed in (1, 2):
-        driver = Driver(seed=seed, has_affinity_keys=True, entries=fleet(20, 0))
+        driver = Driver(seed=seed, has_affinity_keys=True, entries=listed_entries(20, 0))
         got: Counter[str] = Counter()
         for number in range(300):
-            actions = driver.feed(RequestReceived(number, SAFE, 2 * SECOND, affinity_key="k:1"))
+            actions = driver.feed(RequestReceived(number, IDEMPOTENT, 2 * SECOND, affinity_key="k:1"))
             got[sends(actions)[0]] += 1
             driver.end(number, sends(actions)[0])
         went.append(got)
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("warm", [True, False])
 def test_without_affinity_keys_no_endpoint_is_preferred(warm: bool) -> None:
-    driver = Driver(has_affinity_keys=warm, entries=fleet(4, 0))
+    driver = Driver(has_affinity_keys=warm, entries=listed_entries(4, 0))
     request, _ = driver.ask()
     balancer = driver.balancer
     weighted = WeightedEndpoints(list(balancer.endpoints.values()), [], [], [1.0] * 4)
@@ -101,7 +101,7 @@
     """Return where an instance's attempts go, also those to endpoints that refuse its connections."""
     driver = Driver(
         seed=instance,
-        entries=fleet(24, 0),
+        entries=listed_entries(24, 0),
         max_streams_per_connection=100,
         keep_alive_timeout=60 * SECOND,
         instance=instance,
@@ -126,7 +126,7 @@
 
 
 def test_where_a_connection_carries_one_request_all_are_used() -> None:
-    driver = Driver(entries=fleet(24, 0), slow_start_duration=0)
+    driver = Driver(entries=listed_entries(24, 0), slow_start_duration=0)
     assert len({driver.serve() for _ in range(400)}) == 24
 
 
--- a/tests/policy/test_four_rules.py
+++ b/tests/policy/test_four_rules.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from random import Random
 
 from hypothesis import HealthCheck, given, settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
@@ -141,10 +142,10 @@
         self.play(RequestReceived(number, class_index, timeout))
 
     @rule(pick=strategies.randoms(use_true_random=False), outcome=strategies.sampled_from(list(Outcome)))
-    def outcome(self, pick: object, outcome: Outcome) -> None:
+    def outcome(self, pick: Random, outcome: Outcome) -> None:
         out = [(n, a) for n, one in self.received.items() for a in sorted(one.in_flight)]
         if out:
-            number, attempt = pick.choice(out)  # type: ignore[attr-defined]
+            number, attempt = pick.choice(out)
             self.finish(number, attempt, outcome)
 
     def finish(self, number: int, attempt: int, outcome: Outcome) -> None:
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -11,11 +11,11 @@
     Outcome,
 )
 from linetrack.policy.idle_connections import IdleConnections
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
+from tests.helpers import IDEMPOTENT, MS, NON_IDEMPOTENT, SECOND, Driver, listed_entries, sends
 
 
 def test_a_reset_at_once_after_idle_time_is_the_connections_end_not_the_endpoints_error() -> None:
-    driver = Driver(entries=fleet(1, 0), slow_start_duration=0)
+    driver = Driver(entries=listed_entries(1, 0), slow_start_duration=0)
     for _ in range(10):
         driver.serve()
     request, actions = driver.ask(after=3 * SECOND)
@@ -34,7 +34,7 @@
 
 def test_a_reset_on_a_new_connection_or_after_work_still_counts() -> None:
     for busy, latency in ((True, MS), (False, 300 * MS)):
-        driver = Driver(entries=fleet(1, 0), slow_start_duration=0)
+        driver = Driver(entries=listed_entries(1, 0), slow_start_duration=0)
         for _ in range(10):
             driver.serve()
         if busy:
@@ -46,8 +46,8 @@
 
 def test_a_non_idempotent_request_that_was_reset_after_idle_time_is_not_sent_again() -> None:
     driver = Driver(slow_start_duration=0)
-    driver.serve(UNSAFE)
-    request, actions = driver.ask(UNSAFE, after=3 * SECOND)
+    driver.serve(NON_IDEMPOTENT)
+    request, actions = driver.ask(NON_IDEMPOTENT, after=3 * SECOND)
     assert sends(driver.end(request, sends(actions)[0], Outcome.RESET, MS)) == []
 
 
@@ -55,7 +55,7 @@
     endpoint = Endpoint(EndpointEntry("a"))
     endpoint.last_used_at = SECOND
     connections = IdleConnections()
-    attempt = Attempt(0, SAFE, endpoint, False, 5 * SECOND)
+    attempt = Attempt(0, IDEMPOTENT, endpoint, False, 5 * SECOND)
     assert not connections.is_expired(5 * SECOND, attempt), "nothing was learnt yet"
     connections.record_reset(5 * SECOND, attempt)
     assert connections.is_expired(5 * SECOND, attempt)
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -13,7 +13,7 @@
     Outcome,
     TimerFired,
 )
-from tests.helpers import MS, SECOND, Driver, fleet, sends
+from tests.helpers import MS, SECOND, Driver, listed_entries, sends
 
 
 def test_a_latency_of_zero_is_taken_in() -> None:
@@ -60,7 +60,7 @@
 
 def test_a_lost_response_is_neither_load_nor_silence_of_its_endpoint() -> None:
     # each endpoint may owe a few responses that will never come, and half of the work would be shed for it
-    driver = Driver(entries=fleet(1, 0))
+    driver = Driver(entries=listed_entries(1, 0))
     for _ in range(30):
         driver.serve()
     endpoint = driver.balancer.endpoints["h0"]
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -16,13 +16,13 @@
 from linetrack.policy.load_reports import LoadReports
 from linetrack.policy.settings import LoadField
 from tests import helpers
-from tests.helpers import MS, SAFE, SECOND, Driver, sends
+from tests.helpers import IDEMPOTENT, MS, SECOND, Driver, sends
 
 
 def home_weights(driver: Driver) -> list[float]:
     balancer = driver.balancer
     home = [u for u in balancer.endpoints.values() if u.zone == 0]
-    return balancer.weights.weigh(driver.now, home, SAFE).weights
+    return balancer.weights.weigh(driver.now, home, IDEMPOTENT).weights
 
 
 def test_reported_queue_depth_moves_the_odds() -> None:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -20,11 +20,20 @@
 from linetrack.policy.outlier_detection import OutlierDetector
 from linetrack.policy.success_model import SuccessModel
 from tests import helpers
-from tests.helpers import KEYED_ALL, MS, SAFE, SECOND, UNSAFE, Driver, fleet, sends
+from tests.helpers import (
+    IDEMPOTENT,
+    KEYED_EVERYWHERE,
+    MS,
+    NON_IDEMPOTENT,
+    SECOND,
+    Driver,
+    listed_entries,
+    sends,
+)
 
 
 def test_a_fleet_that_is_ejected_as_a_whole_still_serves() -> None:
-    driver = Driver(entries=fleet(3, 0))
+    driver = Driver(entries=listed_entries(3, 0))
     for _ in range(12):
         driver.finish(lambda _: (Outcome.CONNECT_FAILED, MS))
     assert sends(driver.ask()[1])
@@ -32,7 +41,7 @@
 
 def test_timeout_under_load_is_not_taken_for_failure() -> None:
     """An endpoint that responded since the attempt was sent is slow, not silent."""
-    driver = Driver(entries=fleet(1, 0))
+    driver = Driver(entries=listed_entries(1, 0))
     one, actions = driver.ask()
     two, _ = driver.ask()
     driver.end(two, "h0", latency=900 * MS)
@@ -70,25 +79,28 @@
     # a fast endpoint's capacity must not be lost for every class because one class fails there
     driver = Driver()
     went: Counter[tuple[int, str]] = Counter()
-    for n in range(600):
-        class_index = SAFE if n % 2 else KEYED_ALL
-        for endpoint in driver.finish(
-            lambda u, k=class_index: (Outcome.ERROR if u == "h0" and k == SAFE else Outcome.SUCCESS, 5 * MS),  # type: ignore[misc]
-            class_index,
-        ):
-            went[class_index, endpoint] += 1
-    assert went[SAFE, "h0"] < 30
-    assert went[KEYED_ALL, "h0"] > 50
+
+    def fail_idempotent(endpoint: str) -> tuple[Outcome, int]:
+        return (Outcome.ERROR if endpoint == "h0" else Outcome.SUCCESS), 5 * MS
+
+    def succeed(_: str) -> tuple[Outcome, int]:
+        return Outcome.SUCCESS, 5 * MS
+
+    for _ in range(300):
+        went.update((KEYED_EVERYWHERE, endpoint) for endpoint in driver.finish(succeed, KEYED_EVERYWHERE))
+        went.update((IDEMPOTENT, endpoint) for endpoint in driver.finish(fail_idempotent, IDEMPOTENT))
+    assert went[IDEMPOTENT, "h0"] < 30
+    assert went[KEYED_EVERYWHERE, "h0"] > 50
 
 
 def test_an_endpoint_that_was_full_once_is_not_lost_to_non_idempotent_requests() -> None:
     """Only an own success ends a class's ejection, and non-idempotent requests are no trials."""
-    driver = Driver(entries=fleet(3, 0))
+    driver = Driver(entries=listed_entries(3, 0))
     request, actions = driver.ask()
     full = sends(actions)[0]
     driver.end(request, full, Outcome.OVERLOADED, MS)
     driver.now += 3 * SECOND
-    for class_index in (SAFE, UNSAFE):
+    for class_index in (IDEMPOTENT, NON_IDEMPOTENT):
         assert full in {driver.serve(class_index) for _ in range(60)}
 
 
@@ -103,18 +115,18 @@
 
 def test_a_success_ends_an_ejection_also_in_a_full_zone() -> None:
     # ejections would double for ever if full queues of the zone were taken for the endpoint's errors
-    driver = Driver(entries=fleet(4, 0), max_attempts=1)
+    driver = Driver(entries=listed_entries(4, 0), max_attempts=1)
     for _ in range(6):
         driver.finish(lambda _: (Outcome.OVERLOADED, MS))
     driver.now += 2 * SECOND
     assert driver.balancer.models.success.zone_acceptance(driver.now, 0) < 0.55
     there = driver.serve()
-    assert SAFE not in driver.balancer.endpoints[there].ejections
+    assert IDEMPOTENT not in driver.balancer.endpoints[there].ejections
 
 
 def test_more_than_half_unreachable_is_not_taken_for_usual() -> None:
     """Errors that most endpoints have are forgiven; a refused connection is no such error."""
-    driver = Driver(entries=fleet(9, 0), max_attempts=2)
+    driver = Driver(entries=listed_entries(9, 0), max_attempts=2)
     refused = []
     for _ in range(400):
         driver.now += 50 * MS
@@ -128,9 +140,14 @@
 
 def test_an_unreachable_zone_is_left_to_trials_while_another_can_be_reached_and_comes_back() -> None:
     # a zone whose endpoints are all ejected must not cost a connection attempt for every request
-    driver = Driver(entries=fleet(4, 4), cross_zone_cost=0.9, max_attempts=3, keep_alive_timeout=30 * SECOND)
-    for outcome in [Outcome.OVERLOADED] * 3 + [Outcome.SUCCESS] * 40:
-        driver.finish(lambda u, o=outcome: (o if u[0] == "h" else Outcome.SUCCESS, MS))  # type: ignore[misc]
+    driver = Driver(
+        entries=listed_entries(4, 4), cross_zone_cost=0.9, max_attempts=3, keep_alive_timeout=30 * SECOND
+    )
+    for _ in range(3):
+        driver.finish(lambda u: (Outcome.OVERLOADED if u[0] == "h" else Outcome.SUCCESS, MS))
+        driver.now += 50 * MS
+    for _ in range(40):
+        driver.finish(lambda _: (Outcome.SUCCESS, MS))
         driver.now += 50 * MS
 
     def play(lost: str, count: int = 150) -> float:
@@ -152,10 +169,10 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
 def test_an_attempt_that_ends_after_its_zone_has_left_the_list_is_taken_in(outcome: Outcome) -> None:
-    driver = Driver(entries=fleet(0, 3))
+    driver = Driver(entries=listed_entries(0, 3))
     request, actions = driver.ask()
     endpoint = sends(actions)[0]
-    gone = tuple(replace(entry, status=EndpointStatus.REMOVED) for entry in fleet(0, 3))
+    gone = tuple(replace(entry, status=EndpointStatus.REMOVED) for entry in listed_entries(0, 3))
     driver.feed(EndpointListUpdate(ListForm.DELTA, gone))
     driver.feed(AttemptEnded(request, 0, endpoint, outcome, 900 * MS, outcome is Outcome.SUCCESS))
     driver.ask()
@@ -167,13 +184,13 @@
     endpoint = Endpoint(EndpointEntry("a"))
     now, durations = SECOND, []
     for _ in range(6):
-        assert detector.record_outcome(now, endpoint, SAFE, Outcome.CONNECT_FAILED)
-        durations.append(endpoint.ejections[SAFE].duration // SECOND)
+        assert detector.record_outcome(now, endpoint, IDEMPOTENT, Outcome.CONNECT_FAILED)
+        durations.append(endpoint.ejections[IDEMPOTENT].duration // SECOND)
         assert detector.is_unavailable(now, endpoint)
-        assert detector.record_outcome(now, endpoint, SAFE, Outcome.CONNECT_FAILED)
-        assert endpoint.ejections[SAFE].duration // SECOND == durations[-1], "not while it is ejected"
-        now = endpoint.ejections[SAFE].until
+        assert detector.record_outcome(now, endpoint, IDEMPOTENT, Outcome.CONNECT_FAILED)
+        assert endpoint.ejections[IDEMPOTENT].duration // SECOND == durations[-1], "not while it is ejected"
+        now = endpoint.ejections[IDEMPOTENT].until
     assert durations == [1, 2, 4, 8, 8, 8]
-    assert not detector.record_outcome(now, endpoint, SAFE, Outcome.SUCCESS)
-    assert SAFE not in endpoint.ejections
-    assert UNSAFE in endpoint.ejections, "by class"
+    assert not detector.record_outcome(now, endpoint, IDEMPOTENT, Outcome.SUCCESS)
+    assert IDEMPOTENT not in endpoint.ejections
+    assert NON_IDEMPOTENT in endpoint.ejections, "by class"
--- a/tests/policy/test_send_guard.py
+++ b/tests/policy/test_send_guard.py
@@ -13,14 +13,23 @@
     Outcome,
     TimerFired,
 )
-from tests.helpers import CELL, KEYED, KEYED_ALL, MS, SECOND, UNSAFE, Driver, sends
+from tests.helpers import (
+    KEYED_EVERYWHERE,
+    KEYED_IN_CELL,
+    KEYED_IN_ZONE,
+    MS,
+    NON_IDEMPOTENT,
+    SECOND,
+    Driver,
+    sends,
+)
 
 
 def test_non_idempotent_request_is_never_hedged_and_fails_after_a_timeout() -> None:
     driver = Driver()
     for _ in range(30):
         driver.serve()
-    request, actions = driver.ask(UNSAFE)
+    request, actions = driver.ask(NON_IDEMPOTENT)
     assert not [a for a in actions if isinstance(a, SetTimer)]
     assert driver.feed(TimerFired(f"copy:{request}"), SECOND) == []
     assert driver.end(request, sends(actions)[0], Outcome.TIMEOUT) == [FailRequest(request)]
@@ -28,11 +37,13 @@
 
 def test_non_idempotent_request_is_retried_after_proof_that_it_was_never_executed() -> None:
     driver = Driver()
-    request, actions = driver.ask(UNSAFE)
+    request, actions = driver.ask(NON_IDEMPOTENT)
     assert sends(driver.end(request, sends(actions)[0], Outcome.OVERLOADED, MS))
 
 
-@pytest.mark.parametrize(("class_index", "outside"), [(KEYED, "zone"), (CELL, "cell"), (KEYED_ALL, "")])
+@pytest.mark.parametrize(
+    ("class_index", "outside"), [(KEYED_IN_ZONE, "zone"), (KEYED_IN_CELL, "cell"), (KEYED_EVERYWHERE, "")]
+)
 def test_request_with_a_key_stays_in_its_deduplication_scope_and_window(
     class_index: int, outside: str
 ) -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -12,7 +12,7 @@
     ListForm,
     Outcome,
 )
-from tests.helpers import MS, SECOND, Driver, fleet, sends
+from tests.helpers import MS, SECOND, Driver, listed_entries, sends
 
 
 @pytest.mark.parametrize("instances", [1, 3, 9])
@@ -20,7 +20,7 @@
     start, service = 1000 * SECOND, 50 * MS
     drivers = []
     for n in range(instances):
-        driver = Driver(seed=n, instance=n, instance_count=instances, entries=fleet(2, 0))
+        driver = Driver(seed=n, instance=n, instance_count=instances, entries=listed_entries(2, 0))
         for _ in range(20):
             driver.serve(latency=service)
         driver.now = start + 10 * SECOND
@@ -42,7 +42,7 @@
 
 
 def test_restarted_endpoint_warms_up_again_and_nothing_learnt_holds() -> None:
-    driver = Driver(entries=fleet(2, 0))
+    driver = Driver(entries=listed_entries(2, 0))
     for _ in range(20):
         driver.serve()
     driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
@@ -53,7 +53,7 @@
 
 def test_warm_and_warming_endpoints_side_by_side() -> None:
     """A warm endpoint with a stated start beside a warming one: the warm one has no limit."""
-    driver = Driver(entries=fleet(2, 0))
+    driver = Driver(entries=listed_entries(2, 0))
     driver.now += 30 * SECOND
     old, new = (
         EndpointEntry("old", started_at=driver.now - 20 * SECOND),
@@ -68,7 +68,7 @@
     count, service, start = 300, 50 * MS, 1010 * SECOND
     drivers = []
     for n in range(count):
-        driver = Driver(seed=n, instance=n, instance_count=count, entries=fleet(4, 0))
+        driver = Driver(seed=n, instance=n, instance_count=count, entries=listed_entries(4, 0))
         for _ in range(5):
             driver.serve(latency=service)
         driver.now = start
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -29,7 +29,7 @@
 )
 from linetrack.policy.settings import LoadField
 from linetrack.policy.slow_start import SlowStart
-from tests.helpers import CELL, KEYED_ALL, MS, SAFE, SECOND, UNSAFE, settings
+from tests.helpers import IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, MS, NON_IDEMPOTENT, SECOND, settings
 
 BEGIN = 1000 * SECOND
 START = BEGIN + 8 * SECOND  # of the warming endpoint
@@ -114,7 +114,13 @@
                 self.put(
                     at,
                     n,
-                    RequestReceived(0, random.choice((SAFE, SAFE, UNSAFE, CELL, KEYED_ALL)), 2 * SECOND),
+                    RequestReceived(
+                        0,
+                        random.choice(
+                            (IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT, KEYED_IN_CELL, KEYED_EVERYWHERE)
+                        ),
+                        2 * SECOND,
+                    ),
                 )
 
     def run(self) -> Simulation:
--- a/tests/policy/test_streamed_messages.py
+++ b/tests/policy/test_streamed_messages.py
@@ -4,14 +4,14 @@
 
 from linetrack.policy.actions import CancelAttempt, RejectRequest, SetTimer
 from linetrack.policy.events import Outcome, RequestBodySent, RequestReceived, ResponseStarted, TimerFired
-from tests.helpers import KEYED, MS, SAFE, SECOND, Driver, sends
+from tests.helpers import IDEMPOTENT, KEYED_IN_ZONE, MS, SECOND, Driver, sends
 
 
 def test_a_response_that_has_started_cancels_other_attempts_and_is_no_load() -> None:
     driver = Driver(slow_start_duration=0)
     for _ in range(30):
         driver.serve()
-    number, actions = driver.ask(SAFE)
+    number, actions = driver.ask(IDEMPOTENT)
     (timer,) = [a for a in actions if isinstance(a, SetTimer)]
     (first,) = sends(actions)
     driver.balancer.retry_budget.tokens = 8.0
@@ -34,10 +34,10 @@
 def test_a_body_that_cannot_be_replayed_is_sent_once_and_its_time_begins_with_its_last_byte() -> None:
     driver = Driver(slow_start_duration=0)
     for _ in range(30):
-        driver.serve(KEYED)
+        driver.serve(KEYED_IN_ZONE)
     driver.count += 1
     number = driver.count
-    actions = driver.feed(RequestReceived(number, KEYED, 2 * SECOND, is_replayable=False))
+    actions = driver.feed(RequestReceived(number, KEYED_IN_ZONE, 2 * SECOND, is_replayable=False))
     (first,) = sends(actions)
     endpoint = driver.balancer.endpoints[first]
     assert not endpoint.in_flight, "what is still being written is no load"
--- a/tests/policy/test_traffic_share.py
+++ b/tests/policy/test_traffic_share.py
@@ -18,7 +18,7 @@
 )
 from linetrack.policy.settings import LoadField
 from linetrack.policy.traffic_share import ESTIMATE_LIFETIME, EVEN_WEIGHT, SEND_DECAY_TIME, TrafficShare
-from tests.helpers import MS, SAFE, settings
+from tests.helpers import IDEMPOTENT, MS, settings
 
 BEGIN = 1000 * SECOND
 ENDPOINTS = [Endpoint(EndpointEntry(f"u{n}", host_class=n % 2)) for n in range(10)]
@@ -111,7 +111,7 @@
             balancer.handle(
                 now, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("warming", started_at=now),))
             )
-        for action in balancer.handle(now, RequestReceived(number, SAFE, 2 * SECOND)):
+        for action in balancer.handle(now, RequestReceived(number, IDEMPOTENT, 2 * SECOND)):
             if isinstance(action, StartAttempt):
                 sent += action.endpoint == "warming"
                 took = 40 * MS if action.endpoint == "warming" else 20 * MS
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,7 +12,7 @@
 
 from linetrack.control.metrics import Metrics, RequestOutcome
 from linetrack.policy.events import Outcome
-from tests.helpers import SAFE, SECOND, Driver
+from tests.helpers import IDEMPOTENT, SECOND, Driver
 from tests.server.reloading import reload, reshaped
 from tests.stand_ins import (
     Message,
@@ -167,11 +167,11 @@
 def test_an_upstream_is_out_of_rotation_while_it_drains_or_is_in_a_spell_for_every_class() -> None:
     driver = Driver(slow_start_duration=0)
     assert driver.balancer.count_unavailable(driver.now) == 0
-    request, actions = driver.ask(SAFE)
+    request, actions = driver.ask(IDEMPOTENT)
     first = actions[0].endpoint  # type: ignore[union-attr]
     driver.end(request, first, Outcome.CONNECT_FAILED)
     assert driver.balancer.count_unavailable(driver.now) == 1
-    driver.balancer.endpoints[first].ejections.pop(SAFE)
+    driver.balancer.endpoints[first].ejections.pop(IDEMPOTENT)
     assert driver.balancer.count_unavailable(driver.now) == 0, "some class still uses it"
     driver.balancer.endpoints["h0"].is_routable = False
     assert driver.balancer.count_unavailable(driver.now + 60 * SECOND) == 1
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -15,6 +15,14 @@
 import yaml
 from click.testing import CliRunner
 
+from linetrack.cli.main import cli
+from linetrack.config import operators
+from linetrack.config.check import FileError
+from linetrack.experiments import figures
+from linetrack.experiments import run as runs
+from linetrack.experiments.baselines import NAMES, Plain
+from linetrack.experiments.run import judge
+from linetrack.experiments.schema import FIGURES, Bound, Goal, read
 from linetrack.policy.actions import FailRequest, StartAttempt
 from linetrack.policy.events import (
     AttemptEnded,
@@ -26,16 +34,8 @@
     RequestReceived,
 )
 from linetrack.policy.settings import Idempotency
-from linetrack.cli.main import cli
-from linetrack.config import operators
-from linetrack.config.check import FileError
-from linetrack.experiments import figures
-from linetrack.experiments import run as runs
-from linetrack.experiments.baselines import NAMES, Plain
-from linetrack.experiments.run import judge
-from linetrack.experiments.schema import FIGURES, Bound, Goal, read
 from linetrack.server.config import config_of
-from tests.helpers import Driver, fleet, settings
+from tests.helpers import Driver, listed_entries, settings
 from tests.stand_ins import ROOT, until
 
 FILES = sorted((ROOT / "experiments").glob("*.yaml"))
@@ -191,7 +191,7 @@
 def test_baselines_keep_to_the_rules_that_any_policy_must(name: str) -> None:
     plain = Plain(name, settings(), 1)
     driver = Driver()
-    plain.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, fleet()))
+    plain.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, listed_entries()))
     plain.handle(0, EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
     sent = set()
     for n in range(200):
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -10,19 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linetrack.policy.actions import FailRequest, RejectRequest, StartAttempt
-from linetrack.policy.events import (
-    AttemptEnded,
-    EndpointListUpdate,
-    Event,
-    ListForm,
-    Outcome,
-    RequestReceived,
-)
-from linetrack.policy.protocols import PossibleExecution
 from linetrack.control.idempotency_keys import KEPT, MOST, IdempotencyKeyTable
-from linetrack.control.overload_control import PROMISES, SECOND, Phase, AdaptiveOverloadController
+from linetrack.control.overload_control import PROMISES, SECOND, AdaptiveOverloadController, Phase
 from linetrack.policy.actions import FailRequest, RejectRequest, StartAttempt
+from linetrack.policy.balancer import Balancer
 from linetrack.policy.events import (
     AttemptEnded,
     EndpointListUpdate,
@@ -32,9 +23,8 @@
     RequestReceived,
 )
 from linetrack.policy.protocols import PossibleExecution
-from linetrack.policy.balancer import Balancer
 from tests import helpers
-from tests.helpers import CELL, KEYED, MS, SAFE, UNSAFE
+from tests.helpers import IDEMPOTENT, KEYED_IN_CELL, KEYED_IN_ZONE, MS, NON_IDEMPOTENT
 
 ROUND_TRIP = 100 * MS  # the least that a caller needs to come again, however eager: bounds each simulation
 START = 1000 * SECOND
@@ -324,11 +314,11 @@
         self.klass = klass
         self.balancer = Balancer(helpers.settings(may_run_parallel_attempts=False), 1, None, IdempotencyKeyTable())
         self.now, self.count = START, 0
-        self.zones = {entry.endpoint: entry for entry in helpers.fleet()}
+        self.zones = {entry.endpoint: entry for entry in helpers.listed_entries()}
         self.open: dict[int, list[tuple[int, str]]] = {}  # attempts out of each request
         self.sends: list[tuple[int, str]] = []
         self.may_have_run: list[tuple[int, str, int, int]] = []
-        self.take(EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
+        self.take(EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
 
     def take(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
@@ -338,7 +328,7 @@
                     at, name = self.may_have_run[0][:2]
                     first = self.zones[name]
                     assert self.now < at + SECOND, "sent after its group has forgotten the key"
-                    assert entry.zone == first.zone and (self.klass != CELL or entry.cell == first.cell)
+                    assert entry.zone == first.zone and (self.klass != KEYED_IN_CELL or entry.cell == first.cell)
                     assert action.write_deadline <= at + SECOND and action.write_deadline
                 outs = self.open.setdefault(action.request_id, [])
                 nth = len([s for s in self.sends if s[0] == action.request_id])
@@ -367,7 +357,7 @@
             self.take(AttemptEnded(request, nth, name, outcome, 5 * MS))
 
 
-@pytest.mark.parametrize("klass", [KEYED, CELL])
+@pytest.mark.parametrize("klass", [KEYED_IN_ZONE, KEYED_IN_CELL])
 def test_no_interleaving_of_retries_ends_and_time_sends_a_sale_past_its_window_or_group(klass: int) -> None:
     """Every row of six steps, from a caller's first request on."""
     for row in itertools.product(("ask", "reset", "full", "late", "wait", "long"), repeat=5):
@@ -378,23 +368,23 @@
 
 
 def test_a_callers_retry_past_the_window_fails_at_once_where_a_new_sale_is_sent() -> None:
-    caller = Caller(KEYED)
+    caller = Caller(KEYED_IN_ZONE)
     for what in ("ask", "late", "long", "ask"):
         caller.step(what)
     assert caller.sends and caller.sends[-1][0] == 1
-    actions = caller.balancer.handle(caller.now, RequestReceived(99, KEYED, 2 * SECOND, idempotency_key=78))
+    actions = caller.balancer.handle(caller.now, RequestReceived(99, KEYED_IN_ZONE, 2 * SECOND, idempotency_key=78))
     assert any(isinstance(action, StartAttempt) for action in actions)
     # without a memory the caller's retry is a new request, and is sent: this is what the memory is for
     plain = Balancer(helpers.settings(), 1)
-    plain.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
-    assert any(isinstance(a, StartAttempt) for a in plain.handle(START, RequestReceived(1, KEYED, 2 * SECOND, idempotency_key=77)))
+    plain.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    assert any(isinstance(a, StartAttempt) for a in plain.handle(START, RequestReceived(1, KEYED_IN_ZONE, 2 * SECOND, idempotency_key=77)))
 
 
 def test_a_request_that_may_not_be_repeated_is_not_for_having_a_key() -> None:
     """Seen to fail while the memory of keys stood for every class that had one."""
     balancer = Balancer(helpers.settings(may_run_parallel_attempts=False), 1, None, IdempotencyKeyTable())
-    balancer.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
-    (sent, *_) = balancer.handle(START, RequestReceived(1, UNSAFE, 2 * SECOND, idempotency_key=5))
+    balancer.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    (sent, *_) = balancer.handle(START, RequestReceived(1, NON_IDEMPOTENT, 2 * SECOND, idempotency_key=5))
     assert isinstance(sent, StartAttempt)
     actions = balancer.handle(START + 9, AttemptEnded(1, 0, sent.endpoint, Outcome.RESET, 9))
     assert actions == [FailRequest(1)]
@@ -404,8 +394,8 @@
     storms = AdaptiveOverloadController(1)
     now = down(storms)
     balancer = Balancer(helpers.settings(), 1, storms)
-    balancer.handle(now, EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
-    told = [balancer.handle(now, RequestReceived(n, SAFE, 2 * SECOND)) for n in range(50)]
+    balancer.handle(now, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    told = [balancer.handle(now, RequestReceived(n, IDEMPOTENT, 2 * SECOND)) for n in range(50)]
     refused = [actions[0] for actions in told if isinstance(actions[0], RejectRequest)]
     assert len(refused) > 40
     assert all(0 < one.retry_after <= helpers.settings().max_retry_after for one in refused)
