--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -73,7 +73,7 @@
         path = socket_path(os.environ.get(SOCKET_FOLDER_VARIABLE, ""), config.name, config.listen)
         if path is None:
             self._listener.listen(config.listen)
-            return config.known
+            return config.initial_endpoints
         self._predecessor = Predecessor(path, self._identity, self._grant_listener, self.execute)
         successor = Successor(path, self._identity(), self.execute, self._on_message)
         while (granted := successor.connect()) is None:
@@ -82,7 +82,7 @@
                 log.warning("hot_restart_foreign_process", path=str(path))
                 self._predecessor = None
             if self._listen_alone(successor):
-                return config.known
+                return config.initial_endpoints
         self._successor = successor
         self._listener.listener = socket.socket(fileno=granted.descriptor)
         return self._granted_endpoints(granted.grant)
@@ -109,7 +109,7 @@
         """
         self._open_socket()
         try:
-            self._listener.listen(self._current_config().listen, beside=self._predecessor is None)
+            self._listener.listen(self._current_config().listen, reuse_port=self._predecessor is None)
         except BaseException as fault:
             if self._predecessor is None:
                 raise
@@ -148,7 +148,7 @@
         assert self._listener.listener is not None
         grant = Grant(
             identity=self._identity(),
-            endpoint_list=encode_snapshot(self._discovery.version or 0, self._upstreams.members()),
+            endpoint_list=encode_snapshot(self._discovery.version or 0, self._upstreams.records()),
             discovery_address=list(self._discovery.address),
         )
         return GrantedListener(self._listener.listener.fileno(), grant)
@@ -161,12 +161,12 @@
         config = self._current_config()
         if grant.discovery_address not in (None, list(config.discovery)):
             log.warning("hot_restart_endpoint_list_ignored", discovery=grant.discovery_address)
-            return config.known
+            return config.initial_endpoints
         try:
             return parse_endpoint_list(grant.endpoint_list)
         except MalformedMessageError as fault:
             log.warning("hot_restart_endpoint_list_invalid", fault=str(fault))
-            return config.known
+            return config.initial_endpoints
 
     # --- As the successor --------------------------------------------------------------------------
     def _on_message(self, message: HotRestartMessage, descriptors: list[int]) -> None:
@@ -179,8 +179,8 @@
                 self._take_state(message)
 
     def _take_state(self, handover: Handover) -> None:
-        self._budget.share(handover.socket_limit)
-        self._listener.intake.remember(handover.request_ids)
+        self._budget.share_with_other_process(handover.socket_limit)
+        self._listener.validator.recent_ids.restore(handover.request_ids)
         # under other settings a class or zone may have another index: what goes by index is left out then
         same_settings = handover.settings_digest == self._current_config().digest
         self._has_restored_policy = self._policy_switch.restore(
@@ -200,7 +200,7 @@
             case Command.START_ACCEPTING:
                 self._take_over()
             case Command.TAKE_ALL_LIMITS:
-                self._budget.whole()
+                self._budget.restore()
             case Command.HAND_OVER:
                 self._hand_over()
             case Command.RESUME:
@@ -223,8 +223,8 @@
         self._upstreams.close_all_idle()
         channel.send(
             Handover(
-                socket_limit=self._budget.leave_to_successor(),
-                request_ids=self._listener.intake.marks(),
+                socket_limit=self._budget.descriptors.yield_to_successor(),
+                request_ids=self._listener.validator.recent_ids.export(),
                 policy_snapshot=self._policy_switch.hand_over(),
                 settings_digest=self._current_config().digest,
             )
@@ -233,21 +233,21 @@
         def migrate(descriptor: int, response_count: int) -> bool:
             return self._migrate_client(channel, descriptor, response_count)
 
-        self._listener.hand_on(migrate)
+        self._listener.migrate_connections(migrate)
 
     def _migrate_client(self, channel: HotRestartChannel, descriptor: int, response_count: int) -> bool:
         """Send a client connection to the successor; return whether it was sent."""
         is_sent = channel.send(ClientHandover(response_count), (descriptor,))
         if is_sent:
-            self._budget.hand_client_on()
+            self._budget.descriptors.migrate_client()
         return is_sent
 
     def _resume(self) -> None:
         """Serve again until the end of this process: its successor has ended."""
         # first, so that there is room for the clients that come back
-        self._budget.whole()
+        self._budget.restore()
         self._policy_switch.resume(clock())
-        self._listener.passes = None
+        self._listener.migrate = None
         self.start_accepting()
 
     # --- Shutting down -------------------------------------------------------------------------------
@@ -268,12 +268,15 @@
         """
         if self._shutdown_command is not Command.HAND_OVER:
             return False
-        while self._listener.open and clock() < deadline:
-            if self._shutdown_command is Command.RESUME:
+        while self._listener.connections and clock() < deadline:
+            if self._has_resumed():
                 return False
             gevent.sleep(POLL_SECONDS)
         return True
 
+    def _has_resumed(self) -> bool:
+        return self._shutdown_command is Command.RESUME
+
     def stop_accepting(self) -> None:
         """Accept no more connections; they wait in the listening socket's queue."""
         if self._accepting is not None:
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any
 
+from tests.server.admin_client import enable_admin, send_admin_request
 from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, request, until
-from tests.test_admin import admin, ask
 
 MAX_REQUESTS = 100_000  # of one client
 
@@ -22,7 +22,7 @@
         self.world = World(folder, *upstreams)
         self.old = self.world.sidecar
         self.old.environ["TMPDIR"] = str(folder / "t")
-        admin(self.old)
+        enable_admin(self.old)
         self.successors: list[Sidecar] = []
 
     def __enter__(self) -> RestartableWorld:
@@ -35,7 +35,7 @@
         self.world.__exit__(*fault)
 
     def start_successor(self, ready: bool = True, **changes: Any) -> Sidecar:
-        """Start the program again, with an admin address of its own, and wait for it unless `ready` is false."""
+        """Start the program again, with its own admin address, and wait for it unless `ready` is false."""
         number = len(self.successors)
         folder = self.folder / f"successor-{number}"
         folder.mkdir()
@@ -97,7 +97,7 @@
 def is_ready(sidecar: Sidecar) -> bool:
     """Whether its admin address reports that it is ready."""
     try:
-        return ask(sidecar.config["admin_addr"], "/admin/health").status == 200
+        return send_admin_request(sidecar.config["admin_addr"], "/admin/health").status == 200
     except (OSError, AssertionError):
         return False
 
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -5,7 +5,7 @@
 import os
 from pathlib import Path
 
-from linetrack.server.connection import readable
+from linetrack.server.sockets import is_readable
 from tests.stand_ins import Upstream, Wire, World, call, until
 
 
@@ -31,7 +31,7 @@
     held: list[Wire] = []
     with world as sidecar:
         for _ in range(400):
-            held = [wire for wire in held if not readable(wire.sock)]
+            held = [wire for wire in held if not is_readable(wire.sock)]
             assert len(held) < 64
             held.append(sidecar.connect())
             held[-1].sock.sendall(call())
@@ -53,7 +53,7 @@
             for _ in range(3):
                 reply = wires[-1].read()
                 assert reply and reply.status == 200
-        assert any(readable(wire.sock) for wire in wires)
+        assert any(is_readable(wire.sock) for wire in wires)
         for wire in wires:
             wire.sock.close()
 
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -103,9 +103,7 @@
 
 
 @pytest.mark.parametrize("reply", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES)
-def test_an_invalid_response_fails_its_own_request_only(
-    tmp_path: Path, reply: bytes | None
-) -> None:
+def test_an_invalid_response_fails_its_own_request_only(tmp_path: Path, reply: bytes | None) -> None:
     server = Upstream("a", lambda request, wire: reply)
     with World(tmp_path, server) as sidecar:
         assert sidecar.ask("pay").status == 502
@@ -154,7 +152,7 @@
         server.script = lambda request, wire: answer(b"ok")
         assert sidecar.ask().status == 200
         sidecar.end()
-        assert last_counts(sidecar.log())["left"] == 1
+        assert last_counts(sidecar.log())["disconnected"] == 1
 
 
 def test_a_draining_endpoint_gets_nothing_new_and_its_connections_are_closed(tmp_path: Path) -> None:
