--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -217,7 +217,8 @@
 
     def _hand_over(self) -> None:
         """Leave new connections, what is known and the open connections to the successor."""
-        assert self._predecessor is not None and self._predecessor.channel is not None
+        assert self._predecessor is not None
+        assert self._predecessor.channel is not None
         channel = self._predecessor.channel
         self.stop_accepting()
         self._upstreams.close_all_idle()
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -30,7 +30,7 @@
 from linetrack.server.hot_restart import HotRestart
 from linetrack.server.listener import Listener
 from linetrack.server.logging_setup import configure_logging
-from linetrack.server.reload import Reloader, log_unused_multiplexing
+from linetrack.server.reload import ConfiguredParts, Reloader, log_unused_multiplexing
 from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
@@ -81,9 +81,7 @@
         self.policy_switch = SettingsSwitch(make_policy(config.settings, config.seed))
         self.dispatcher = self._make_dispatcher()
         self.listener = self._make_listener(config)
-        self.reloader = Reloader(
-            read,
-            config,
+        parts = ConfiguredParts(
             dispatcher=self.dispatcher,
             policy_switch=self.policy_switch,
             listener=self.listener,
@@ -92,6 +90,7 @@
             discovery=self.discovery,
             metrics=self.metrics,
         )
+        self.reloader = Reloader(read, config, parts)
         self.hot_restart = HotRestart(
             lambda: self.config,
             listener=self.listener,
