--- a/tests/control/test_idempotency_keys.py
+++ b/tests/control/test_idempotency_keys.py
@@ -19,7 +19,7 @@
 )
 from linetrack.policy.protocols import PossibleExecution
 from tests import helpers
-from tests.helpers import CELL, KEYED, MS, SECOND, UNSAFE
+from tests.helpers import KEYED_IN_CELL, KEYED_IN_ZONE, MS, NON_IDEMPOTENT, SECOND
 
 START = 1000 * SECOND
 DEDUPLICATION_WINDOW = SECOND  # of the classes in `tests.helpers`
@@ -58,11 +58,11 @@
         self.balancer = Balancer(settings, 1, None, IdempotencyKeyTable())
         self.now = START
         self.request_count = 0
-        self.entries = {entry.endpoint: entry for entry in helpers.fleet()}
+        self.entries = {entry.endpoint: entry for entry in helpers.listed_entries()}
         self.in_flight: dict[int, list[tuple[int, str]]] = {}  # attempt and endpoint, by request
         self.attempts: list[tuple[int, str]] = []  # request and endpoint
         self.may_have_run: list[tuple[int, str, int, int]] = []  # time, endpoint, request, attempt
-        self.feed(EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
+        self.feed(EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
 
     def feed(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
@@ -86,7 +86,7 @@
         entry = self.entries[action.endpoint]
         assert self.now < sent_at + DEDUPLICATION_WINDOW, "sent after its scope has forgotten the key"
         assert entry.zone == first.zone
-        assert self.class_index != CELL or entry.cell == first.cell
+        assert self.class_index != KEYED_IN_CELL or entry.cell == first.cell
         assert action.write_deadline <= sent_at + DEDUPLICATION_WINDOW
         assert action.write_deadline
 
@@ -131,7 +131,7 @@
 STEPS = ("send", "reset", "overloaded", "timeout", "wait", "long wait")
 
 
-@pytest.mark.parametrize("class_index", [KEYED, CELL])
+@pytest.mark.parametrize("class_index", [KEYED_IN_ZONE, KEYED_IN_CELL])
 def test_no_interleaving_of_retries_ends_and_time_leaves_the_deduplication_window_or_scope(
     class_index: int,
 ) -> None:
@@ -144,18 +144,18 @@
 
 
 def test_a_clients_retry_after_the_window_fails_at_once_where_a_new_request_is_sent() -> None:
-    client = RetryingClient(KEYED)
+    client = RetryingClient(KEYED_IN_ZONE)
     for step in ("send", "timeout", "long wait", "send"):
         client.step(step)
     assert client.attempts
     assert client.attempts[-1][0] == 1
-    new_request = RequestReceived(99, KEYED, 2 * SECOND, idempotency_key=78)
+    new_request = RequestReceived(99, KEYED_IN_ZONE, 2 * SECOND, idempotency_key=78)
     actions = client.balancer.handle(client.now, new_request)
     assert any(isinstance(action, StartAttempt) for action in actions)
     # without the table the client's retry is a new request, and is sent: this is what the table is for
     plain = Balancer(helpers.settings(), 1)
-    plain.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
-    retry = RequestReceived(1, KEYED, 2 * SECOND, idempotency_key=77)
+    plain.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    retry = RequestReceived(1, KEYED_IN_ZONE, 2 * SECOND, idempotency_key=77)
     assert any(isinstance(action, StartAttempt) for action in plain.handle(START, retry))
 
 
@@ -163,8 +163,8 @@
     """It was, while the table held the keys of requests of every class."""
     settings = helpers.settings(may_run_parallel_attempts=False)
     balancer = Balancer(settings, 1, None, IdempotencyKeyTable())
-    balancer.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
-    (sent, *_) = balancer.handle(START, RequestReceived(1, UNSAFE, 2 * SECOND, idempotency_key=5))
+    balancer.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    (sent, *_) = balancer.handle(START, RequestReceived(1, NON_IDEMPOTENT, 2 * SECOND, idempotency_key=5))
     assert isinstance(sent, StartAttempt)
     actions = balancer.handle(START + 9, AttemptEnded(1, 0, sent.endpoint, Outcome.RESET, 9))
     assert actions == [FailRequest(1)]
--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -15,7 +15,7 @@
 from linetrack.policy.events import EndpointListUpdate, ListForm, RequestReceived
 from tests import helpers
 from tests.control.simulated_service import START, ColdService, SimulatedService, is_admitted
-from tests.helpers import MS, SAFE, SECOND
+from tests.helpers import IDEMPOTENT, MS, SECOND
 
 
 @pytest.mark.parametrize("obedient", [1.0, 0.5, 0.0])
@@ -182,8 +182,8 @@
     controller = AdaptiveOverloadController(1)
     now = overload(controller)
     balancer = Balancer(helpers.settings(), 1, controller)
-    balancer.handle(now, EndpointListUpdate(ListForm.CACHED, helpers.fleet()))
-    answers = [balancer.handle(now, RequestReceived(n, SAFE, 2 * SECOND)) for n in range(50)]
+    balancer.handle(now, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    answers = [balancer.handle(now, RequestReceived(n, IDEMPOTENT, 2 * SECOND)) for n in range(50)]
     rejections = [actions[0] for actions in answers if isinstance(actions[0], RejectRequest)]
     assert len(rejections) > 40
     assert all(0 < one.retry_after <= helpers.settings().max_retry_after for one in rejections)
