--- a/tests/control/test_metrics.py
+++ b/tests/control/test_metrics.py
@@ -29,5 +29,6 @@
     ends = ("served", "rejected", "failed", "disconnected")
     assert totals["received"] == 2 + sum(totals[name] for name in ends)
     lines = metrics.prometheus_text(7, 1).split("\n")
-    assert lines.pop() == "" and all(LINE.fullmatch(line) for line in lines)
+    assert lines.pop() == ""
+    assert all(LINE.fullmatch(line) for line in lines)
     assert len(lines) == 3 * len({class_name for class_name, _ in ended}) + 6
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -43,7 +43,7 @@
     Outcome,
     RequestReceived,
 )
-from tests.helpers import Driver, fleet, settings
+from tests.helpers import Driver, listed_entries, settings
 from tests.stand_ins import ROOT, until
 
 FILES = sorted((ROOT / "experiments").glob("*.yaml"))
@@ -162,7 +162,7 @@
 def test_baselines_keep_the_rules_that_any_policy_must(baseline: Baseline) -> None:
     policy = BaselinePolicy(baseline, settings(), 1)
     driver = Driver()
-    policy.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, fleet()))
+    policy.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, listed_entries()))
     draining = EndpointEntry("h0", status=EndpointStatus.DRAINING)
     policy.handle(0, EndpointListUpdate(ListForm.DELTA, (draining,)))
     sent = set()
--- a/tests/server/running_attempts.py
+++ b/tests/server/running_attempts.py
@@ -20,9 +20,7 @@
 DIAL_TIMEOUT = 250 * MS
 
 
-def endpoint_record(
-    name: str, address: str, status: EndpointStatus = EndpointStatus.UP
-) -> EndpointRecord:
+def endpoint_record(name: str, address: str, status: EndpointStatus = EndpointStatus.UP) -> EndpointRecord:
     return EndpointRecord(name, parse_address(address), "north", "plain", 1, status, 1.0, 0)
 
 
@@ -37,7 +35,7 @@
         self.runner = AttemptRunner(self.pool, self.budget, ("depth",), self.notify)
         self.pool.update_endpoints(tuple(endpoint_record(s.name, s.address) for s in servers), True)
 
-    def notify(self, notification: FinishedAttempt | SentBody | StartedResponse, seen_at: int) -> None:
+    def notify(self, notification: FinishedAttempt | SentBody | StartedResponse, _seen_at: int) -> None:
         if isinstance(notification, FinishedAttempt):
             self.finished.append(notification)
             return
@@ -57,7 +55,7 @@
 
     def start(self, endpoint: str = "a", timeout: int = 20 * SECOND) -> Attempt:
         now = clock()
-        request = ActiveRequest(RequestReceived(1, 0, timeout), GET, now, lambda final: None)
+        request = ActiveRequest(RequestReceived(1, 0, timeout), GET, now, lambda _final: None)
         attempt = Attempt(request, endpoint, now, request.deadline)
         request.attempts.append(attempt)
         self.runner.start(attempt)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,7 +25,7 @@
 
 
 def run(folder: Path, red: str, *arguments: str) -> tuple[int, str]:
-    """pytest's exit status and output, with that list, in a folder of its own."""
+    """Pytest's exit status and output, with that list, in a folder of its own."""
     (folder / "test_some.py").write_text(TESTS)
     (folder / "conftest.py").write_text(CONFTEST)
     (folder / "pytest.ini").write_text(f"[pytest]\npythonpath = {ROOT}\n")
