--- a/tests/config/test_operators_file.py
+++ b/tests/config/test_operators_file.py
@@ -11,7 +11,7 @@
 from linetrack.config.operators import platform_form, read_operators_file
 from linetrack.policy.settings import Idempotency, Settings
 from linetrack.server.config import parse_config
-from tests.stand_ins import ROOT
+from tests.support.paths import ROOT
 
 SAMPLE = ROOT / "deploy" / "sidecar.toml"
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 from hypothesis import settings
 
 from tests.known_red import KnownRed
-from tests.stand_ins import DEPLOY, ROOT
+from tests.support.paths import DEPLOY, ROOT
 
 # the same examples on every run, and no limit on time: machines are noisy
 settings.register_profile("steady", derandomize=True, deadline=None)
--- a/tests/control/simulated_service.py
+++ b/tests/control/simulated_service.py
@@ -9,7 +9,7 @@
 
 from linetrack.control.overload_control import AdaptiveOverloadController
 from linetrack.policy.events import RequestReceived
-from tests.stand_ins import MS, SECOND
+from tests.support.units import MS, SECOND
 
 ROUND_TRIP = 100 * MS  # the least that a client needs to retry, however eager: bounds each simulation
 START = 1000 * SECOND
--- a/tests/experiments/test_experiments.py
+++ b/tests/experiments/test_experiments.py
@@ -44,7 +44,8 @@
     RequestReceived,
 )
 from tests.helpers import Driver, fleet, settings
-from tests.stand_ins import ROOT, until
+from tests.support.paths import ROOT
+from tests.support.waiting import wait_until
 
 FILES = sorted((ROOT / "experiments").glob("*.yaml"))
 
@@ -297,7 +298,7 @@
         text=True,
         start_new_session=True,
     ) as running:
-        until(lambda: any(path.stat().st_size for path in folder.glob("load-*.jsonl")), "load began")
+        wait_until(lambda: any(path.stat().st_size for path in folder.glob("load-*.jsonl")), "load began")
         assert len(listening(folder)) == 2
         os.killpg(running.pid, signal.SIGINT)
         _, errors = running.communicate(timeout=60)
--- a/tests/server/admin_client.py
+++ b/tests/server/admin_client.py
@@ -4,25 +4,27 @@
 
 import socket
 
-from tests.stand_ins import Message, Sidecar, Wire, free_address, request
+from tests.support.http import HttpConnection, HttpMessage, http_request
+from tests.support.servers import unused_address
+from tests.support.sidecar_process import SidecarProcess
 
 
-def enable_admin(sidecar: Sidecar) -> str:
+def enable_admin(sidecar: SidecarProcess) -> str:
     """Have the program listen for operators; return the address."""
-    address: str = sidecar.config.setdefault("admin_addr", free_address())
+    address: str = sidecar.config.setdefault("admin_addr", unused_address())
     return address
 
 
-def connect(address: str) -> Wire:
+def connect(address: str) -> HttpConnection:
     host, port = address.split(":")
-    return Wire(socket.create_connection((host, int(port))))
+    return HttpConnection(socket.create_connection((host, int(port))))
 
 
-def send_admin_request(address: str, path: str = "/admin/stats", method: str = "GET") -> Message:
+def send_admin_request(address: str, path: str = "/admin/stats", method: str = "GET") -> HttpMessage:
     """One request on a connection of its own, which is closed with the response."""
     wire = connect(address)
     with wire.sock:
-        wire.sock.sendall(request(path, method))
+        wire.sock.sendall(http_request(path, method))
         response = wire.read()
         assert response is not None
         assert wire.ended()
--- a/tests/server/conftest.py
+++ b/tests/server/conftest.py
@@ -11,7 +11,8 @@
 from linetrack.server.listener import Listener
 from tests.server.in_process import InProcessSidecar
 from tests.server.listener_client import RecordingDispatcher
-from tests.stand_ins import SECOND, Upstream
+from tests.support.servers import UpstreamServer
+from tests.support.units import SECOND
 
 
 @pytest.fixture
@@ -38,8 +39,8 @@
 
 
 @pytest.fixture
-def server() -> Iterator[Upstream]:
+def server() -> Iterator[UpstreamServer]:
     """One endpoint, `a`, that serves every request."""
-    made = Upstream("a")
+    made = UpstreamServer("a")
     yield made
     made.close()
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -8,7 +8,10 @@
 from typing import Any
 
 from tests.server.admin_client import enable_admin, send_admin_request
-from tests.stand_ins import Message, Sidecar, Upstream, Wire, World, answer, free_address, request, until
+from tests.support.http import HttpConnection, HttpMessage, http_request, http_response
+from tests.support.servers import UpstreamServer, unused_address
+from tests.support.sidecar_process import Deployment, SidecarProcess
+from tests.support.waiting import wait_until
 
 MAX_REQUESTS = 100_000  # of one client
 
@@ -16,14 +19,14 @@
 class RestartableWorld:
     """A world whose sidecar can be started again beside itself, with one folder for both."""
 
-    def __init__(self, folder: Path, *upstreams: Upstream) -> None:
+    def __init__(self, folder: Path, *upstreams: UpstreamServer) -> None:
         self.folder = folder
         (folder / "t").mkdir()
-        self.world = World(folder, *upstreams)
+        self.world = Deployment(folder, *upstreams)
         self.old = self.world.sidecar
         self.old.environ["TMPDIR"] = str(folder / "t")
         enable_admin(self.old)
-        self.successors: list[Sidecar] = []
+        self.successors: list[SidecarProcess] = []
 
     def __enter__(self) -> RestartableWorld:
         self.world.__enter__()
@@ -34,24 +37,24 @@
             successor.__exit__(None, None, None)
         self.world.__exit__(*fault)
 
-    def start_successor(self, ready: bool = True, **changes: Any) -> Sidecar:
+    def start_successor(self, ready: bool = True, **changes: Any) -> SidecarProcess:
         """Start the program again, with its own admin address, and wait for it unless `ready` is false."""
         number = len(self.successors)
         folder = self.folder / f"successor-{number}"
         folder.mkdir()
-        config = {**self.old.config, "admin_addr": free_address(), **changes}
-        successor = Sidecar(folder, config, self.old.address, environ=dict(self.old.environ))
+        config = {**self.old.config, "admin_addr": unused_address(), **changes}
+        successor = SidecarProcess(folder, config, self.old.address, environ=dict(self.old.environ))
         self.successors.append(successor)
         successor.launch()
         if ready:
-            until(lambda: is_running_and_ready(successor), "ready")
+            wait_until(lambda: is_running_and_ready(successor), "ready")
         return successor
 
 
 class KeptConnectionLoad:
     """Clients that send one request after the other, each on one connection that is never to be closed."""
 
-    def __init__(self, sidecar: Sidecar, clients: int) -> None:
+    def __init__(self, sidecar: SidecarProcess, clients: int) -> None:
         self.sidecar = sidecar
         self.faults: list[str] = []
         self.stopping = threading.Event()
@@ -74,10 +77,10 @@
                 if self.stopping.is_set() or not self._ask(wire, f"{number}-{turn}"):
                     return
 
-    def _ask(self, wire: Wire, request_id: str) -> bool:
+    def _ask(self, wire: HttpConnection, request_id: str) -> bool:
         """Send one request; return whether it was answered and the connection kept."""
         try:
-            wire.sock.sendall(request("/pay/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0"))
+            wire.sock.sendall(http_request("/pay/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0"))
             reply = wire.read()
         except OSError as fault:
             self.faults.append(f"{request_id}: {fault}")
@@ -88,13 +91,13 @@
         return True
 
 
-def is_running_and_ready(sidecar: Sidecar) -> bool:
+def is_running_and_ready(sidecar: SidecarProcess) -> bool:
     """Whether its admin address reports that it is ready; fails where the process has ended."""
     assert sidecar.process and sidecar.process.poll() is None, sidecar.log()
     return is_ready(sidecar)
 
 
-def is_ready(sidecar: Sidecar) -> bool:
+def is_ready(sidecar: SidecarProcess) -> bool:
     """Whether its admin address reports that it is ready."""
     try:
         return send_admin_request(sidecar.config["admin_addr"], "/admin/health").status == 200
@@ -102,7 +105,7 @@
         return False
 
 
-def respond_slowly(message: Message, wire: Wire) -> bytes:
+def respond_slowly(message: HttpMessage, wire: HttpConnection) -> bytes:
     """A script of an upstream that takes 20 ms."""
     time.sleep(0.02)
-    return answer(b"ok")
+    return http_response(b"ok")
--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -29,7 +29,10 @@
 from linetrack.server.endpoint_list import EndpointRecord
 from linetrack.server.listener import Listener
 from linetrack.server.upstream_pool import REUSE_DELAY_US, UpstreamPool
-from tests.stand_ins import MS, PATIENCE, SECOND, Upstream, call, turns_until
+from tests.support.http import class_request
+from tests.support.servers import UpstreamServer
+from tests.support.units import MS, SECOND
+from tests.support.waiting import TIMEOUT_SECONDS, run_until
 
 ENDPOINT = "a"
 
@@ -69,7 +72,7 @@
     """Listener, dispatcher and upstream pool as the program connects them, with one upstream."""
 
     def __init__(self, sockets: int = 1024) -> None:
-        self.upstream = Upstream(ENDPOINT)
+        self.upstream = UpstreamServer(ENDPOINT)
         self.policy = ScriptedPolicy()
         self.budget = Budget(sockets, 192)
         self.pool = UpstreamPool(self.budget.descriptors, 250 * MS, 30 * SECOND)
@@ -91,21 +94,21 @@
         """A client's socket."""
         assert self.listener.listener is not None
         sock = gevent.socket.create_connection(self.listener.listener.getsockname())
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT_SECONDS)
         return sock
 
     def send_request(self, sock: Any, data: bytes | None = None) -> int:
         """Send a request and wait until the policy has it; return its identifier."""
         count = len(self.policy.received_requests())
-        sock.sendall(data or call(expires="20.0"))
-        turns_until(lambda: len(self.policy.received_requests()) > count)
+        sock.sendall(data or class_request(expires="20.0"))
+        run_until(lambda: len(self.policy.received_requests()) > count)
         return self.policy.received_requests()[-1].request_id
 
     def connect_and_be_served(self) -> Any:
         """A client that got a response, so that a connection is idle on either side."""
         self.policy.forward_all()
         sock = self.connect()
-        sock.sendall(call(expires="20.0"))
+        sock.sendall(class_request(expires="20.0"))
         assert sock.recv(65536).startswith(b"HTTP/1.1 200")
         self.policy.forward_nothing()
         self.wait_for_idle_upstream_connection()
@@ -113,7 +116,7 @@
 
     def wait_for_idle_upstream_connection(self) -> None:
         gevent.sleep(2 * REUSE_DELAY_US / SECOND)
-        turns_until(lambda: self.pool.endpoints[ENDPOINT].idle)
+        run_until(lambda: self.pool.endpoints[ENDPOINT].idle)
 
     def start_attempt(self, request_id: int) -> None:
         """Start an attempt at this moment, ahead of what is in the dispatcher's queue."""
@@ -129,11 +132,11 @@
         self.upstream.close()
         for connection in list(self.listener.connections.values()):
             connection.sock.close()
-        turns_until(lambda: not self.listener.connections)
+        run_until(lambda: not self.listener.connections)
 
 
 def wait_in_kernel(sock: Any, events: int) -> None:
     """Wait until the kernel shows one of the events on a socket, while no greenlet runs."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
-    assert poll.poll(PATIENCE * 1000)
+    assert poll.poll(TIMEOUT_SECONDS * 1000)
--- a/tests/server/listener_client.py
+++ b/tests/server/listener_client.py
@@ -9,7 +9,8 @@
 from linetrack.server.active_request import FinalResponse
 from linetrack.server.clock import NEVER
 from linetrack.server.listener import Listener
-from tests.stand_ins import PATIENCE, call, turns_until
+from tests.support.http import class_request
+from tests.support.waiting import TIMEOUT_SECONDS, run_until
 
 
 class RecordingDispatcher:
@@ -32,14 +33,14 @@
     """A client's socket."""
     assert listener.listener is not None
     sock = gevent.socket.create_connection(listener.listener.getsockname())
-    sock.settimeout(PATIENCE)
+    sock.settimeout(TIMEOUT_SECONDS)
     return sock
 
 
 def exchange(dispatcher: RecordingDispatcher, sock: Any) -> None:
     """Send one request on this connection and get its response."""
     count = len(dispatcher.requests)
-    sock.sendall(call())
-    turns_until(lambda: len(dispatcher.requests) > count)
+    sock.sendall(class_request())
+    run_until(lambda: len(dispatcher.requests) > count)
     dispatcher.requests[-1].reply(FinalResponse(200, b"ok"))
     assert sock.recv(65536).startswith(b"HTTP/1.1 200")
--- a/tests/server/long_messages.py
+++ b/tests/server/long_messages.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from tests.stand_ins import Sidecar, answer, request
+from tests.support.http import http_request, http_response
+from tests.support.sidecar_process import SidecarProcess
 
 MB = 1024 * 1024
 LONG_BODY = bytes(range(256)) * 1024  # 256 KiB
@@ -15,7 +16,9 @@
 
 def request_head(class_name: str, request_id: str, *headers: str, method: str = "GET") -> bytes:
     """The head of a valid request."""
-    return request(f"/{class_name}/k", method, f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0", *headers)
+    return http_request(
+        f"/{class_name}/k", method, f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0", *headers
+    )
 
 
 def encode_chunks(body: bytes, size: int = 10_000, extension: bytes = b"", trailer: bytes = b"") -> bytes:
@@ -64,16 +67,16 @@
 
 
 RESPONSE_FORMS: dict[str, Callable[[bytes], bytes]] = {
-    "length": lambda body: answer(body),
+    "length": lambda body: http_response(body),
     "chunks": chunked_response,
     "extensions and a trailer": lambda body: chunked_response(body, extension=b";a=1", trailer=b"X-T: 1\r\n"),
-    "1xx ahead": lambda body: b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answer(body),
+    "1xx ahead": lambda body: b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + http_response(body),
     "until close": lambda body: b"HTTP/1.1 200 OK\r\n\r\n" + body,
     "1.0": lambda body: b"HTTP/1.0 200 OK\r\n\r\n" + body,
 }
 
 
-def resident_bytes(sidecar: Sidecar) -> int:
+def resident_bytes(sidecar: SidecarProcess) -> int:
     """The program's resident memory."""
     assert sidecar.process
     status = Path(f"/proc/{sidecar.process.pid}/status").read_text()
--- a/tests/server/reloading.py
+++ b/tests/server/reloading.py
@@ -6,23 +6,25 @@
 import signal
 from typing import Any
 
-from tests.stand_ins import MS, Sidecar, until
+from tests.support.sidecar_process import SidecarProcess
+from tests.support.units import MS
+from tests.support.waiting import wait_until
 
 RELOAD_EVENTS = ('"reloaded"', "reload_rejected")
 
 
-def send_reload(sidecar: Sidecar, text: str) -> None:
+def send_reload(sidecar: SidecarProcess, text: str) -> None:
     """Write the program's configuration file and send SIGHUP."""
     assert sidecar.process is not None
     (sidecar.folder / "config.json").write_text(text)
     sidecar.process.send_signal(signal.SIGHUP)
 
 
-def reload(sidecar: Sidecar, values: dict[str, Any] | str) -> None:
+def reload(sidecar: SidecarProcess, values: dict[str, Any] | str) -> None:
     """Give the program this file and wait until it has logged what it made of it."""
     before = len(sidecar.log())
     send_reload(sidecar, values if isinstance(values, str) else json.dumps(values))
-    until(lambda: any(event in sidecar.log()[before:] for event in RELOAD_EVENTS))
+    wait_until(lambda: any(event in sidecar.log()[before:] for event in RELOAD_EVENTS))
 
 
 def reshaped(old: dict[str, Any]) -> dict[str, Any]:
--- a/tests/server/running_attempts.py
+++ b/tests/server/running_attempts.py
@@ -14,7 +14,9 @@
 from linetrack.server.notifications import FinishedAttempt, SentBody, StartedResponse
 from linetrack.server.response_stream import ResponseStream
 from linetrack.server.upstream_pool import REUSE_DELAY_US, UpstreamPool
-from tests.stand_ins import MS, SECOND, Upstream, turns_until
+from tests.support.servers import UpstreamServer
+from tests.support.units import MS, SECOND
+from tests.support.waiting import run_until
 
 GET = ClientRequest("GET", "/look/k", "1")
 DIAL_TIMEOUT = 250 * MS
@@ -27,7 +29,7 @@
 class RunningAttempts:
     """A pool and a runner under test, and what they notified."""
 
-    def __init__(self, *servers: Upstream, sockets: int = 1024, keep_alive: int = 30 * SECOND) -> None:
+    def __init__(self, *servers: UpstreamServer, sockets: int = 1024, keep_alive: int = 30 * SECOND) -> None:
         self.finished: list[FinishedAttempt] = []
         self.others: list[SentBody | StartedResponse] = []
         self.budget = Budget(sockets, 192)
@@ -63,7 +65,7 @@
 
     def outcomes(self, count: int = 1) -> list[Outcome]:
         """Wait until so many attempts have ended; how all did."""
-        turns_until(lambda: len(self.finished) >= count)
+        run_until(lambda: len(self.finished) >= count)
         gevent.sleep(0)
         return [finished.outcome for finished in self.finished]
 
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -16,7 +16,10 @@
     send_admin_request,
 )
 from tests.server.reloading import reload, reshaped
-from tests.stand_ins import Upstream, World, answer, free_address, request, silent, until
+from tests.support.http import http_request, http_response
+from tests.support.servers import UpstreamServer, never_respond, unused_address
+from tests.support.sidecar_process import Deployment
+from tests.support.waiting import wait_until
 
 
 def outcome_counts(metrics: dict[str, int], class_name: str) -> tuple[int, int]:
@@ -25,7 +28,7 @@
 
 
 def test_requests_count_by_class_and_outcome_and_attempts_once_written(tmp_path: Path) -> None:
-    world = World(tmp_path, Upstream("a"))
+    world = Deployment(tmp_path, UpstreamServer("a"))
     address = enable_admin(world.sidecar)
     with world as sidecar:
         assert send_admin_request(address, "/admin/health").status == 200
@@ -37,7 +40,7 @@
         assert sidecar.ask("nothing").status == 400
         world.upstreams[0].script = lambda _message, _wire: None
         assert sidecar.ask("pay").status == 502
-        metrics = until(lambda: (m := read_metrics(address))[outcome_metric("pay", "faulted")] and m)
+        metrics = wait_until(lambda: (m := read_metrics(address))[outcome_metric("pay", "faulted")] and m)
         assert outcome_counts(metrics, "look") == (3, 1)
         assert outcome_counts(metrics, "pay") == (1, 1)
         assert metrics["app_relayed_total"] == 5
@@ -46,29 +49,29 @@
 
 
 def test_open_and_rejected_requests_and_accepted_and_invalid_files_are_counted(tmp_path: Path) -> None:
-    world = World(tmp_path, upstream := Upstream("a", silent))
+    world = Deployment(tmp_path, upstream := UpstreamServer("a", never_respond))
     address = enable_admin(world.sidecar)
     with world as sidecar:
         wire = sidecar.connect()
-        wire.sock.sendall(request("/look/k", "GET", "X-Trace-Id: 1", "X-Expires-In: 2"))
-        until(lambda: read_metrics(address)["app_open_requests"] == 1)
+        wire.sock.sendall(http_request("/look/k", "GET", "X-Trace-Id: 1", "X-Expires-In: 2"))
+        wait_until(lambda: read_metrics(address)["app_open_requests"] == 1)
         world.discovery.change(upstream.entry(state="DRAINING"))
-        until(lambda: read_metrics(address)["app_out_of_rotation"] == 1)
+        wait_until(lambda: read_metrics(address)["app_out_of_rotation"] == 1)
         assert read_metrics(address)["app_registry_entries"] == 1
         assert sidecar.ask("pay").status == 503
-        until(lambda: read_metrics(address)[outcome_metric("pay", "throttled")] == 1)
+        wait_until(lambda: read_metrics(address)[outcome_metric("pay", "throttled")] == 1)
         wire.sock.close()
-        until(lambda: read_metrics(address)["app_open_requests"] == 0)
+        wait_until(lambda: read_metrics(address)["app_open_requests"] == 0)
         reload(sidecar, json.dumps(sidecar.config)[:-9])
         reload(sidecar, reshaped(sidecar.config))
-        metrics = until(lambda: (m := read_metrics(address))["app_cfg_accepted_total"] and m)
+        metrics = wait_until(lambda: (m := read_metrics(address))["app_cfg_accepted_total"] and m)
         assert (metrics["app_cfg_accepted_total"], metrics["app_cfg_invalid_total"]) == (1, 1)
         assert metrics[outcome_metric("pay", "throttled")] == 1
         assert metrics[outcome_metric("quote", "fulfilled")] == 0
 
 
 def test_clients_that_send_nothing_or_half_a_request_keep_nobody_from_a_response(tmp_path: Path) -> None:
-    world = World(tmp_path, Upstream("a"))
+    world = Deployment(tmp_path, UpstreamServer("a"))
     address = enable_admin(world.sidecar)
     with world as sidecar:
         silent_clients = [connect(address) for _ in range(120)]
@@ -82,7 +85,7 @@
 
 
 def test_invalid_requests_are_answered_with_their_status(tmp_path: Path) -> None:
-    world = World(tmp_path, Upstream("a"))
+    world = Deployment(tmp_path, UpstreamServer("a"))
     address = enable_admin(world.sidecar)
     with world:
         assert send_admin_request(address, "/metrics").status == 404
@@ -102,8 +105,8 @@
 
 
 def test_the_environment_overrides_the_configured_address(tmp_path: Path) -> None:
-    world = World(tmp_path, Upstream("a", lambda _message, _wire: answer()))
-    configured, override = enable_admin(world.sidecar), free_address()
+    world = Deployment(tmp_path, UpstreamServer("a", lambda _message, _wire: http_response()))
+    configured, override = enable_admin(world.sidecar), unused_address()
     world.sidecar.environ["EDGE_ADMIN_ADDR"] = override
     with world:
         assert send_admin_request(override, "/admin/health").status == 200
--- a/tests/server/test_attempt_end.py
+++ b/tests/server/test_attempt_end.py
@@ -11,11 +11,13 @@
 from linetrack.server.connection import Connection
 from linetrack.server.sockets import is_readable
 from tests.server.in_process import ENDPOINT, InProcessSidecar, wait_in_kernel
-from tests.stand_ins import answer, silent, turns_until
+from tests.support.http import http_response
+from tests.support.servers import never_respond
+from tests.support.waiting import run_until
 
 
 @pytest.mark.parametrize(
-    "reply", [b"HTTP/1.1 2", answer(b"late"), b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"]
+    "reply", [b"HTTP/1.1 2", http_response(b"late"), b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"]
 )
 def test_a_response_that_arrives_as_its_attempt_ends_reaches_nobody(
     sidecar: InProcessSidecar, reply: bytes
@@ -24,22 +26,22 @@
 
     There must be no second final response, and the connection must not be used again with the rest of it.
     """
-    sidecar.upstream.script = silent
+    sidecar.upstream.script = never_respond
     sock = sidecar.connect()
     request_id = sidecar.send_request(sock)
     sidecar.start_attempt(request_id)
-    turns_until(lambda: sidecar.upstream.seen)
+    run_until(lambda: sidecar.upstream.seen)
     (attempt,) = sidecar.dispatcher.active_requests[request_id].attempts
     sidecar.upstream.connections[0].sendall(reply)
     wait_in_kernel(attempt.sock, select.POLLIN)
     sidecar.dispatcher.time_out(attempt, attempt.deadline)
     sidecar.dispatcher.perform(RejectRequest(request_id, 0))
     assert sock.recv(65536).startswith(b"HTTP/1.1 503")
-    turns_until(lambda: sidecar.budget.descriptors.in_use == 1)
+    run_until(lambda: sidecar.budget.descriptors.in_use == 1)
     assert sidecar.policy.attempt_outcomes() == [Outcome.TIMEOUT]
     assert not sidecar.pool.endpoints[ENDPOINT].idle
     assert not is_readable(sock)
-    sidecar.upstream.script = lambda _message, _wire: answer(b"next")
+    sidecar.upstream.script = lambda _message, _wire: http_response(b"next")
     sidecar.start_attempt(sidecar.send_request(sock))
     assert sock.recv(65536).endswith(b"next")
 
@@ -68,8 +70,8 @@
 
     monkeypatch.setattr(Connection, "connect", connect_and_end)
     sidecar.start_attempt(request_id)
-    turns_until(lambda: sidecar.upstream.closed == 1)
+    run_until(lambda: sidecar.upstream.closed == 1)
     descriptors = sidecar.budget.descriptors
-    turns_until(lambda: descriptors.in_use == descriptors.client_count)
+    run_until(lambda: descriptors.in_use == descriptors.client_count)
     assert not sidecar.upstream.seen
     assert Outcome.SUCCESS not in sidecar.policy.attempt_outcomes()
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -15,7 +15,10 @@
 from linetrack.policy.events import Outcome
 from linetrack.server import client_timeouts
 from tests.server.in_process import InProcessSidecar, wait_in_kernel
-from tests.stand_ins import SECOND, answer, call, request, silent, turns_until
+from tests.support.http import class_request, http_request, http_response
+from tests.support.servers import never_respond
+from tests.support.units import SECOND
+from tests.support.waiting import run_until
 
 
 @pytest.mark.parametrize("has_earlier_attempt", [False, True])
@@ -31,40 +34,40 @@
     sock = sidecar.connect_and_be_served()
     request_id = sidecar.send_request(sock)
     if has_earlier_attempt:
-        sidecar.upstream.script = lambda _message, _wire: answer(b"", 500)
+        sidecar.upstream.script = lambda _message, _wire: http_response(b"", 500)
         sidecar.start_attempt(request_id)
-        turns_until(lambda: Outcome.ERROR in sidecar.policy.attempt_outcomes())
+        run_until(lambda: Outcome.ERROR in sidecar.policy.attempt_outcomes())
         sidecar.wait_for_idle_upstream_connection()
     if behind:
         sock.sendall(behind)
-        turns_until(lambda: sidecar.listener.unread_connections)
+        run_until(lambda: sidecar.listener.unread_connections)
     count = len(sidecar.upstream.seen)
     server_side = sidecar.only_connection().sock
     sock.close()
     wait_in_kernel(server_side, select.POLLRDHUP)
     sidecar.start_attempt(request_id)  # at this moment no greenlet has noticed
-    turns_until(sidecar.policy.disconnect_count)
+    run_until(sidecar.policy.disconnect_count)
     ended = (Outcome.NOT_SENT, Outcome.CANCELLED)
-    turns_until(lambda: any(outcome in ended for outcome in sidecar.policy.attempt_outcomes()))
+    run_until(lambda: any(outcome in ended for outcome in sidecar.policy.attempt_outcomes()))
     assert len(sidecar.upstream.seen) == count
     assert not sidecar.dispatcher.active_requests
-    turns_until(lambda: not sidecar.listener.connections)
+    run_until(lambda: not sidecar.listener.connections)
 
 
 def test_a_disconnect_behind_unread_bytes_is_noticed_and_the_attempt_cancelled(
     sidecar: InProcessSidecar,
 ) -> None:
     """Bytes behind a request must not hide that their sender closes."""
-    sidecar.upstream.script = silent
+    sidecar.upstream.script = never_respond
     sock = sidecar.connect()
     request_id = sidecar.send_request(sock)
     sidecar.start_attempt(request_id)
-    turns_until(lambda: sidecar.upstream.seen)
+    run_until(lambda: sidecar.upstream.seen)
     sock.sendall(b"GET /look HT")
-    turns_until(lambda: sidecar.listener.unread_connections)
+    run_until(lambda: sidecar.listener.unread_connections)
     sock.close()
     sweeping = gevent.spawn(sidecar.listener.sweep)
-    turns_until(sidecar.policy.disconnect_count)
+    run_until(sidecar.policy.disconnect_count)
     sweeping.kill()
     assert not sidecar.listener.unread_connections
 
@@ -74,28 +77,28 @@
 ) -> None:
     """Once the body is complete nobody reads from the client any more."""
     sidecar.connect_and_be_served().close()
-    turns_until(lambda: not sidecar.listener.connections)
+    run_until(lambda: not sidecar.listener.connections)
     sidecar.budget.memory.max_bytes = 0
     sock = sidecar.connect()
-    request_id = sidecar.send_request(sock, call(expires="20.0", body=b"x" * 100_000))
+    request_id = sidecar.send_request(sock, class_request(expires="20.0", body=b"x" * 100_000))
     server_side = sidecar.only_connection().sock
     sock.close()
     wait_in_kernel(server_side, select.POLLRDHUP)
     count = len(sidecar.upstream.seen)
     sidecar.start_attempt(request_id)
-    turns_until(sidecar.policy.disconnect_count)
-    turns_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
+    run_until(sidecar.policy.disconnect_count)
+    run_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
     assert len(sidecar.upstream.seen) == count
 
 
 def test_a_disconnect_after_a_streamed_body_is_noticed(sidecar: InProcessSidecar) -> None:
-    sidecar.upstream.script = silent
+    sidecar.upstream.script = never_respond
     sidecar.budget.memory.max_bytes = 0
     sock = sidecar.connect()
-    sidecar.start_attempt(sidecar.send_request(sock, call(expires="20.0", body=b"x" * 100_000)))
-    turns_until(lambda: sidecar.upstream.seen)
+    sidecar.start_attempt(sidecar.send_request(sock, class_request(expires="20.0", body=b"x" * 100_000)))
+    run_until(lambda: sidecar.upstream.seen)
     sock.close()
-    turns_until(sidecar.policy.disconnect_count)
+    run_until(sidecar.policy.disconnect_count)
 
 
 def test_a_half_closed_client_is_forwarded_for_at_first_and_always_gets_a_response(
@@ -106,7 +109,7 @@
     After a while nothing is started for it; what the policy responds then still reaches it.
     """
     sidecar.connect_and_be_served().close()
-    data = request("/look/k", "GET", "X-Trace-Id: h", "X-Expires-In: 20", "Connection: close")
+    data = http_request("/look/k", "GET", "X-Trace-Id: h", "X-Expires-In: 20", "Connection: close")
     first, second = sidecar.connect(), sidecar.connect()
     request_id = sidecar.send_request(first, data)
     first.shutdown(socket.SHUT_WR)
@@ -120,7 +123,7 @@
     monkeypatch.setattr(client_timeouts, "HALF_CLOSE_GRACE_US", 0)
     count = len(sidecar.upstream.seen)
     sidecar.start_attempt(request_id)
-    turns_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
+    run_until(lambda: sidecar.policy.attempt_outcomes()[-1] is Outcome.NOT_SENT)
     sidecar.dispatcher.perform(RejectRequest(request_id, 0))
     assert second.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(sidecar.upstream.seen) == count
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -8,13 +8,14 @@
 
 from linetrack.policy.settings import DeduplicationScope, Idempotency, LoadField
 from linetrack.server.config import Config, ConfigError, read_config
-from tests.stand_ins import SECOND, config
+from tests.support.configuration import sidecar_config
+from tests.support.units import SECOND
 
 KNOWN: dict[str, Any] = {"id": "a", "addr": "127.0.0.1:9", "state": "SERVING"}
 
 
 def platform_values() -> dict[str, Any]:
-    return {**config("127.0.0.1:8500", [KNOWN]), "listen": "127.0.0.1:8081"}
+    return {**sidecar_config("127.0.0.1:8500", [KNOWN]), "listen": "127.0.0.1:8081"}
 
 
 def read(folder: Path, value: object, **environ: str) -> Config:
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -11,7 +11,10 @@
 from linetrack.policy.actions import RejectRequest
 from linetrack.server.clock import clock
 from tests.server.in_process import InProcessSidecar, wait_in_kernel
-from tests.stand_ins import SECOND, call, silent, turns_until
+from tests.support.http import class_request
+from tests.support.servers import never_respond
+from tests.support.units import SECOND
+from tests.support.waiting import run_until
 
 
 @pytest.mark.parametrize("reason", ["deadline", "eviction"])
@@ -21,13 +24,13 @@
     """Closing over bytes that have arrived unread would reset the connection and lose the request."""
     if reason == "deadline":
         sock = sidecar.connect()
-        turns_until(lambda: sidecar.listener.connections)
+        run_until(lambda: sidecar.listener.connections)
     else:
         sock = sidecar.connect_and_be_served()
     connection = sidecar.only_connection()
     sidecar.policy.forward_all()
     gevent.sleep(0)
-    sock.sendall(call(expires="20.0"))
+    sock.sendall(class_request(expires="20.0"))
     wait_in_kernel(connection.sock, select.POLLIN)
     if reason == "deadline":
         sidecar.listener.close_expired(connection.deadline)
@@ -46,12 +49,12 @@
     """A request in the backlog must not be lost because clients that send nothing have all the slots."""
     sidecar.budget.descriptors.max_clients = 2
     silent_clients = [sidecar.connect(), sidecar.connect()]
-    turns_until(lambda: len(sidecar.listener.connections) == 2)
+    run_until(lambda: len(sidecar.listener.connections) == 2)
     assert sidecar.listener.listener is not None
     address = sidecar.listener.listener.getsockname()
     waiting = sidecar.connect()
     sidecar.policy.forward_all()
-    waiting.sendall(call(expires="20.0"))
+    waiting.sendall(class_request(expires="20.0"))
     sidecar.accepting.kill()
     sidecar.listener.close_between_requests()
     sidecar.listener.stop_accepting()
@@ -72,18 +75,18 @@
     assert sidecar.policy.received_requests()[-1].timeout <= SECOND
     sidecar.dispatcher.shutdown_deadline = clock()
     late = sidecar.connect()
-    late.sendall(call(expires="20.0"))
+    late.sendall(class_request(expires="20.0"))
     assert late.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(sidecar.policy.received_requests()) == 1
     # the time of a request with a streamed body starts with the body's last byte
     sidecar.budget.memory.max_bytes = 0
     sidecar.dispatcher.shutdown_deadline = clock() + 2 * SECOND
-    sidecar.upstream.script = silent
+    sidecar.upstream.script = never_respond
     slow = sidecar.connect()
-    request_id = sidecar.send_request(slow, call(expires="20.0", body=b"x" * 100_000))
+    request_id = sidecar.send_request(slow, class_request(expires="20.0", body=b"x" * 100_000))
     sidecar.start_attempt(request_id)
-    turns_until(lambda: sidecar.upstream.seen)
-    turns_until(
+    run_until(lambda: sidecar.upstream.seen)
+    run_until(
         lambda: (
             sidecar.dispatcher.active_requests[request_id].deadline <= sidecar.dispatcher.shutdown_deadline
         )
@@ -102,10 +105,10 @@
     connection = sidecar.only_connection()
     planned: list[Callable[[], None]] = []
     run_soon, sidecar.listener.run_soon = sidecar.listener.run_soon, planned.append
-    data = call(expires="20.0")
+    data = class_request(expires="20.0")
     if reason == "deadline":
         sock.sendall(data[:20])
-        turns_until(lambda: connection.reader.has_partial_request)
+        run_until(lambda: connection.reader.has_partial_request)
         connection.expire()
         data = data[20:]
     else:
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -6,12 +6,15 @@
 from pathlib import Path
 
 from linetrack.server.sockets import is_readable
-from tests.stand_ins import Upstream, Wire, World, call, until
+from tests.support.http import HttpConnection, class_request
+from tests.support.servers import UpstreamServer
+from tests.support.sidecar_process import Deployment
+from tests.support.waiting import wait_until
 
 
 def test_with_no_descriptor_left_idle_connections_are_closed_and_no_client_is_dropped(tmp_path: Path) -> None:
-    server = Upstream("a")
-    world = World(tmp_path, server)
+    server = UpstreamServer("a")
+    world = Deployment(tmp_path, server)
     world.sidecar.config["limits"]["sockets"] = 80
     world.sidecar.prefix = "ulimit -n 80; "
     with world as sidecar:
@@ -26,15 +29,15 @@
 
 def test_clients_that_send_one_request_and_stay_never_use_up_the_connection_slots(tmp_path: Path) -> None:
     # idle connections are closed before clients can open no more of them: 64 here, a third of 192
-    world = World(tmp_path, Upstream("a"))
+    world = Deployment(tmp_path, UpstreamServer("a"))
     world.sidecar.config["limits"]["sockets"] = 192
-    held: list[Wire] = []
+    held: list[HttpConnection] = []
     with world as sidecar:
         for _ in range(400):
             held = [wire for wire in held if not is_readable(wire.sock)]
             assert len(held) < 64
             held.append(sidecar.connect())
-            held[-1].sock.sendall(call())
+            held[-1].sock.sendall(class_request())
             reply = held[-1].read()
             assert reply and reply.status == 200
         for wire in held:
@@ -43,13 +46,13 @@
 
 def test_pipelined_requests_are_served_although_connection_slots_are_short(tmp_path: Path) -> None:
     # a connection must not be closed with a response while a request behind it has been read
-    world = World(tmp_path, Upstream("a"))
+    world = Deployment(tmp_path, UpstreamServer("a"))
     world.sidecar.config["limits"]["sockets"] = 128
     wires = []
     with world as sidecar:
         for _ in range(100):
             wires.append(sidecar.connect())
-            wires[-1].sock.sendall(call() + call() + call())
+            wires[-1].sock.sendall(class_request() + class_request() + class_request())
             for _ in range(3):
                 reply = wires[-1].read()
                 assert reply and reply.status == 200
@@ -64,8 +67,8 @@
     """While discovery is down, clients leave no descriptor free.
 
     The process must neither end nor go on by an old list for want of a descriptor for a poll."""
-    a, b = Upstream("a"), Upstream("b")
-    world = World(tmp_path, a, b)
+    a, b = UpstreamServer("a"), UpstreamServer("b")
+    world = Deployment(tmp_path, a, b)
     world.discovery.scripted = [None] * 10_000
     world.sidecar.config["limits"]["sockets"] = 96
     world.sidecar.prefix = "ulimit -n 96; "
@@ -74,12 +77,12 @@
         for wire in idlers[::2]:
             wire.sock.sendall(b"GET /look")
         calls = len(world.discovery.calls)
-        until(lambda: len(world.discovery.calls) > calls + 1, "called while it is down")
+        wait_until(lambda: len(world.discovery.calls) > calls + 1, "called while it is down")
         assert sidecar.ask().status == 200
         world.discovery.change(a.entry(state="DRAINING"))
         world.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
         world.discovery.scripted.clear()
-        until(lambda: {sidecar.ask().body for _ in range(10)} == {b"b"}, "what it tells at its return")
+        wait_until(lambda: {sidecar.ask().body for _ in range(10)} == {b"b"}, "what it tells at its return")
         assert sidecar.process is not None and sidecar.process.poll() is None
         for wire in idlers:
             wire.sock.close()
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -23,7 +23,9 @@
 from linetrack.server.lifecycle import Sidecar
 from linetrack.server.sockets import is_readable
 from tests.server.in_process import InProcessSidecar
-from tests.stand_ins import PATIENCE, call, config, request, turns_until
+from tests.support.configuration import sidecar_config
+from tests.support.http import class_request, http_request
+from tests.support.waiting import TIMEOUT_SECONDS, run_until
 
 
 def fail_once(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str) -> list[int]:
@@ -68,7 +70,7 @@
     request_id = sidecar.send_request(sock)
     calls = fail_once(monkeypatch, Connection, "connect")
     sidecar.start_attempt(request_id)
-    turns_until(sidecar.policy.attempt_outcomes)
+    run_until(sidecar.policy.attempt_outcomes)
     assert calls
     assert sidecar.policy.attempt_outcomes() == [Outcome.CONNECT_FAILED]
     assert sidecar.budget.descriptors.in_use == 1
@@ -82,8 +84,8 @@
     admin.listener = failing = FailingListener(admin.listener)
     accepting = gevent.spawn(admin.accept)
     sock = gevent.socket.create_connection(address)
-    sock.settimeout(PATIENCE)
-    sock.sendall(request("/admin/health"))
+    sock.settimeout(TIMEOUT_SECONDS)
+    sock.sendall(http_request("/admin/health"))
     assert sock.recv(65536).startswith(b"HTTP/1.1 200")
     assert failing.has_failed
     sock.close()
@@ -100,7 +102,7 @@
     old.listener = failing = FailingListener(old.listener)
     running = gevent.spawn(old.run)
     new = Successor(path, own, lambda _command: None, lambda _message, _descriptors: None)
-    with gevent.Timeout(PATIENCE):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         received = new.connect()
     assert received is not None
     assert failing.has_failed
@@ -118,10 +120,10 @@
     try:
         silent_clients = [sidecar.connect() for _ in range(30)]
         assert sidecar.listener.listener is not None
-        turns_until(lambda: descriptors.in_use >= 4 and is_readable(sidecar.listener.listener))
+        run_until(lambda: descriptors.in_use >= 4 and is_readable(sidecar.listener.listener))
         sock = sidecar.connect()
         sidecar.policy.forward_all()
-        sock.sendall(call(expires="20.0"))
+        sock.sendall(class_request(expires="20.0"))
         assert sock.recv(65536).startswith(b"HTTP/1.1 200")
         assert descriptors.in_use <= 8
         for client in silent_clients:
@@ -132,7 +134,7 @@
 
 def test_a_process_whose_successor_has_ended_has_all_descriptors_again() -> None:
     """It accepts again, and must have room for the clients that come back to it."""
-    values = config("127.0.0.1:9", [])
+    values = sidecar_config("127.0.0.1:9", [])
     sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.listener.listen(("127.0.0.1", 0))
     limit = sidecar.budget.descriptors.limit
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -20,8 +20,9 @@
 from linetrack.server.discovery_client import DiscoveryClient
 from linetrack.server.endpoint_list import parse_endpoint_list
 from linetrack.server.upstream_pool import UpstreamPool
-from tests import stand_ins
-from tests.stand_ins import answer, entry, turns_until
+from tests.support.http import http_response
+from tests.support.servers import DiscoveryServer, endpoint_entry, unused_address
+from tests.support.waiting import run_until
 
 SUBSCRIBED = Settings((), must_subscribe=True, poll_interval=10_000_000, drain_grace=1_000_000)
 PUSHED = Settings((), drain_grace=300_000)
@@ -44,7 +45,7 @@
     """The client in its greenlet, the stand-in that it polls, and what it published."""
 
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
-        self.server = stand_ins.Discovery([entry("a"), entry("b")])
+        self.server = DiscoveryServer([endpoint_entry("a"), endpoint_entry("b")])
         self.updates: list[EndpointListUpdate] = []
         self.upstreams = UpstreamPool(Budget(1024, 192).descriptors, 1, 1)
         self.client = DiscoveryClient(
@@ -70,7 +71,7 @@
 
     def forms(self, count: int) -> list[ListForm]:
         """Return the forms of all updates, once there are so many."""
-        turns_until(lambda: len(self.updates) >= count)
+        run_until(lambda: len(self.updates) >= count)
         return [update.form for update in self.updates]
 
     def close(self) -> None:
@@ -91,15 +92,15 @@
     # with the connect timeout left on the socket every long poll ended after it, as unreachable
     monkeypatch.setattr(discovery_schedule, "CONNECT_TIMEOUT_US", 100_000)
     watched.start()
-    turns_until(lambda: watched.server.calls)
+    run_until(lambda: watched.server.calls)
     gevent.sleep(0.3)
-    watched.server.change(entry("a", state="DRAINING"))
+    watched.server.change(endpoint_entry("a", state="DRAINING"))
     assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
     assert watched.updates[1].entries[0].status is EndpointStatus.DRAINING
 
 
 def list_response(version: int, is_snapshot: bool, *entries: Any) -> bytes:
-    return answer(json.dumps({"version": version, "full": is_snapshot, "servers": entries}).encode())
+    return http_response(json.dumps({"version": version, "full": is_snapshot, "servers": entries}).encode())
 
 
 TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{}"  # and then nothing
@@ -108,13 +109,13 @@
 @pytest.mark.parametrize(
     ("reply", "failure"),
     [
-        (answer(b"not JSON"), PollFailure.INVALID),
-        (answer(b"[" * 100_000), PollFailure.INVALID),
-        (answer(b"{}"), PollFailure.INVALID),
-        (answer(b'{"version":2,"full":"yes","servers":[]}'), PollFailure.INVALID),
-        (answer(b'{"version":2,"full":true,"servers":[{"addr":"127.0.0.1:9"}]}'), PollFailure.INVALID),
+        (http_response(b"not JSON"), PollFailure.INVALID),
+        (http_response(b"[" * 100_000), PollFailure.INVALID),
+        (http_response(b"{}"), PollFailure.INVALID),
+        (http_response(b'{"version":2,"full":"yes","servers":[]}'), PollFailure.INVALID),
+        (http_response(b'{"version":2,"full":true,"servers":[{"addr":"127.0.0.1:9"}]}'), PollFailure.INVALID),
         (b"SMTP\r\n\r\n", PollFailure.INVALID),
-        (list_response(0, False, entry("c")), PollFailure.INVALID),
+        (list_response(0, False, endpoint_entry("c")), PollFailure.INVALID),
         (TRUNCATED_RESPONSE, PollFailure.TRUNCATED),
         (TRUNCATED_RESPONSE[:9], PollFailure.TRUNCATED),
         (b"", PollFailure.TIMEOUT),
@@ -138,9 +139,9 @@
     watched.server.scripted = [reply]
     watched.start()
     assert watched.forms(1) == [ListForm.CACHED]
-    turns_until(lambda: watched.server.calls)
+    run_until(lambda: watched.server.calls)
     monkeypatch.undo()
-    watched.server.change(entry("a", state="DRAINING"))
+    watched.server.change(endpoint_entry("a", state="DRAINING"))
     assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
     assert watched.schedule.failures == [failure]
     assert "hold_ms=0" in watched.server.calls[1] or "?" not in watched.server.calls[1]
@@ -149,8 +150,8 @@
 @pytest.mark.parametrize(
     ("reply", "failure"),
     [
-        (answer(b"", 503), PollFailure.REJECTED),
-        (answer(b"{}", 200, "Content-Length: 7"), PollFailure.INVALID),
+        (http_response(b"", 503), PollFailure.REJECTED),
+        (http_response(b"{}", 200, "Content-Length: 7"), PollFailure.INVALID),
         (None, PollFailure.UNREACHABLE),
     ],
 )
@@ -160,25 +161,25 @@
     watched.schedule.backoff = 30_000
     watched.server.scripted = [reply]
     watched.start()
-    turns_until(lambda: watched.schedule.failures)
+    run_until(lambda: watched.schedule.failures)
     assert watched.schedule.failures == [failure]
     assert watched.client.initial_poll_finished.is_set()
     # the current list stays meanwhile; the one that is received then counts
     assert watched.forms(1) == [ListForm.CACHED]
-    watched.server.change(entry("a", state="DELETED"))
+    watched.server.change(endpoint_entry("a", state="DELETED"))
     assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
 
 
 def test_after_an_older_version_a_snapshot_is_requested_and_counts(watched: WatchedClient) -> None:
     watched.server.version = 9
     watched.start()
-    turns_until(lambda: len(watched.server.calls) == 2)
-    watched.server.scripted = [list_response(3, False, entry("c"))]
-    watched.server.change(entry("b"))
-    turns_until(lambda: watched.schedule.failures)
+    run_until(lambda: len(watched.server.calls) == 2)
+    watched.server.scripted = [list_response(3, False, endpoint_entry("c"))]
+    watched.server.change(endpoint_entry("b"))
+    run_until(lambda: watched.schedule.failures)
     assert watched.schedule.failures == [PollFailure.INVALID]
     watched.server.version = 4
-    turns_until(lambda: watched.updates[-1].form is ListForm.SNAPSHOT)
+    run_until(lambda: watched.updates[-1].form is ListForm.SNAPSHOT)
     assert any("?" not in call for call in watched.server.calls)
 
 
@@ -187,12 +188,12 @@
         list_response(
             2,
             False,
-            entry("a", state="DRAINING"),
-            entry("a", state="SERVING", started_ms=5),
-            entry("b", addr="nowhere"),
-            entry("b", state="ASLEEP"),
-            entry("b", weight="heavy"),
-            entry("c", zone="elsewhere", kind="odd"),
+            endpoint_entry("a", state="DRAINING"),
+            endpoint_entry("a", state="SERVING", started_ms=5),
+            endpoint_entry("b", addr="nowhere"),
+            endpoint_entry("b", state="ASLEEP"),
+            endpoint_entry("b", weight="heavy"),
+            endpoint_entry("c", zone="elsewhere", kind="odd"),
             {"id": "d"},
             None,
             7,
@@ -215,7 +216,7 @@
 def test_long_polls_follow_each_other_at_once_on_one_connection(watched: WatchedClient) -> None:
     watched.start()
     for n in range(5):
-        watched.server.change(entry("a", started_ms=n))
+        watched.server.change(endpoint_entry("a", started_ms=n))
         watched.forms(2 + n)
     assert len(watched.server.connections) == 1
     versions = [call.partition("from=")[2].partition("&")[0] for call in watched.server.calls]
@@ -224,7 +225,7 @@
 
 def test_an_address_may_change_under_the_same_id(watched: WatchedClient) -> None:
     watched.start()
-    watched.server.change(entry("a", addr="127.0.0.1:99"))
+    watched.server.change(endpoint_entry("a", addr="127.0.0.1:99"))
     watched.forms(2)
     assert watched.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
     watched.server.change({"id": "a", "state": "DELETED"})
@@ -235,15 +236,15 @@
 def test_another_server_is_polled_at_once_for_a_snapshot(watched: WatchedClient) -> None:
     # neither the previous server's watch nor its version nor a backoff delays the new one's list
     watched.start()
-    turns_until(lambda: watched.server.calls)
-    other = stand_ins.Discovery([entry("c")])
+    run_until(lambda: watched.server.calls)
+    other = DiscoveryServer([endpoint_entry("c")])
     watched.client.switch_server(parse_address(other.address))
     assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
     assert [e.endpoint for e in watched.updates[1].entries] == ["c"]
     assert list(watched.upstreams.endpoints) == ["c"]
     assert "?" not in other.calls[0]
     other.version = 3
-    other.change(entry("d"))
+    other.change(endpoint_entry("d"))
     assert watched.forms(3)[2] is ListForm.DELTA
     other.close()
 
@@ -252,13 +253,13 @@
     watched: WatchedClient,
 ) -> None:
     watched.schedule.backoff = ONE_HOUR_US
-    watched.server.scripted = [answer(b"", 503)]
+    watched.server.scripted = [http_response(b"", 503)]
     watched.start()
-    turns_until(lambda: watched.schedule.failures)
+    run_until(lambda: watched.schedule.failures)
     watched.client.switch_server(parse_address(watched.server.address))
     gevent.sleep(0.05)
     assert len(watched.server.calls) == 1
-    other = stand_ins.Discovery([entry("c")])
+    other = DiscoveryServer([endpoint_entry("c")])
     watched.client.switch_server(parse_address(other.address))
     assert watched.forms(2)[1] is ListForm.SNAPSHOT
     other.close()
@@ -269,18 +270,18 @@
 ) -> None:
     """An update is binding when it is written, and the new server may take long to respond."""
     watched.start()
-    turns_until(lambda: watched.server.calls)
-    other = stand_ins.Discovery([entry("a"), entry("c")])
-    with other.news:  # it takes the poll and cannot respond yet
+    run_until(lambda: watched.server.calls)
+    other = DiscoveryServer([endpoint_entry("a"), endpoint_entry("c")])
+    with other.change_condition:  # it takes the poll and cannot respond yet
         watched.client.switch_server(parse_address(other.address))
-        turns_until(lambda: other.connections)
-        watched.server.change(entry("b", state="DRAINING"))
+        run_until(lambda: other.connections)
+        watched.server.change(endpoint_entry("b", state="DRAINING"))
         assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
         assert watched.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
     assert watched.forms(3)[2] is ListForm.SNAPSHOT
     # what the previous server sends from here on does not count
-    watched.server.change(entry("c", state="DRAINING"))
-    turns_until(lambda: len(other.calls) >= 2)
+    watched.server.change(endpoint_entry("c", state="DRAINING"))
+    run_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
     assert watched.upstreams.endpoints["c"].status is EndpointStatus.UP
     assert len(watched.updates) == 3
@@ -289,12 +290,14 @@
 
 def test_a_long_poll_that_ends_in_half_of_its_response_is_repeated_at_once(watched: WatchedClient) -> None:
     """Half of a list must not be taken for all of it, and the other half not be waited for."""
-    response = list_response(2, False, entry("a", state="DRAINING"), entry("b", state="DRAINING"))
+    response = list_response(
+        2, False, endpoint_entry("a", state="DRAINING"), endpoint_entry("b", state="DRAINING")
+    )
     watched.schedule.backoff = ONE_HOUR_US
     watched.server.scripted = [response[:-30]]
     watched.start()
-    turns_until(lambda: watched.server.calls)
-    watched.server.change(entry("b", state="DRAINING"))
+    run_until(lambda: watched.server.calls)
+    watched.server.change(endpoint_entry("b", state="DRAINING"))
     watched.server.connections[0].shutdown(socket.SHUT_RDWR)
     assert watched.forms(2)[1] is ListForm.DELTA
     assert watched.schedule.failures == [PollFailure.TRUNCATED]
@@ -313,9 +316,9 @@
 
     monkeypatch.setattr("linetrack.server.discovery_client.Connection", none_left)
     watched.start()
-    turns_until(lambda: watched.schedule.failures)
+    run_until(lambda: watched.schedule.failures)
     assert watched.schedule.failures == [PollFailure.UNREACHABLE]
-    turns_until(lambda: watched.server.calls)
+    run_until(lambda: watched.server.calls)
     assert not watched.greenlet.dead
 
 
@@ -327,10 +330,14 @@
     """
     watched = WatchedClient(PUSHED)
     try:
-        watched.server.scripted = [answer(b"", 503), answer(b"", 503), answer(b"not JSON")]
-        turns_until(lambda: len(watched.schedule.failures) == 3)
+        watched.server.scripted = [
+            http_response(b"", 503),
+            http_response(b"", 503),
+            http_response(b"not JSON"),
+        ]
+        run_until(lambda: len(watched.schedule.failures) == 3)
         assert not watched.client.initial_poll_finished.is_set()
-        turns_until(watched.client.initial_poll_finished.is_set)
+        run_until(watched.client.initial_poll_finished.is_set)
         assert watched.updates[-1].form is ListForm.SNAPSHOT
     finally:
         watched.close()
@@ -338,9 +345,9 @@
 
 def test_while_the_new_server_fails_the_current_list_stays(watched: WatchedClient) -> None:
     watched.start()
-    turns_until(lambda: watched.server.calls)
-    watched.client.switch_server(parse_address(stand_ins.free_address()))
-    turns_until(lambda: watched.schedule.failures)
+    run_until(lambda: watched.server.calls)
+    watched.client.switch_server(parse_address(unused_address()))
+    run_until(lambda: watched.schedule.failures)
     assert watched.schedule.failures == [PollFailure.UNREACHABLE]
     assert sorted(watched.upstreams.endpoints) == ["a", "b"]
 
@@ -352,15 +359,15 @@
     """
     watched = WatchedClient(PUSHED)
     try:
-        watched.server.scripted = [answer(b"", 503), list_response(1, False)]
+        watched.server.scripted = [http_response(b"", 503), list_response(1, False)]
         watched.client.restore(
             parse_endpoint_list({"version": 1, "full": True, "servers": watched.server.entries})
         )
         assert not watched.client.initial_poll_finished.is_set()
-        turns_until(lambda: len(watched.server.calls) == 3)
+        run_until(lambda: len(watched.server.calls) == 3)
         assert [call.partition("hold_ms=")[2] for call in watched.server.calls[:2]] == ["0", "0"]
         assert watched.client.initial_poll_finished.is_set()
-        watched.server.change(entry("a", state="DRAINING"))
+        watched.server.change(endpoint_entry("a", state="DRAINING"))
         assert watched.forms(2)[1] is ListForm.DELTA
     finally:
         watched.close()
@@ -372,10 +379,10 @@
     monkeypatch.setattr(discovery_schedule, "UNCHANGED_LIST_PAUSE_US", 40_000)
     watched.server.scripted = [
         list_response(1, False),
-        list_response(1, False, entry("a")),
+        list_response(1, False, endpoint_entry("a")),
         list_response(1, False),
     ]
     before = time.monotonic()
     watched.start()
-    turns_until(lambda: len(watched.server.calls) >= 4)
+    run_until(lambda: len(watched.server.calls) >= 4)
     assert time.monotonic() - before >= 3 * 0.04
--- a/tests/server/test_dispatcher.py
+++ b/tests/server/test_dispatcher.py
@@ -41,7 +41,8 @@
     IncomingRequest,
     Notification,
 )
-from tests.stand_ins import MS, PATIENCE, SECOND
+from tests.support.units import MS, SECOND
+from tests.support.waiting import TIMEOUT_SECONDS
 
 GET = ClientRequest("GET", "/look/k", "1")
 
@@ -89,7 +90,7 @@
 
     def settle(self) -> None:
         """Wait until the dispatcher has nothing left that is due."""
-        with gevent.Timeout(PATIENCE):
+        with gevent.Timeout(TIMEOUT_SECONDS):
             while self.dispatcher.queue:
                 gevent.sleep(0)
             gevent.sleep(0)
@@ -286,7 +287,7 @@
 def test_an_action_never_seen_before_ends_the_greenlet(driver: DispatcherDriver) -> None:
     driver.policy.decide = lambda _event: [SendHealthCheck("a")]
     driver.enqueue(EndpointListUpdate(ListForm.CACHED))
-    with gevent.Timeout(PATIENCE):
+    with gevent.Timeout(TIMEOUT_SECONDS):
         driver.greenlet.join()
     assert isinstance(driver.greenlet.exception, NotImplementedError)
 
--- a/tests/server/test_essential_greenlets.py
+++ b/tests/server/test_essential_greenlets.py
@@ -6,7 +6,7 @@
 import pytest
 
 from linetrack.server.greenlets import spawn_essential
-from tests.stand_ins import PATIENCE
+from tests.support.waiting import TIMEOUT_SECONDS
 
 
 def test_an_essential_greenlet_that_fails_ends_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -17,7 +17,7 @@
     def fail() -> None:
         raise RuntimeError("a defect")
 
-    spawn_essential("failing", fail).join(PATIENCE)
+    spawn_essential("failing", fail).join(TIMEOUT_SECONDS)
     assert exit_statuses == [1]
-    spawn_essential("killed", lambda: gevent.sleep(PATIENCE)).kill()
+    spawn_essential("killed", lambda: gevent.sleep(TIMEOUT_SECONDS)).kill()
     assert exit_statuses == [1]
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -21,27 +21,18 @@
     is_running_and_ready,
     respond_slowly,
 )
-from tests.stand_ins import (
-    Discovery,
-    Message,
-    Sidecar,
-    Upstream,
-    Wire,
-    World,
-    answer,
-    free_address,
-    request,
-    silent,
-    until,
-)
+from tests.support.http import HttpConnection, HttpMessage, http_request, http_response
+from tests.support.servers import DiscoveryServer, UpstreamServer, never_respond, unused_address
+from tests.support.sidecar_process import Deployment, SidecarProcess
+from tests.support.waiting import wait_until
 
 
-def has_served_more_than(servers: list[Upstream], minimum: int, faults: list[str]) -> bool:
+def has_served_more_than(servers: list[UpstreamServer], minimum: int, faults: list[str]) -> bool:
     return bool(faults) or sum(len(server.seen) for server in servers) > minimum
 
 
 def test_under_load_every_request_is_answered_and_no_kept_connection_is_closed(tmp_path: Path) -> None:
-    servers = [Upstream(name, respond_slowly) for name in "abc"]
+    servers = [UpstreamServer(name, respond_slowly) for name in "abc"]
     with RestartableWorld(tmp_path, *servers) as pair:
         load = KeptConnectionLoad(pair.old, clients=12)
         load.start()
@@ -50,49 +41,49 @@
             new = pair.start_successor()
             assert serving.end() == 0, serving.log()
             sent = sum(len(server.seen) for server in servers)
-            until(partial(has_served_more_than, servers, sent + 50, load.faults))
+            wait_until(partial(has_served_more_than, servers, sent + 50, load.faults))
             serving = new
         load.stop()
         assert not load.faults, load.faults
         ids = [message.headers["x-trace-id"] for server in servers for message in server.seen]
         assert len(set(ids)) == len(ids), "something ran twice"
-        until(lambda: read_metrics(serving.config["admin_addr"])["app_open_requests"] == 0)
+        wait_until(lambda: read_metrics(serving.config["admin_addr"])["app_open_requests"] == 0)
         assert '"snapshot_restored": true' in serving.log()
 
 
 def test_requests_in_flight_and_half_read_are_answered_by_the_predecessor(tmp_path: Path) -> None:
     go = threading.Event()
 
-    def script(message: Message, wire: Wire) -> bytes:
+    def script(message: HttpMessage, wire: HttpConnection) -> bytes:
         go.wait(20)
-        return answer(b"late")
+        return http_response(b"late")
 
-    with RestartableWorld(tmp_path, server := Upstream("a", script)) as pair:
+    with RestartableWorld(tmp_path, server := UpstreamServer("a", script)) as pair:
         waiting, half, idle = pair.old.connect(), pair.old.connect(), pair.old.connect()
-        waiting.sock.sendall(request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
-        until(lambda: server.seen)
-        data = request("/pay/k", "GET", "X-Trace-Id: h", "X-Expires-In: 2.0")
+        waiting.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
+        wait_until(lambda: server.seen)
+        data = http_request("/pay/k", "GET", "X-Trace-Id: h", "X-Expires-In: 2.0")
         half.sock.sendall(data[:20])
         pair.start_successor()
         assert pair.old.process
         pair.old.process.send_signal(signal.SIGTERM)
         half.sock.sendall(data[20:])
-        idle.sock.sendall(request("/pay/k", "GET", "X-Trace-Id: i", "X-Expires-In: 2.0"))
-        until(lambda: len(server.seen) == 3)
+        idle.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: i", "X-Expires-In: 2.0"))
+        wait_until(lambda: len(server.seen) == 3)
         go.set()
         for wire in (waiting, half, idle):
             reply = wire.read()
             assert reply and (reply.status, reply.body) == (200, b"late")
         assert pair.old.process.wait(20) == 0
         # a request id that was in flight in one process is rejected by the other
-        idle.sock.sendall(request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
+        idle.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
         reply = idle.read()
         assert reply and reply.status == 409
 
 
 @pytest.mark.parametrize("end", ["killed", "invalid file"])
 def test_a_successor_that_dies_or_has_an_invalid_file_changes_nothing(tmp_path: Path, end: str) -> None:
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         kept = pair.old.connect()
         if end == "killed":
             new = pair.start_successor()
@@ -105,14 +96,14 @@
         assert [pair.old.ask("pay").status for _ in range(3)] == [200] * 3
         third = pair.start_successor()
         assert pair.old.end() == 0
-        kept.sock.sendall(request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
+        kept.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
         reply = kept.read()
         assert reply and reply.status == 200
         assert third.ask("pay").status == 200
 
 
 def test_after_a_kill_the_successor_serves_and_a_stale_socket_file_is_replaced(tmp_path: Path) -> None:
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         new = pair.start_successor()
         assert pair.old.process
         pair.old.process.kill()
@@ -128,34 +119,36 @@
 def test_without_a_socket_file_both_listen_and_the_log_says_so(tmp_path: Path) -> None:
     long = tmp_path / ("x" * 120)
     long.mkdir()
-    world = World(tmp_path, Upstream("a", respond_slowly))
+    world = Deployment(tmp_path, UpstreamServer("a", respond_slowly))
     world.sidecar.environ["TMPDIR"] = str(long)
     with world as old:
         assert "hot_restart_unavailable" in old.log()
         folder = tmp_path / "again"
         folder.mkdir()
-        new = Sidecar(folder, {**old.config, "admin_addr": free_address()}, old.address, environ=old.environ)
+        new = SidecarProcess(
+            folder, {**old.config, "admin_addr": unused_address()}, old.address, environ=old.environ
+        )
         with contextlib.ExitStack() as ending:
             ending.push(new.__exit__)
             new.launch()
-            until(lambda: is_running_and_ready(new))
+            wait_until(lambda: is_running_and_ready(new))
             assert old.end() == 0
             assert [new.ask("pay").status for _ in range(5)] == [200] * 5
 
 
 def test_of_two_successors_at_once_one_waits(tmp_path: Path) -> None:
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         first, second = pair.start_successor(ready=False), pair.start_successor(ready=False)
-        ready = until(lambda: [one for one in (first, second) if is_ready(one)])[0]
+        ready = wait_until(lambda: [one for one in (first, second) if is_ready(one)])[0]
         assert pair.old.end() == 0
         other = second if ready is first else first
-        until(lambda: is_running_and_ready(other))
+        wait_until(lambda: is_running_and_ready(other))
         assert ready.end() == 0 and other.ask("pay").status == 200
 
 
 @pytest.mark.parametrize("found", ["a socket without a listener", "a process that ends as it accepts"])
 def test_a_successor_that_meets_the_predecessor_as_it_ends_connects_again(tmp_path: Path, found: str) -> None:
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         (path,) = (tmp_path / "t").glob("*.sock")
         away = path.with_name("away")
         path.rename(away)
@@ -167,14 +160,14 @@
             if ends:
                 ending.settimeout(20)
                 ending.accept()[0].close()
-        until(lambda: "hot_restart_address_in_use" in new.log() or (new.process and new.process.poll()))
+        wait_until(lambda: "hot_restart_address_in_use" in new.log() or (new.process and new.process.poll()))
         away.rename(path)
-        until(lambda: is_running_and_ready(new))
+        wait_until(lambda: is_running_and_ready(new))
         assert pair.old.end() == 0 and new.ask("pay").status == 200
 
 
 def test_an_unknown_client_of_the_socket_gets_nothing_and_blocks_nobody(tmp_path: Path) -> None:
-    with RestartableWorld(tmp_path, Upstream("a", silent)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", never_respond)) as pair:
         (path,) = (tmp_path / "t").glob("*.sock")
         for data in (b"", b"\x00\x00\x00\x05hello", b"\xff\xff\xff\xff", b"\x00\x00\x00\x02{}"):
             with socket.socket(socket.AF_UNIX) as stranger:
@@ -188,7 +181,7 @@
 
 def test_a_process_that_cannot_listen_does_not_hide_the_one_that_serves(tmp_path: Path) -> None:
     # a start that fails must not have replaced the socket at which the serving process is found
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         (path,) = (tmp_path / "t").glob("*.sock")
         away = path.with_name("away")
         path.rename(away)
@@ -214,7 +207,7 @@
     It takes over neither the listening socket nor the endpoint list or the request ids, and does not hide the
     process that serves.
     """
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         theirs = pair.start_successor(ready=False, settings=with_other_classes(pair.old.config))
         assert theirs.process and theirs.process.wait(20) == 1
         log = theirs.log()
@@ -234,14 +227,14 @@
     ours, theirs = tmp_path / "ours", tmp_path / "theirs"
     ours.mkdir()
     theirs.mkdir()
-    with RestartableWorld(ours, Upstream("a", respond_slowly)) as one, contextlib.ExitStack() as ending:
-        other = RestartableWorld(theirs, Upstream("b", respond_slowly))
+    with RestartableWorld(ours, UpstreamServer("a", respond_slowly)) as one, contextlib.ExitStack() as ending:
+        other = RestartableWorld(theirs, UpstreamServer("b", respond_slowly))
         other.old.environ["TMPDIR"] = one.old.environ["TMPDIR"]
         other.old.config["settings"] = with_other_classes(other.old.config)
         ending.enter_context(other)
         assert len(list((ours / "t").glob("*.sock"))) == 2
         newer, newest = one.start_successor(ready=False), other.start_successor(ready=False)
-        until(lambda: is_running_and_ready(newer) and is_running_and_ready(newest))
+        wait_until(lambda: is_running_and_ready(newer) and is_running_and_ready(newest))
         assert one.old.end() == 0 and other.old.end() == 0
         assert newer.ask("pay").body == b"ok" and newest.ask("their-pay").body == b"ok"
         assert newer.ask("their-pay").status == 400 and newest.ask("pay").status == 400
@@ -250,9 +243,9 @@
 
 def test_a_list_of_another_discovery_and_values_by_other_indices_are_left_out(tmp_path: Path) -> None:
     """Versions are each discovery's own: a long poll from one of another's would wait for ever."""
-    b = Upstream("b", respond_slowly)
-    elsewhere = Discovery([b.entry()])
-    with RestartableWorld(tmp_path, Upstream("a", respond_slowly)) as pair:
+    b = UpstreamServer("b", respond_slowly)
+    elsewhere = DiscoveryServer([b.entry()])
+    with RestartableWorld(tmp_path, UpstreamServer("a", respond_slowly)) as pair:
         pair.world.discovery.version = 50
         pair.world.discovery.change(pair.world.upstreams[0].entry(weight=2.0))
         values = json.loads(json.dumps(pair.old.config["settings"]))
@@ -261,9 +254,9 @@
         new = pair.start_successor(discovery=elsewhere.address, known=known, settings=values)
         assert "hot_restart_endpoint_list_ignored" in new.log()
         assert pair.old.end() == 0
-        until(lambda: "hot_restart_handover_received" in new.log())
+        wait_until(lambda: "hot_restart_handover_received" in new.log())
         assert '"same_settings": false' in new.log()
-        until(lambda: elsewhere.calls)
+        wait_until(lambda: elsewhere.calls)
         assert "from=0" in elsewhere.calls[0]
         before = len(b.seen)
         assert new.ask("pay").status == 200 and len(b.seen) == before + 1
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -24,7 +24,10 @@
     recorded_text,
     shape,
 )
-from tests.stand_ins import Upstream, Wire, World, free_address, request, until
+from tests.support.http import HttpConnection, http_request
+from tests.support.servers import UpstreamServer, unused_address
+from tests.support.sidecar_process import Deployment
+from tests.support.waiting import wait_until
 
 REFUSALS = ("busy", "no")  # answers after which a new process calls again
 
@@ -35,12 +38,12 @@
     def __init__(self, folder: Path) -> None:
         self.sockets = folder / "t"
         self.sockets.mkdir()
-        self.upstream = Upstream("a")
-        self.world = World(folder, self.upstream)
+        self.upstream = UpstreamServer("a")
+        self.world = Deployment(folder, self.upstream)
         self.sidecar = self.world.sidecar
         self.sidecar.environ["TMPDIR"] = str(self.sockets)
         self.sidecar.config["settings"] = RECORDED["settings"]
-        self.sidecar.config["admin_addr"] = free_address()
+        self.sidecar.config["admin_addr"] = unused_address()
 
     def path(self) -> Path:
         host, port = self.sidecar.address.split(":")
@@ -58,11 +61,11 @@
     def is_ready(self) -> bool:
         host, port = self.sidecar.config["admin_addr"].split(":")
         try:
-            wire = Wire(socket.create_connection((host, int(port)), TIMEOUT_SECONDS))
+            wire = HttpConnection(socket.create_connection((host, int(port)), TIMEOUT_SECONDS))
         except OSError:
             return False
         with wire.sock:
-            wire.sock.sendall(request("/admin/health"))
+            wire.sock.sendall(http_request("/admin/health"))
             reply = wire.read()
         return reply is not None and reply.status == 200
 
@@ -90,7 +93,7 @@
     """A process of the old build that serves the program's address, as far as a successor sees it."""
 
     def __init__(self, fixture: Fixture) -> None:
-        fixture.sidecar.address = free_address()
+        fixture.sidecar.address = unused_address()
         fixture.sidecar.config["listen"] = fixture.sidecar.address
         host, port = fixture.sidecar.address.split(":")
         self.clients = socket.create_server((host, int(port)))
@@ -134,7 +137,7 @@
     peer = old.accept()
     peer.send(fixture.grant(), (old.clients.fileno(),))
     assert peer.receive().text == recorded_text("ready")
-    until(fixture.is_ready)
+    wait_until(fixture.is_ready)
     peer.send(recorded("beat"))
     client = sidecar.connect()
     accepted, _ = old.clients.accept()
@@ -142,17 +145,17 @@
     peer.send(recorded("client"), (accepted.fileno(),))
     accepted.close()
     old.clients.close()
-    client.sock.sendall(request("/look/k", "GET", "X-Trace-Id: new", "X-Expires-In: 2.0"))
+    client.sock.sendall(http_request("/look/k", "GET", "X-Trace-Id: new", "X-Expires-In: 2.0"))
     reply = client.read()
     assert reply is not None and reply.body == b"a"
     repeated = recorded("leave")["ids"][0]
-    client.sock.sendall(request("/look/k", "GET", f"X-Trace-Id: {repeated}", "X-Expires-In: 2.0"))
+    client.sock.sendall(http_request("/look/k", "GET", f"X-Trace-Id: {repeated}", "X-Expires-In: 2.0"))
     reply = client.read()
     assert reply is not None and reply.status == 409
     log = sidecar.log()
     assert '"snapshot_restored": true' in log and '"same_settings": true' in log
     peer.sock.close()
-    after = sidecar.talk(request("/look/k", "GET", "X-Trace-Id: after", "X-Expires-In: 2.0"))
+    after = sidecar.talk(http_request("/look/k", "GET", "X-Trace-Id: after", "X-Expires-In: 2.0"))
     assert after.status == 200
     client.sock.close()
     assert sidecar.end() == 0
@@ -182,7 +185,7 @@
 def test_a_successor_of_the_old_build_takes_over_from_a_new_process(fixture: Fixture) -> None:
     with fixture.sidecar as sidecar:
         client = sidecar.connect()
-        client.sock.sendall(request("/look/k", "GET", "X-Trace-Id: seen", "X-Expires-In: 2.0"))
+        client.sock.sendall(http_request("/look/k", "GET", "X-Trace-Id: seen", "X-Expires-In: 2.0"))
         reply = client.read()
         assert reply is not None and reply.status == 200
         peer = fixture.call()
--- a/tests/server/test_http1_long_bodies.py
+++ b/tests/server/test_http1_long_bodies.py
@@ -11,7 +11,7 @@
 from linetrack.server.http1.requests import RequestReader
 from linetrack.server.http1.responses import ResponseReader
 from tests.server.long_messages import LONG_BODY, MB, RESPONSE_FORMS, request_head
-from tests.stand_ins import answer
+from tests.support.http import http_response
 
 
 @given(
@@ -27,7 +27,7 @@
     data = RESPONSE_FORMS[form](body)
     ends_with_connection = form in ("until close", "1.0")
     if has_stray_response and not ends_with_connection:
-        data += answer(b"another")
+        data += http_response(b"another")
     reader = ResponseReader(32 * MB, MAX_BUFFERED_BODY_BYTES)
     streamed, response = b"", None
     for at in range(0, len(data), step):
--- a/tests/server/test_listener.py
+++ b/tests/server/test_listener.py
@@ -13,7 +13,9 @@
 from linetrack.server.listener import Listener
 from linetrack.server.sockets import is_readable
 from tests.server.listener_client import RecordingDispatcher, connect, exchange
-from tests.stand_ins import MS, PATIENCE, call, turns_until
+from tests.support.http import class_request
+from tests.support.units import MS
+from tests.support.waiting import TIMEOUT_SECONDS, run_until
 
 READINESS_CHECK = b"GET /_health HTTP/1.1\r\n\r\n"
 
@@ -25,7 +27,7 @@
     # an idle connection must not be closed while nobody needs its slot, nor a newer one before it
     listener.budget.descriptors.max_clients = 3
     first, second, third = (connect(listener) for _ in range(3))
-    turns_until(lambda: len(listener.connections) >= 3)
+    run_until(lambda: len(listener.connections) >= 3)
     gevent.sleep(5 * listener_module.ACCEPT_RETRY_SECONDS)
     assert len(listener.connections) == 3
     fourth = connect(listener)
@@ -84,14 +86,14 @@
     monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 150 * MS)
     gevent.spawn(listener.sweep)
     silent, active = connect(listener), connect(listener)
-    active.sendall(call())
+    active.sendall(class_request())
     assert silent.recv(1) == b""
-    turns_until(lambda: dispatcher.requests)
+    run_until(lambda: dispatcher.requests)
     gevent.sleep(0.4)
     dispatcher.requests[0].reply(FinalResponse(200, b"late"))
     assert active.recv(65536).endswith(b"late")
     assert active.recv(1) == b""  # idle since
-    turns_until(lambda: not listener.connections)
+    run_until(lambda: not listener.connections)
 
 
 @pytest.mark.parametrize("is_first_request", [True, False])
@@ -109,8 +111,8 @@
         sock.sendall(READINESS_CHECK)
         sock.recv(65536)
     began = clock()
-    data = iter(call(body=b"x" * 10_000))
-    with gevent.Timeout(PATIENCE), contextlib.suppress(OSError):
+    data = iter(class_request(body=b"x" * 10_000))
+    with gevent.Timeout(TIMEOUT_SECONDS), contextlib.suppress(OSError):
         while not is_readable(sock):
             sock.sendall(bytes([next(data)]))
             gevent.sleep(0.01)
@@ -127,16 +129,16 @@
     gevent.spawn(listener.sweep)
     sock = connect(listener)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    with gevent.Timeout(PATIENCE), contextlib.suppress(OSError):
+    with gevent.Timeout(TIMEOUT_SECONDS), contextlib.suppress(OSError):
         for _ in range(200):
-            sock.sendall(call())
+            sock.sendall(class_request())
             gevent.sleep(0.005)
             for request in dispatcher.requests:
                 request.reply(FinalResponse(200, b"x" * 65536))
             dispatcher.requests.clear()
             if not listener.connections:
                 break
-    turns_until(lambda: not listener.connections)
+    run_until(lambda: not listener.connections)
 
 
 # --- Large requests ----------------------------------------------------------------------------------
@@ -149,17 +151,17 @@
     memory = listener.budget.memory
     memory.max_bytes = 300_000
     first, second, small = (connect(listener) for _ in range(3))
-    first.sendall(call(body=b"x" * 60_000))
-    turns_until(lambda: len(dispatcher.requests) == 1)
-    second.sendall(call(body=b"y" * 60_000))
+    first.sendall(class_request(body=b"x" * 60_000))
+    run_until(lambda: len(dispatcher.requests) == 1)
+    second.sendall(class_request(body=b"y" * 60_000))
     gevent.sleep(0.05)
-    small.sendall(call(body=b"z" * 1000))
-    turns_until(lambda: len(dispatcher.requests) == 2)
+    small.sendall(class_request(body=b"z" * 1000))
+    run_until(lambda: len(dispatcher.requests) == 2)
     requests = dispatcher.requests
     assert requests[1].request.body == b"z" * 1000
     requests[0].reply(FinalResponse(200, b"done"))
-    turns_until(lambda: len(requests) == 3)
+    run_until(lambda: len(requests) == 3)
     assert requests[2].request.body == b"y" * 60_000
     second.close()
     requests[2].reply(FinalResponse(200, b"done"))
-    turns_until(lambda: memory.reserved_bytes == 0)
+    run_until(lambda: memory.reserved_bytes == 0)
--- a/tests/server/test_long_requests.py
+++ b/tests/server/test_long_requests.py
@@ -17,14 +17,16 @@
     request_head,
     resident_bytes,
 )
-from tests.stand_ins import Message, Upstream, Wire, World, answer
+from tests.support.http import HttpConnection, HttpMessage, http_response
+from tests.support.servers import UpstreamServer
+from tests.support.sidecar_process import Deployment
 
 
 def body_digest(body: bytes) -> bytes:
     return b"%d %d" % (len(body), hash(body) % 1000)
 
 
-def respond_with_digest(message: Message, wire: Wire) -> bytes:
+def respond_with_digest(message: HttpMessage, wire: HttpConnection) -> bytes:
     """An upstream's script: read a body, chunked ones too, and respond with its digest."""
     body = message.body
     if "chunked" in message.headers.get("transfer-encoding", ""):
@@ -37,7 +39,7 @@
             size = int(line, 16)
             body += rest[:size]
             rest = rest[size + 2 :]
-    return answer(body_digest(body))
+    return http_response(body_digest(body))
 
 
 @pytest.mark.parametrize("memory_mb", [24, 192])  # all is streamed; all is buffered
@@ -45,7 +47,7 @@
 def test_a_long_body_arrives_completely_and_so_does_a_pipelined_request(
     tmp_path: Path, form: str, memory_mb: int
 ) -> None:
-    world = World(tmp_path, server := Upstream("a", respond_with_digest))
+    world = Deployment(tmp_path, server := UpstreamServer("a", respond_with_digest))
     world.sidecar.config["limits"]["memory_mb"] = memory_mb
     body = LONG_BODY * 5
     with world as sidecar:
@@ -76,14 +78,14 @@
 def test_a_buffered_body_is_retried_elsewhere_and_a_streamed_one_is_rejected(tmp_path: Path) -> None:
     """An upstream that closes the connection within the body has not executed the request."""
 
-    class ClosingUpstream(Upstream):
-        def speak(self, wire: Wire) -> None:
+    class ClosingUpstream(UpstreamServer):
+        def speak(self, wire: HttpConnection) -> None:
             wire.sock.recv(1000)
 
     for memory_mb, statuses in ((192, {200}), (24, {200, 503})):
         folder = tmp_path / str(memory_mb)
         folder.mkdir()
-        world = World(folder, ClosingUpstream("a"), good := Upstream("b", respond_with_digest))
+        world = Deployment(folder, ClosingUpstream("a"), good := UpstreamServer("b", respond_with_digest))
         world.sidecar.config["limits"]["memory_mb"] = memory_mb
         got = set()
         with world as sidecar:
@@ -102,7 +104,7 @@
 
 
 def test_a_slow_head_and_a_slow_body_are_served_and_a_stalled_one_times_out(tmp_path: Path) -> None:
-    with World(tmp_path, server := Upstream("a", respond_with_digest)) as sidecar:
+    with Deployment(tmp_path, server := UpstreamServer("a", respond_with_digest)) as sidecar:
         slow, stalled = sidecar.connect(), sidecar.connect()
         body = bytes(160_000)
         data = request_head("look", "1", f"Content-Length: {len(body)}", method="POST")
@@ -122,7 +124,7 @@
 
 
 def test_a_flood_of_long_bodies_leaves_memory_for_small_requests(tmp_path: Path) -> None:
-    world = World(tmp_path, *(Upstream(name, respond_with_digest) for name in "abc"))
+    world = Deployment(tmp_path, *(UpstreamServer(name, respond_with_digest) for name in "abc"))
     world.sidecar.config["limits"]["memory_mb"] = 48
     with world as sidecar:
         stop = threading.Event()
@@ -150,11 +152,11 @@
 
 
 def test_a_client_that_announced_its_half_close_gets_its_response(tmp_path: Path) -> None:
-    def script(_message: Message, _wire: Wire) -> bytes:
+    def script(_message: HttpMessage, _wire: HttpConnection) -> bytes:
         time.sleep(0.1)
-        return answer(b"ok")
+        return http_response(b"ok")
 
-    with World(tmp_path, Upstream("a", script)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", script)) as sidecar:
         wire = sidecar.connect()
         with wire.sock:
             wire.sock.sendall(request_head("pay", "1", "Connection: close"))
--- a/tests/server/test_long_responses.py
+++ b/tests/server/test_long_responses.py
@@ -20,21 +20,24 @@
     request_head,
     resident_bytes,
 )
-from tests.stand_ins import Message, Upstream, Wire, World, answer, until
+from tests.support.http import HttpConnection, HttpMessage, http_response
+from tests.support.servers import UpstreamServer
+from tests.support.sidecar_process import Deployment
+from tests.support.waiting import wait_until
 
 
 @pytest.mark.parametrize("form", RESPONSE_FORMS)
 @pytest.mark.parametrize("size", [1000, MAX_BUFFERED_BODY_BYTES, 66_000, 131_000, len(LONG_BODY)])
 def test_a_response_of_any_framing_and_size_arrives_unchanged(tmp_path: Path, form: str, size: int) -> None:
     # one that exceeds the buffer and ends within the same bytes must not lose its body
-    def script(_message: Message, wire: Wire) -> bytes | None:
+    def script(_message: HttpMessage, wire: HttpConnection) -> bytes | None:
         data = RESPONSE_FORMS[form](LONG_BODY[:size])
         if form in ("until close", "1.0"):
             wire.sock.sendall(data)
             return None
         return data
 
-    with World(tmp_path, Upstream("a", script)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", script)) as sidecar:
         for version in ("1.1", "1.0"):
             wire = sidecar.connect()
             with wire.sock:
@@ -50,12 +53,12 @@
 def test_first_bytes_are_forwarded_at_once_and_the_deadline_cuts_nothing_off(tmp_path: Path) -> None:
     may_continue = threading.Event()
 
-    def script(_message: Message, wire: Wire) -> bytes:
-        wire.sock.sendall(answer(LONG_BODY)[:100_000])
+    def script(_message: HttpMessage, wire: HttpConnection) -> bytes:
+        wire.sock.sendall(http_response(LONG_BODY)[:100_000])
         assert may_continue.wait(20)
-        return answer(LONG_BODY)[100_000:]
+        return http_response(LONG_BODY)[100_000:]
 
-    world = World(tmp_path, Upstream("a", script))
+    world = Deployment(tmp_path, UpstreamServer("a", script))
     address = enable_admin(world.sidecar)
     with world as sidecar:
         wire = sidecar.connect()
@@ -71,16 +74,18 @@
             while len(got) < len(LONG_BODY):
                 got += wire.sock.recv(100_000)
         assert got.endswith(LONG_BODY)
-        until(lambda: read_metrics(address)[outcome_metric("look", "fulfilled")] == 1)
+        wait_until(lambda: read_metrics(address)[outcome_metric("look", "fulfilled")] == 1)
         assert read_metrics(address)["app_open_requests"] == 0
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "1.0 client"])
 def test_an_aborted_response_ends_so_that_the_client_can_tell(tmp_path: Path, form: str) -> None:
-    def script(_message: Message, wire: Wire) -> None:
-        wire.sock.sendall((answer(LONG_BODY) if form == "length" else chunked_response(LONG_BODY))[:150_000])
+    def script(_message: HttpMessage, wire: HttpConnection) -> None:
+        wire.sock.sendall(
+            (http_response(LONG_BODY) if form == "length" else chunked_response(LONG_BODY))[:150_000]
+        )
 
-    world = World(tmp_path, server := Upstream("a", script))
+    world = Deployment(tmp_path, server := UpstreamServer("a", script))
     address = enable_admin(world.sidecar)
     with world as sidecar:
         wire = sidecar.connect()
@@ -90,7 +95,7 @@
             with pytest.raises((AssertionError, ConnectionResetError)):
                 read_response(wire.sock)
         assert len(server.seen) == 1, "a response that has started is not requested again"
-        until(lambda: read_metrics(address)[outcome_metric("look", "faulted")] == 1)
+        wait_until(lambda: read_metrics(address)[outcome_metric("look", "faulted")] == 1)
 
 
 def test_a_slow_client_gets_everything_and_a_disconnect_ends_the_upstreams_response(
@@ -99,13 +104,13 @@
     body = LONG_BODY * 96  # 24 MiB, more than the kernel holds
     ended = threading.Event()
 
-    def script(_message: Message, wire: Wire) -> None:
+    def script(_message: HttpMessage, wire: HttpConnection) -> None:
         try:
-            wire.sock.sendall(answer(body))
+            wire.sock.sendall(http_response(body))
         finally:
             ended.set()
 
-    world = World(tmp_path, Upstream("a", script))
+    world = Deployment(tmp_path, UpstreamServer("a", script))
     world.sidecar.config["limits"]["memory_mb"] = 32
     with world as sidecar:
         wire = sidecar.connect()
@@ -125,12 +130,12 @@
 
 
 def test_a_connection_is_used_further_after_the_response_to_head(tmp_path: Path) -> None:
-    def script(message: Message, _wire: Wire) -> bytes:
+    def script(message: HttpMessage, _wire: HttpConnection) -> bytes:
         if message.start.startswith("HEAD"):
             return b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
-        return answer(message.target.encode())
+        return http_response(message.target.encode())
 
-    with World(tmp_path, Upstream("a", script)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", script)) as sidecar:
         wire = sidecar.connect()
         with wire.sock:
             wire.sock.sendall(request_head("look", "1", method="HEAD"))
@@ -144,6 +149,6 @@
 def test_responses_that_arrive_together_are_read_one_by_one() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
-        theirs.sendall(answer(b"one") + chunked_response(b"two") + answer(b"three"))
+        theirs.sendall(http_response(b"one") + chunked_response(b"two") + http_response(b"three"))
         ours.settimeout(5)
         assert [read_response(ours)[1] for _ in range(3)] == [b"one", b"two", b"three"]
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -10,21 +10,24 @@
 from typing import Any
 
 from tests.server.reloading import send_reload
-from tests.stand_ins import Discovery, Upstream, World, call, until
+from tests.support.http import class_request
+from tests.support.servers import DiscoveryServer, UpstreamServer
+from tests.support.sidecar_process import Deployment
+from tests.support.waiting import wait_until
 
 
 def test_a_reload_switches_discovery_without_disturbing_requests(tmp_path: Path) -> None:
-    a, b = Upstream("a"), Upstream("b")
-    world = World(tmp_path, a)
+    a, b = UpstreamServer("a"), UpstreamServer("b")
+    world = Deployment(tmp_path, a)
     with world as sidecar:
         assert sidecar.ask().body == b"a"
         wire = sidecar.connect()
         for _ in range(2):
-            other = Discovery([b.entry()])
+            other = DiscoveryServer([b.entry()])
             sidecar.config["discovery"] = other.address
             send_reload(sidecar, json.dumps(sidecar.config))
-            until(partial(lambda name: sidecar.ask().body == name, b.name.encode()))
-            wire.sock.sendall(call())
+            wait_until(partial(lambda name: sidecar.ask().body == name, b.name.encode()))
+            wire.sock.sendall(class_request())
             reply = wire.read()
             assert reply and reply.body == b.name.encode()
             a, b = b, a
@@ -35,13 +38,13 @@
 
 def test_the_file_overrides_the_environment_for_the_discovery_address(tmp_path: Path) -> None:
     # the environment stays as it was and must not hide what the new file says
-    world, other = World(tmp_path, Upstream("a")), Discovery([])
+    world, other = Deployment(tmp_path, UpstreamServer("a")), DiscoveryServer([])
     world.sidecar.environ["EDGE_DISCOVERY"] = world.discovery.address
     with world as sidecar:
-        until(lambda: world.discovery.calls)
+        wait_until(lambda: world.discovery.calls)
         sidecar.config["discovery"] = other.address
         send_reload(sidecar, json.dumps(sidecar.config))
-        until(lambda: other.calls)
+        wait_until(lambda: other.calls)
     other.close()
 
 
@@ -56,29 +59,29 @@
 
 
 def test_an_invalid_file_is_logged_by_key_and_the_old_one_stays_in_force(tmp_path: Path) -> None:
-    server = Upstream("a")
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer("a")
+    with Deployment(tmp_path, server) as sidecar:
         for text, key in invalid_files(dict(sidecar.config)):
             before = len(sidecar.log())
             send_reload(sidecar, text)
-            until(partial(lambda at: "reload_rejected" in sidecar.log()[at:], before))
+            wait_until(partial(lambda at: "reload_rejected" in sidecar.log()[at:], before))
             assert f'"{key}' in sidecar.log()[before:]
             assert sidecar.ask().status == 200
             time.sleep(1.0)  # at most one line of an event is logged a second
         (tmp_path / "config.json").unlink()
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGHUP)
-        until(lambda: "No such file" in sidecar.log())
+        wait_until(lambda: "No such file" in sidecar.log())
         send_reload(sidecar, json.dumps({**sidecar.config, "name": "other", "limits": {"sockets": 100}}))
-        until(lambda: "reloaded" in sidecar.log())
+        wait_until(lambda: "reloaded" in sidecar.log())
         assert '"needs_restart": ["limits.sockets", "name"]' in sidecar.log()
         assert sidecar.end() == 0
 
 
 def test_sighup_while_draining_changes_nothing(tmp_path: Path) -> None:
-    with World(tmp_path, Upstream("a")) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGTERM)
-        until(lambda: '"draining"' in sidecar.log())
+        wait_until(lambda: '"draining"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGHUP)
         assert sidecar.process.wait(20) == 0
--- a/tests/server/test_request_validation.py
+++ b/tests/server/test_request_validation.py
@@ -8,7 +8,8 @@
 from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.listener import Listener
 from linetrack.server.request_validation import RejectedRequestError
-from tests.stand_ins import MS, SECOND, turns_until
+from tests.support.units import MS, SECOND
+from tests.support.waiting import run_until
 
 
 def test_identifiers_are_forgotten_once_no_copy_can_be_on_its_way(
@@ -26,7 +27,7 @@
     with pytest.raises(RejectedRequestError) as rejected:
         validator.accept(request)
     assert rejected.value.status == 409
-    turns_until(lambda: not validator.recent_ids)
+    run_until(lambda: not validator.recent_ids)
     assert isinstance(validator.accept(request), RequestReceived)
 
 
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -8,32 +8,25 @@
 
 import pytest
 
-from tests.stand_ins import (
-    MS,
-    SECOND,
-    Message,
-    Upstream,
-    Wire,
-    World,
-    answer,
-    call,
-    last_counts,
-    request,
-    silent,
-    until,
-)
-
-
-def reject_as_never_run(request: Message, wire: Wire) -> bytes:
-    return answer(b"", 503, "X-Never-Ran: 1")
+from tests.support.http import HttpConnection, HttpMessage, class_request, http_request, http_response
+from tests.support.servers import UpstreamServer, never_respond
+from tests.support.sidecar_process import Deployment, final_counts
+from tests.support.units import MS, SECOND
+from tests.support.waiting import wait_until
+
+
+def reject_as_never_run(request: HttpMessage, wire: HttpConnection) -> bytes:
+    return http_response(b"", 503, "X-Never-Ran: 1")
 
 
 def test_a_request_is_forwarded_and_its_response_comes_back_unchanged(tmp_path: Path) -> None:
     body = bytes(range(256)) * 256
-    server = Upstream("a", lambda request, wire: answer(request.body[::-1], 200, "Content-Type: x/y"))
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer(
+        "a", lambda request, wire: http_response(request.body[::-1], 200, "Content-Type: x/y")
+    )
+    with Deployment(tmp_path, server) as sidecar:
         headers = ["X-Trace-Id: 9b1f", "X-Expires-In: 1.5", "Idempotency-Key: 5c0f"]
-        reply = sidecar.talk(request("/book/k9?q=%20", "POST", *headers, body=body))
+        reply = sidecar.talk(http_request("/book/k9?q=%20", "POST", *headers, body=body))
         (seen,) = server.seen
         assert (reply.status, reply.body, reply.headers["content-type"]) == (200, body[::-1], "x/y")
         assert seen.start == "POST /book/k9?q=%20 HTTP/1.1" and seen.body == body
@@ -42,14 +35,16 @@
 
 
 def test_kept_connections_take_split_chunked_and_pipelined_requests(tmp_path: Path) -> None:
-    server = Upstream("a", lambda request, wire: answer(request.target.encode() + request.body))
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer("a", lambda request, wire: http_response(request.target.encode() + request.body))
+    with Deployment(tmp_path, server) as sidecar:
         wire = sidecar.connect()
-        for at in range(len(data := call(body=b"hello"))):
+        for at in range(len(data := class_request(body=b"hello"))):
             wire.sock.sendall(data[at : at + 1])
         first = wire.read()
-        chunked = request("/look/c", "POST", "X-Trace-Id: 2", "X-Expires-In: 2", "Transfer-Encoding: chunked")
-        wire.sock.sendall(chunked + b"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n" + call() + call())
+        chunked = http_request(
+            "/look/c", "POST", "X-Trace-Id: 2", "X-Expires-In: 2", "Transfer-Encoding: chunked"
+        )
+        wire.sock.sendall(chunked + b"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n" + class_request() + class_request())
         rest = [wire.read() for _ in range(3)]
         replies = [reply.body for reply in (first, *rest) if reply]
         assert replies == [b"/look/k1hello", b"/look/chello", b"/look/k1", b"/look/k1"]
@@ -59,14 +54,14 @@
 def test_concurrent_connections_each_get_their_own_response(tmp_path: Path) -> None:
     together = threading.Barrier(20)
 
-    def script(request: Message, wire: Wire) -> bytes:
+    def script(request: HttpMessage, wire: HttpConnection) -> bytes:
         together.wait(20)
-        return answer(request.headers["x-trace-id"].encode())
+        return http_response(request.headers["x-trace-id"].encode())
 
-    with World(tmp_path, Upstream("a", script)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", script)) as sidecar:
         wires = [sidecar.connect() for _ in range(20)]
         for n, wire in enumerate(wires):
-            wire.sock.sendall(request(f"/look/{n}", "GET", f"X-Trace-Id: t{n}", "X-Expires-In: 2.0"))
+            wire.sock.sendall(http_request(f"/look/{n}", "GET", f"X-Trace-Id: t{n}", "X-Expires-In: 2.0"))
         replies = [wire.read() for wire in wires]
         assert [reply.body for reply in replies if reply] == [b"t%d" % n for n in range(20)]
         for wire in wires:
@@ -74,22 +69,25 @@
 
 
 def test_without_endpoints_a_request_is_rejected_with_retry_after(tmp_path: Path) -> None:
-    with World(tmp_path) as sidecar:
+    with Deployment(tmp_path) as sidecar:
         reply = sidecar.ask()
         assert reply.status == 503 and float(reply.headers["retry-after"]) == 0.5
 
 
 def test_an_attempt_that_never_ran_is_retried_even_if_non_idempotent(tmp_path: Path) -> None:
-    full, down, good = Upstream("a", reject_as_never_run), Upstream("b"), Upstream("c")
+    full, down, good = UpstreamServer("a", reject_as_never_run), UpstreamServer("b"), UpstreamServer("c")
     down.close()
-    with World(tmp_path, full, down, good) as sidecar:
+    with Deployment(tmp_path, full, down, good) as sidecar:
         assert [sidecar.ask("pay").status for _ in range(8)] == [200] * 8
         assert len(good.seen) == 8
 
 
 def test_a_non_idempotent_request_that_may_have_run_is_not_retried(tmp_path: Path) -> None:
-    broken, spare = Upstream("a", lambda request, wire: None), Upstream("b", lambda request, wire: None)
-    with World(tmp_path, broken, spare) as sidecar:
+    broken, spare = (
+        UpstreamServer("a", lambda request, wire: None),
+        UpstreamServer("b", lambda request, wire: None),
+    )
+    with Deployment(tmp_path, broken, spare) as sidecar:
         assert [sidecar.ask("pay").status for _ in range(4)] == [502] * 4
         assert len(broken.seen) + len(spare.seen) == 4
 
@@ -98,93 +96,97 @@
     "cut short": None,
     "malformed": b"\x00\x01\x02\r\n\r\n",
     "said to be too large": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
-    "an error": answer(b"no", 500),
+    "an error": http_response(b"no", 500),
 }
 
 
 @pytest.mark.parametrize("reply", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES)
 def test_an_invalid_response_fails_its_own_request_only(tmp_path: Path, reply: bytes | None) -> None:
-    server = Upstream("a", lambda request, wire: reply)
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer("a", lambda request, wire: reply)
+    with Deployment(tmp_path, server) as sidecar:
         assert sidecar.ask("pay").status == 502
-        server.script = lambda request, wire: answer(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=\xff,=")
+        server.script = lambda request, wire: http_response(
+            b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=\xff,="
+        )
         assert sidecar.ask("look").status == 200
 
 
 def test_a_large_response_is_served(tmp_path: Path) -> None:
     # larger than what is buffered for a retry: it must not count as invalid and be requested again elsewhere
     body = bytes(range(256)) * 1400
-    server = Upstream("a", lambda request, wire: answer(body))
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer("a", lambda request, wire: http_response(body))
+    with Deployment(tmp_path, server) as sidecar:
         assert sidecar.ask("pay").body == body and len(server.seen) == 1
 
 
 def test_half_a_response_is_never_forwarded(tmp_path: Path) -> None:
-    def half(request: Message, wire: Wire) -> None:
-        wire.sock.sendall(answer(b"x" * 1000)[:500])
+    def half(request: HttpMessage, wire: HttpConnection) -> None:
+        wire.sock.sendall(http_response(b"x" * 1000)[:500])
 
-    with World(tmp_path, Upstream("a", half)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", half)) as sidecar:
         reply = sidecar.ask("pay")
         assert (reply.status, reply.body) == (502, b"")
 
 
 def test_a_silent_upstream_fails_its_own_request_only_and_is_disconnected(tmp_path: Path) -> None:
-    server = Upstream("a", lambda request, wire: silent(request, wire) if request.body else answer(b"ok"))
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer(
+        "a", lambda request, wire: never_respond(request, wire) if request.body else http_response(b"ok")
+    )
+    with Deployment(tmp_path, server) as sidecar:
         stuck = sidecar.connect()
-        stuck.sock.sendall(call("pay", "0.4", b"hold"))
-        until(lambda: server.seen)
+        stuck.sock.sendall(class_request("pay", "0.4", b"hold"))
+        wait_until(lambda: server.seen)
         assert sidecar.ask().status == 200
         reply = stuck.read()
         assert reply and reply.status == 502
-        until(lambda: server.closed, "hung up")
+        wait_until(lambda: server.closed, "hung up")
         stuck.sock.close()
 
 
 def test_a_client_disconnect_cancels_the_attempt_in_flight(tmp_path: Path) -> None:
-    server = Upstream("a", silent)
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer("a", never_respond)
+    with Deployment(tmp_path, server) as sidecar:
         wire = sidecar.connect()
-        wire.sock.sendall(call(expires="2.0"))
-        until(lambda: server.seen)
+        wire.sock.sendall(class_request(expires="2.0"))
+        wait_until(lambda: server.seen)
         wire.sock.close()
-        until(lambda: server.closed, "the attempt was called off")
-        server.script = lambda request, wire: answer(b"ok")
+        wait_until(lambda: server.closed, "the attempt was called off")
+        server.script = lambda request, wire: http_response(b"ok")
         assert sidecar.ask().status == 200
         sidecar.end()
-        assert last_counts(sidecar.log())["disconnected"] == 1
+        assert final_counts(sidecar.log())["disconnected"] == 1
 
 
 def test_a_draining_endpoint_gets_nothing_new_and_its_connections_are_closed(tmp_path: Path) -> None:
-    a, b = Upstream("a"), Upstream("b")
-    world = World(tmp_path, a, b)
+    a, b = UpstreamServer("a"), UpstreamServer("b")
+    world = Deployment(tmp_path, a, b)
     with world as sidecar:
-        until(lambda: sidecar.ask("pay").body == b"a")
-        until(lambda: world.discovery.calls)
+        wait_until(lambda: sidecar.ask("pay").body == b"a")
+        wait_until(lambda: world.discovery.calls)
         world.discovery.change(a.entry(state="DRAINING"))
-        until(lambda: a.closed == len(a.connections))
+        wait_until(lambda: a.closed == len(a.connections))
         seen = len(a.seen)
         assert {sidecar.ask("pay").body for _ in range(10)} == {b"b"}
         assert len(a.seen) == seen
 
 
 def test_a_changed_address_of_an_endpoint_is_used(tmp_path: Path) -> None:
-    a, moved = Upstream("a"), Upstream("moved")
-    world = World(tmp_path, a)
+    a, moved = UpstreamServer("a"), UpstreamServer("moved")
+    world = Deployment(tmp_path, a)
     with world as sidecar:
         assert sidecar.ask().body == b"a"
-        until(lambda: world.discovery.calls)
+        wait_until(lambda: world.discovery.calls)
         world.discovery.change(a.entry(addr=moved.address))
-        until(lambda: sidecar.ask().body == b"moved")
+        wait_until(lambda: sidecar.ask().body == b"moved")
     moved.close()
 
 
 def test_http_1_0_connections_are_closed_unless_keep_alive_is_asked_for(tmp_path: Path) -> None:
-    with World(tmp_path, Upstream("a")) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         for more, kept in ((b"", False), (b"Connection: keep-alive\r\n", True)):
             wire = sidecar.connect()
             for _ in range(1 + kept):
-                wire.sock.sendall(call().replace(b"HTTP/1.1\r\n", b"HTTP/1.0\r\n" + more))
+                wire.sock.sendall(class_request().replace(b"HTTP/1.1\r\n", b"HTTP/1.0\r\n" + more))
                 reply = wire.read()
                 assert reply and reply.status == 200
             assert kept or wire.ended()
@@ -192,14 +194,14 @@
 
 
 def test_idle_connections_are_closed_before_the_upstream_closes_them(tmp_path: Path) -> None:
-    server = Upstream("a")
-    with World(tmp_path, server, keepaliveUs=500 * MS, dialTimeoutUs=SECOND) as sidecar:
+    server = UpstreamServer("a")
+    with Deployment(tmp_path, server, keepaliveUs=500 * MS, dialTimeoutUs=SECOND) as sidecar:
         assert sidecar.ask().status == 200
-        until(lambda: server.closed == 1, "closed as idle")
+        wait_until(lambda: server.closed == 1, "closed as idle")
 
 
 def test_a_request_writes_no_log_line(tmp_path: Path) -> None:
-    with World(tmp_path, Upstream("a")) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         lines = len(sidecar.log().splitlines())
         for _ in range(10):
             sidecar.ask()
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -14,7 +14,12 @@
 
 from linetrack.server.config import ConfigError, parse_config
 from tests.server.reloading import reload, reshaped, send_reload
-from tests.stand_ins import SECOND, Message, Sidecar, Upstream, Wire, World, answer, config, request, until
+from tests.support.configuration import sidecar_config
+from tests.support.http import HttpConnection, HttpMessage, http_request, http_response
+from tests.support.servers import UpstreamServer
+from tests.support.sidecar_process import Deployment, SidecarProcess
+from tests.support.units import SECOND
+from tests.support.waiting import wait_until
 
 
 class AnswerLedger:
@@ -24,8 +29,10 @@
         self.answers: dict[str, list[int]] = {}
         self.lock = threading.Lock()
 
-    def ask(self, sidecar: Sidecar, class_name: str, trace: str) -> int:
-        reply = sidecar.talk(request(f"/{class_name}/k", "GET", f"X-Trace-Id: {trace}", "X-Expires-In: 2.0"))
+    def ask(self, sidecar: SidecarProcess, class_name: str, trace: str) -> int:
+        reply = sidecar.talk(
+            http_request(f"/{class_name}/k", "GET", f"X-Trace-Id: {trace}", "X-Expires-In: 2.0")
+        )
         with self.lock:
             self.answers.setdefault(trace, []).append(reply.status)
         return reply.status
@@ -34,7 +41,7 @@
 class Load:
     """Callers that ask for `pay` one after the other until they are stopped; their ids have a hyphen."""
 
-    def __init__(self, sidecar: Sidecar, ledger: AnswerLedger, callers: int) -> None:
+    def __init__(self, sidecar: SidecarProcess, ledger: AnswerLedger, callers: int) -> None:
         self.sidecar = sidecar
         self.ledger = ledger
         self.faults: list[BaseException] = []
@@ -58,21 +65,21 @@
             self.faults.append(fault)
 
 
-def respond_slowly(message: Message, wire: Wire) -> bytes:
+def respond_slowly(message: HttpMessage, wire: HttpConnection) -> bytes:
     time.sleep(0.02)
-    return answer(b"ok")
+    return http_response(b"ok")
 
 
 def test_a_settings_switch_there_and_back_under_load_loses_and_repeats_nothing(tmp_path: Path) -> None:
-    servers = [Upstream(name, respond_slowly) for name in ("a", "b", "c")]
+    servers = [UpstreamServer(name, respond_slowly) for name in ("a", "b", "c")]
     ledger = AnswerLedger()
-    with World(tmp_path, *servers) as sidecar:
+    with Deployment(tmp_path, *servers) as sidecar:
         old = dict(sidecar.config)
         load = Load(sidecar, ledger, callers=6)
         for values, added, dropped in ((reshaped(old), "quote", "look"), (old, "look", "quote")) * 2:
             answered = len(ledger.answers)
             reload(sidecar, values)
-            until(partial(lambda before: len(ledger.answers) > before + 30, answered))
+            wait_until(partial(lambda before: len(ledger.answers) > before + 30, answered))
             # the settings in force are seen to act, and those before them no longer
             assert ledger.ask(sidecar, added, f"{added}{answered}") == 200
             assert ledger.ask(sidecar, dropped, f"{dropped}{answered}") == 400
@@ -93,19 +100,19 @@
     """Its class is dropped, and its index is then a non-idempotent class's, which could only fail."""
     held, switched = threading.Event(), threading.Event()
 
-    def first(message: Message, wire: Wire) -> bytes | None:
+    def first(message: HttpMessage, wire: HttpConnection) -> bytes | None:
         held.set()
         assert switched.wait(20)
         return None  # the connection breaks: what was sent may have run
 
-    with World(tmp_path, Upstream("a", first)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", first)) as sidecar:
         old = dict(sidecar.config)
         statuses: list[int] = []
         thread = threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status))
         thread.start()
         assert held.wait(20)
         reload(sidecar, reshaped(old))
-        until(lambda: "settings_switched" in sidecar.log())
+        wait_until(lambda: "settings_switched" in sidecar.log())
         assert '"still_open": 1' in sidecar.log()
         switched.set()
         thread.join()
@@ -121,23 +128,23 @@
     A signal that comes while the file before it is read or applied is one more reload."""
     let = threading.Event()
 
-    def held(message: Message, wire: Wire) -> bytes:
+    def held(message: HttpMessage, wire: HttpConnection) -> bytes:
         assert let.wait(20)
-        return answer(b"ok")
+        return http_response(b"ok")
 
-    with World(tmp_path, server := Upstream("a", held)) as sidecar:
+    with Deployment(tmp_path, server := UpstreamServer("a", held)) as sidecar:
         statuses: list[int] = []
         threads = [
             threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status)) for _ in "123"
         ]
         for thread in threads:
             thread.start()
-        until(lambda: len(server.seen) == 3)
+        wait_until(lambda: len(server.seen) == 3)
         values = reshaped(dict(sidecar.config))
         for turn in range(6):
             values["settings"]["classes"][1]["name"] = f"quote{turn}"
             send_reload(sidecar, json.dumps(values))
-        until(lambda: "quote5" in sidecar.log(), "the last file")
+        wait_until(lambda: "quote5" in sidecar.log(), "the last file")
         let.set()
         for thread in threads:
             thread.join()
@@ -147,12 +154,12 @@
 
 
 def test_nothing_is_sent_to_a_draining_endpoint_after_a_switch(tmp_path: Path) -> None:
-    a, b = Upstream("a"), Upstream("b")
-    world = World(tmp_path, a, b)
+    a, b = UpstreamServer("a"), UpstreamServer("b")
+    world = Deployment(tmp_path, a, b)
     with world as sidecar:
         old = dict(sidecar.config)
         world.discovery.change(a.entry(state="DRAINING"))
-        until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
+        wait_until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
         seen = len(a.seen)
         reload(sidecar, reshaped(old))
         assert {sidecar.ask("quote").body for _ in range(20)} == {b"b"}
@@ -162,7 +169,7 @@
 
 
 def test_an_invalid_file_leaves_the_settings_in_force(tmp_path: Path) -> None:
-    with World(tmp_path, Upstream("a")) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         old = dict(sidecar.config)
         for values in invalid_files(old).values():
             reload(sidecar, values)
@@ -193,7 +200,7 @@
 
 
 def test_each_error_names_its_key(tmp_path: Path) -> None:
-    values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
+    values = {**sidecar_config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     for key, text in invalid_files(values).items():
         if key != "EDGE_CONFIG":
             with pytest.raises(ConfigError, match=key.replace(".", r"\.")) as raised:
@@ -202,7 +209,7 @@
 
 
 def test_zones_keep_their_indices_and_what_needs_a_restart_stays() -> None:
-    values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
+    values = {**sidecar_config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     old = parse_config(values, {})
     new = parse_config({**reshaped(values), "name": "other", "limits": {"sockets": 100}}, {})
     assert old.keys_needing_restart(new) == ["limits.sockets", "name"]
@@ -217,15 +224,17 @@
 
 
 def test_the_keys_of_the_new_shape_reach_the_policy_and_default_to_neutral_values() -> None:
-    values = {**config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
+    values = {**sidecar_config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     plain, new = parse_config(values, {}).settings, parse_config(reshaped(values), {}).settings
     assert (plain.capacity_varies_with_load, new.capacity_varies_with_load) == (False, True)
     assert plain.keep_alive_timeout == new.keep_alive_timeout == 30 * SECOND
 
 
 def test_a_class_may_return_with_another_idempotency_after_an_invalid_file(tmp_path: Path) -> None:
-    server = Upstream("a", lambda message, wire: None if message.target.startswith("/pay") else answer(b"ok"))
-    world = World(tmp_path, server, Upstream("b", server.script))
+    server = UpstreamServer(
+        "a", lambda message, wire: None if message.target.startswith("/pay") else http_response(b"ok")
+    )
+    world = Deployment(tmp_path, server, UpstreamServer("b", server.script))
     with world as sidecar:
         first = sidecar.config
         without = json.loads(json.dumps(first))
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -7,47 +7,40 @@
 import threading
 from pathlib import Path
 
-from tests.stand_ins import (
-    SECOND,
-    Message,
-    Sidecar,
-    Upstream,
-    Wire,
-    World,
-    answer,
-    call,
-    last_counts,
-    until,
-)
+from tests.support.http import HttpConnection, HttpMessage, class_request, http_response
+from tests.support.servers import UpstreamServer
+from tests.support.sidecar_process import Deployment, SidecarProcess, final_counts
+from tests.support.units import SECOND
+from tests.support.waiting import wait_until
 
 
 def test_at_sigterm_all_requests_in_flight_are_answered_and_the_exit_status_is_zero(tmp_path: Path) -> None:
     let = threading.Event()
 
-    def script(request: Message, wire: Wire) -> bytes:
+    def script(request: HttpMessage, wire: HttpConnection) -> bytes:
         if request.body:
             let.wait(20)
-        return answer(b"ok")
+        return http_response(b"ok")
 
-    server = Upstream("a", script)
-    with World(tmp_path, server) as sidecar:
+    server = UpstreamServer("a", script)
+    with Deployment(tmp_path, server) as sidecar:
         assert sidecar.process is not None
         busy, idle = sidecar.connect(), sidecar.connect()
-        busy.sock.sendall(call(body=b"hold"))
-        idle.sock.sendall(call())
+        busy.sock.sendall(class_request(body=b"hold"))
+        idle.sock.sendall(class_request())
         kept = idle.read()
-        until(lambda: len(server.seen) == 2)
+        wait_until(lambda: len(server.seen) == 2)
         sidecar.process.send_signal(signal.SIGTERM)
         sidecar.process.send_signal(signal.SIGTERM)
-        until(lambda: '"draining"' in sidecar.log())
+        wait_until(lambda: '"draining"' in sidecar.log())
         # new connections still come for a while and are served; readiness is over
         try:
             assert sidecar.ask().status == 200
             assert sidecar.get("/_health").status == 503
         except OSError:
-            until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
+            wait_until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
         assert kept and kept.status == 200 and idle.ended()
-        until(lambda: '"shutting_down"' in sidecar.log())
+        wait_until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
         let.set()
         reply = busy.read()
@@ -56,12 +49,12 @@
 
 
 def test_connections_in_the_backlog_at_sigterm_are_served(tmp_path: Path) -> None:
-    with World(tmp_path, Upstream("a")) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGSTOP)
         wires = [sidecar.connect() for _ in range(5)]
         for wire in wires:
-            wire.sock.sendall(call())
+            wire.sock.sendall(class_request())
         sidecar.process.send_signal(signal.SIGTERM)
         sidecar.process.send_signal(signal.SIGCONT)
         replies = [wire.read() for wire in wires]
@@ -72,7 +65,7 @@
 def test_under_load_every_accepted_request_is_answered_before_the_exit(tmp_path: Path) -> None:
     answered: list[int] = []
 
-    def keep_asking(sidecar: Sidecar) -> None:
+    def keep_asking(sidecar: SidecarProcess) -> None:
         """One request after the other, on kept connections, until none can be opened any more."""
         while True:
             try:
@@ -80,12 +73,12 @@
             except OSError:
                 return
             with wire.sock, contextlib.suppress(OSError):
-                wire.sock.sendall(call(expires="20.0"))
+                wire.sock.sendall(class_request(expires="20.0"))
                 while reply := wire.read():
                     answered.append(reply.status)
-                    wire.sock.sendall(call(expires="20.0"))
+                    wire.sock.sendall(class_request(expires="20.0"))
 
-    world = World(tmp_path, Upstream("a"), Upstream("b"))
+    world = Deployment(tmp_path, UpstreamServer("a"), UpstreamServer("b"))
     # a verdict on the program, not on the machine: where this process or the sidecar stands still for 100 ms,
     # the policy takes that for congestion, and rejects a few with objectives of 500 ms but not of seconds
     for request_class in world.sidecar.config["settings"]["classes"]:
@@ -94,10 +87,10 @@
         threads = [threading.Thread(target=keep_asking, args=(sidecar,)) for _ in range(6)]
         for thread in threads:
             thread.start()
-        until(lambda: len(answered) > 50)
+        wait_until(lambda: len(answered) > 50)
         assert sidecar.end() == 0
         for thread in threads:
             thread.join(20)
-        last = last_counts(sidecar.log())
+        last = final_counts(sidecar.log())
         assert last["disconnected"] == 0 and last["received"] == len(answered)
         assert set(answered) == {200}
--- a/tests/simhost/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -37,7 +37,7 @@
 from linetrack.simhost.fields import InvalidFieldError, split_line
 from linetrack.simhost.host import EXIT_INVALID_INPUT, Host
 from linetrack.simhost.settings import parse_settings
-from tests.stand_ins import ROOT
+from tests.support.paths import ROOT
 
 BOOT = (
     "allowed.mayCancel=true allowed.maxAttempts=3 allowed.parallelTries=true allowed.retryAfter=true "
--- /dev/null
+++ b/tests/support/servers.py
@@ -0,0 +1,156 @@
+"""Servers on loopback in the place of upstreams and discovery, which respond as a test scripts it."""
+
+from __future__ import annotations
+
+import contextlib
+import itertools
+import json
+import os
+import socket
+import threading
+from collections.abc import Callable
+from typing import Any
+
+from tests.support.http import HttpConnection, HttpMessage, http_response
+from tests.support.waiting import TIMEOUT_SECONDS
+
+_host_numbers = itertools.cycle(range(1, 251))
+
+
+def unique_loopback_host() -> str:
+    """Return a loopback address that nothing else uses.
+
+    A port that was given back is then taken neither by an outgoing connection, which starts at 127.0.0.1, nor
+    by another run of the tests.
+    """
+    pid = os.getpid()
+    return f"127.{1 + pid % 250}.{1 + pid // 250 % 250}.{next(_host_numbers)}"
+
+
+class StandInServer:
+    """Listens on a free port and serves each connection, in a thread of its own, as a subclass does."""
+
+    def __init__(self) -> None:
+        self.listener = socket.create_server((unique_loopback_host(), 0))
+        self.address = "{}:{}".format(*self.listener.getsockname())
+        self.connections: list[socket.socket] = []
+        self.closing = threading.Event()
+        threading.Thread(target=self._accept, daemon=True).start()
+
+    def _accept(self) -> None:
+        while not self.closing.is_set():
+            try:
+                sock, _ = self.listener.accept()
+            except OSError:
+                return
+            self.connections.append(sock)
+            threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
+
+    def _serve(self, sock: socket.socket) -> None:
+        with contextlib.suppress(OSError, AssertionError), sock:
+            self.speak(HttpConnection(sock))
+
+    def speak(self, wire: HttpConnection) -> None:
+        """Serve one connection; it is closed once this returns."""
+        raise NotImplementedError
+
+    def close(self) -> None:
+        self.closing.set()
+        with contextlib.suppress(OSError):
+            self.listener.shutdown(socket.SHUT_RDWR)
+        self.listener.close()
+        for sock in self.connections:
+            with contextlib.suppress(OSError):
+                sock.shutdown(socket.SHUT_RDWR)
+
+
+def endpoint_entry(name: str, addr: str = "127.0.0.1:9", **changes: Any) -> dict[str, Any]:
+    """Return an endpoint as discovery lists it."""
+    base = {"id": name, "addr": addr, "zone": "north", "kind": "plain", "cell": 1}
+    return {**base, "state": "SERVING", "weight": 1.0, "started_ms": 0, **changes}
+
+
+Script = Callable[[HttpMessage, HttpConnection], bytes | None]
+
+
+class UpstreamServer(StandInServer):
+    """Responds by its script: bytes to send, or None to close the connection."""
+
+    def __init__(self, name: str, script: Script | None = None) -> None:
+        self.name = name
+        self.script: Script = script or (lambda _request, _wire: http_response(name.encode()))
+        self.seen: list[HttpMessage] = []
+        self.closed = 0
+        super().__init__()
+
+    def speak(self, wire: HttpConnection) -> None:
+        try:
+            while request := wire.read():
+                self.seen.append(request)
+                reply = self.script(request, wire)
+                if reply is None:
+                    return
+                wire.sock.sendall(reply)
+        finally:
+            self.closed += 1
+
+    def entry(self, **changes: Any) -> dict[str, Any]:
+        return endpoint_entry(self.name, **{"addr": self.address, **changes})
+
+
+def never_respond(_request: HttpMessage, wire: HttpConnection) -> None:
+    """Wait until the sidecar closes the connection: a script for `UpstreamServer`."""
+    wire.ended()
+
+
+class DiscoveryServer(StandInServer):
+    """Has one list and answers long polls once it changes; `scripted` responses are sent first."""
+
+    def __init__(self, entries: list[dict[str, Any]]) -> None:
+        self.version = 1
+        self.entries = entries
+        self.changed: list[dict[str, Any]] = []
+        self.scripted: list[bytes | None] = []
+        self.calls: list[str] = []
+        self.change_condition = threading.Condition()
+        super().__init__()
+
+    def change(self, *entries: dict[str, Any]) -> None:
+        with self.change_condition:
+            self.version += 1
+            self.changed = list(entries)
+            self.change_condition.notify_all()
+
+    def speak(self, wire: HttpConnection) -> None:
+        while request := wire.read():
+            with self.change_condition:
+                self.calls.append(request.target)
+                if self.scripted:
+                    reply = self.scripted.pop(0)
+                    if reply is None:
+                        return
+                    wire.sock.sendall(reply)
+                    continue
+                endpoint_list = self._endpoint_list(request.target)
+            wire.sock.sendall(http_response(json.dumps(endpoint_list).encode()))
+
+    def _endpoint_list(self, target: str) -> dict[str, Any]:
+        if "?" not in target:
+            return {"version": self.version, "full": True, "servers": self.entries}
+        known_version = int(target.partition("from=")[2].partition("&")[0])
+        timeout = min(TIMEOUT_SECONDS, int(target.partition("hold_ms=")[2]) / 1000)
+        has_changed = self.change_condition.wait_for(
+            lambda: self.version > known_version or self.closing.is_set(), timeout
+        )
+        return {"version": self.version, "full": False, "servers": self.changed if has_changed else []}
+
+    def close(self) -> None:
+        super().close()
+        with self.change_condition:
+            self.change_condition.notify_all()
+
+
+def unused_address() -> str:
+    """Return an address on which nothing listens, nor will by chance."""
+    with socket.create_server((unique_loopback_host(), 0)) as probe:
+        return "{}:{}".format(*probe.getsockname())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.known_red import parse
-from tests.stand_ins import ROOT
+from tests.support.paths import ROOT
 
 TESTS = """
 import pytest
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -9,7 +9,7 @@
 from linetrack.server.hot_restart_messages import MAX_FRAME_BYTES
 from linetrack.server.http1.responses import ResponseReader
 from tests.helpers import Driver
-from tests.stand_ins import entry
+from tests.support.servers import endpoint_entry
 
 ENDPOINT_COUNT = 1024
 
@@ -41,7 +41,7 @@
     old = Driver(entries=endpoints())
     endpoints_used(old)
     snapshot = json.dumps(policy_snapshot.take(old.balancer))
-    listed = json.dumps([entry(e.endpoint) for e in endpoints()])
+    listed = json.dumps([endpoint_entry(e.endpoint) for e in endpoints()])
     assert len(snapshot) + len(listed) < MAX_FRAME_BYTES / 8
     new = Balancer(old.balancer.settings, 2)
     new.handle(old.now, EndpointListUpdate(ListForm.CACHED, endpoints()))
@@ -52,7 +52,7 @@
 
 
 def test_a_large_list_is_read_completely_however_it_is_laid_out_or_cut() -> None:
-    value = {"version": 7, "full": True, "servers": [entry(f"u{n}") for n in range(ENDPOINT_COUNT)]}
+    value = {"version": 7, "full": True, "servers": [endpoint_entry(f"u{n}") for n in range(ENDPOINT_COUNT)]}
     for indent in (None, 4):
         body = json.dumps(value, indent=indent).encode()
         reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
--- a/tests/tools/test_lint_exceptions.py
+++ b/tests/tools/test_lint_exceptions.py
@@ -13,7 +13,7 @@
 )
 
 #: Pairs of a file and a rule in `pyproject.toml`.  Lower it with each entry that goes; it is never raised.
-RECORDED_PAIRS = 32
+RECORDED_PAIRS = 27
 #: Packages whose every file keeps every rule.
 FINISHED: tuple[str, ...] = ("linetrack/policy/", "tests/policy/")
 
