--- a/linetrack/server/hot_restart_messages.py
+++ b/linetrack/server/hot_restart_messages.py
@@ -57,7 +57,7 @@
         return {}
 
     @classmethod
-    def from_json(cls, values: Mapping[str, Any]) -> Self:
+    def from_json(cls, _values: Mapping[str, Any]) -> Self:
         """Return the message of these values; raises KeyError where one is missing."""
         return cls()
 
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/hot_restart_world.py
@@ -93,7 +93,8 @@
 
 def is_running_and_ready(sidecar: SidecarProcess) -> bool:
     """Whether its admin address reports that it is ready; fails where the process has ended."""
-    assert sidecar.process and sidecar.process.poll() is None, sidecar.log()
+    assert sidecar.process is not None
+    assert sidecar.process.poll() is None, sidecar.log()
     return is_ready(sidecar)
 
 
@@ -105,7 +106,7 @@
         return False
 
 
-def respond_slowly(message: HttpMessage, wire: HttpConnection) -> bytes:
+def respond_slowly(_message: HttpMessage, _wire: HttpConnection) -> bytes:
     """A script of an upstream that takes 20 ms."""
     time.sleep(0.02)
     return http_response(b"ok")
--- a/tests/server/test_hot_restart_messages.py
+++ b/tests/server/test_hot_restart_messages.py
@@ -42,7 +42,8 @@
 
 def test_a_message_of_a_later_build_is_passed_over() -> None:
     frame = decode_message(b'{"what": "later", "fds": 1, "more": 2}')
-    assert frame.message == UnknownMessage() and frame.descriptor_count == 1
+    assert frame.message == UnknownMessage()
+    assert frame.descriptor_count == 1
     assert decode_message(b'{"what": "ready", "fds": 0}').message == Ready()
 
 
@@ -63,4 +64,5 @@
 def test_a_frame_without_a_message_names_its_reason(data: bytes) -> None:
     with pytest.raises(HotRestartProtocolError) as raised:
         decode_message(data)
-    assert raised.value.reason == str(raised.value) and raised.value.reason
+    assert raised.value.reason == str(raised.value)
+    assert raised.value.reason
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -15,27 +15,28 @@
 from tests.support.waiting import wait_until
 
 
-def reject_as_never_run(request: HttpMessage, wire: HttpConnection) -> bytes:
+def reject_as_never_run(_request: HttpMessage, _wire: HttpConnection) -> bytes:
     return http_response(b"", 503, "X-Never-Ran: 1")
 
 
 def test_a_request_is_forwarded_and_its_response_comes_back_unchanged(tmp_path: Path) -> None:
     body = bytes(range(256)) * 256
     server = UpstreamServer(
-        "a", lambda request, wire: http_response(request.body[::-1], 200, "Content-Type: x/y")
+        "a", lambda request, _wire: http_response(request.body[::-1], 200, "Content-Type: x/y")
     )
     with Deployment(tmp_path, server) as sidecar:
         headers = ["X-Trace-Id: 9b1f", "X-Expires-In: 1.5", "Idempotency-Key: 5c0f"]
         reply = sidecar.talk(http_request("/book/k9?q=%20", "POST", *headers, body=body))
         (seen,) = server.seen
         assert (reply.status, reply.body, reply.headers["content-type"]) == (200, body[::-1], "x/y")
-        assert seen.start == "POST /book/k9?q=%20 HTTP/1.1" and seen.body == body
+        assert seen.start == "POST /book/k9?q=%20 HTTP/1.1"
+        assert seen.body == body
         assert (seen.headers["x-trace-id"], seen.headers["idempotency-key"]) == ("9b1f", "5c0f")
         assert 0 < float(seen.headers["x-expires-in"]) <= 1.5
 
 
 def test_kept_connections_take_split_chunked_and_pipelined_requests(tmp_path: Path) -> None:
-    server = UpstreamServer("a", lambda request, wire: http_response(request.target.encode() + request.body))
+    server = UpstreamServer("a", lambda request, _wire: http_response(request.target.encode() + request.body))
     with Deployment(tmp_path, server) as sidecar:
         wire = sidecar.connect()
         for at in range(len(data := class_request(body=b"hello"))):
@@ -54,7 +55,7 @@
 def test_concurrent_connections_each_get_their_own_response(tmp_path: Path) -> None:
     together = threading.Barrier(20)
 
-    def script(request: HttpMessage, wire: HttpConnection) -> bytes:
+    def script(request: HttpMessage, _wire: HttpConnection) -> bytes:
         together.wait(20)
         return http_response(request.headers["x-trace-id"].encode())
 
@@ -71,7 +72,8 @@
 def test_without_endpoints_a_request_is_rejected_with_retry_after(tmp_path: Path) -> None:
     with Deployment(tmp_path) as sidecar:
         reply = sidecar.ask()
-        assert reply.status == 503 and float(reply.headers["retry-after"]) == 0.5
+        assert reply.status == 503
+        assert float(reply.headers["retry-after"]) == 0.5
 
 
 def test_an_attempt_that_never_ran_is_retried_even_if_non_idempotent(tmp_path: Path) -> None:
@@ -84,8 +86,8 @@
 
 def test_a_non_idempotent_request_that_may_have_run_is_not_retried(tmp_path: Path) -> None:
     broken, spare = (
-        UpstreamServer("a", lambda request, wire: None),
-        UpstreamServer("b", lambda request, wire: None),
+        UpstreamServer("a", lambda _request, _wire: None),
+        UpstreamServer("b", lambda _request, _wire: None),
     )
     with Deployment(tmp_path, broken, spare) as sidecar:
         assert [sidecar.ask("pay").status for _ in range(4)] == [502] * 4
@@ -102,10 +104,10 @@
 
 @pytest.mark.parametrize("reply", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES)
 def test_an_invalid_response_fails_its_own_request_only(tmp_path: Path, reply: bytes | None) -> None:
-    server = UpstreamServer("a", lambda request, wire: reply)
+    server = UpstreamServer("a", lambda _request, _wire: reply)
     with Deployment(tmp_path, server) as sidecar:
         assert sidecar.ask("pay").status == 502
-        server.script = lambda request, wire: http_response(
+        server.script = lambda _request, _wire: http_response(
             b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=\xff,="
         )
         assert sidecar.ask("look").status == 200
@@ -114,13 +116,14 @@
 def test_a_large_response_is_served(tmp_path: Path) -> None:
     # larger than what is buffered for a retry: it must not count as invalid and be requested again elsewhere
     body = bytes(range(256)) * 1400
-    server = UpstreamServer("a", lambda request, wire: http_response(body))
+    server = UpstreamServer("a", lambda _request, _wire: http_response(body))
     with Deployment(tmp_path, server) as sidecar:
-        assert sidecar.ask("pay").body == body and len(server.seen) == 1
+        assert sidecar.ask("pay").body == body
+        assert len(server.seen) == 1
 
 
 def test_half_a_response_is_never_forwarded(tmp_path: Path) -> None:
-    def half(request: HttpMessage, wire: HttpConnection) -> None:
+    def half(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(http_response(b"x" * 1000)[:500])
 
     with Deployment(tmp_path, UpstreamServer("a", half)) as sidecar:
@@ -138,7 +141,8 @@
         wait_until(lambda: server.seen)
         assert sidecar.ask().status == 200
         reply = stuck.read()
-        assert reply and reply.status == 502
+        assert reply
+        assert reply.status == 502
         wait_until(lambda: server.closed, "hung up")
         stuck.sock.close()
 
@@ -151,7 +155,7 @@
         wait_until(lambda: server.seen)
         wire.sock.close()
         wait_until(lambda: server.closed, "the attempt was called off")
-        server.script = lambda request, wire: http_response(b"ok")
+        server.script = lambda _request, _wire: http_response(b"ok")
         assert sidecar.ask().status == 200
         sidecar.end()
         assert final_counts(sidecar.log())["disconnected"] == 1
@@ -188,7 +192,8 @@
             for _ in range(1 + kept):
                 wire.sock.sendall(class_request().replace(b"HTTP/1.1\r\n", b"HTTP/1.0\r\n" + more))
                 reply = wire.read()
-                assert reply and reply.status == 200
+                assert reply
+                assert reply.status == 200
             assert kept or wire.ended()
             wire.sock.close()
 
