--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -63,9 +63,8 @@
         self.notify = notify
         self.metrics = metrics or Metrics()
 
-    def configure(self, dial_timeout: int, keep_alive_timeout: int, report_fields: tuple[str, ...]) -> None:
-        """Use these times, in microseconds, and names of a load report's values from here on."""
-        self.pool.configure(dial_timeout, keep_alive_timeout)
+    def configure(self, report_fields: tuple[str, ...]) -> None:
+        """Use these names of a load report's values from here on."""
         self.report_fields = report_fields
 
     def start(self, attempt: Attempt) -> None:
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -22,6 +22,7 @@
 from linetrack.server.dispatcher import Dispatcher
 from linetrack.server.listener import Listener
 from linetrack.server.notifications import SerializedCallback
+from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
 
@@ -35,6 +36,7 @@
     dispatcher: Dispatcher
     policy_switch: SettingsSwitch
     listener: Listener
+    upstreams: UpstreamPool
     attempt_runner: AttemptRunner
     discovery: DiscoveryClient
     metrics: Metrics
@@ -88,7 +90,8 @@
         The dispatcher takes what was read before this moment under the old settings, and what is read after
         it under the new ones.
         """
-        self._parts.attempt_runner.configure(new.dial_timeout, new.keep_alive_timeout, new.load_report_fields)
+        self._parts.upstreams.configure(new.dial_timeout, new.keep_alive_timeout)
+        self._parts.attempt_runner.configure(new.load_report_fields)
         self._parts.discovery.configure(new.zone_names, new.host_class_names, new.settings)
         self._parts.metrics.declare_classes(new.class_names)
         self._parts.listener.validator.configure(new.class_names, new.class_timeouts)
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from linetrack.policy.events import Outcome
-from tests.helpers import SAFE, SECOND, Driver
+from tests.helpers import IDEMPOTENT, SECOND, Driver
 from tests.server.admin_client import (
     connect,
     enable_admin,
@@ -118,11 +118,11 @@
 def test_an_endpoint_is_out_of_rotation_while_it_drains_or_is_ejected_for_every_class() -> None:
     driver = Driver(slow_start_duration=0)
     assert driver.balancer.count_unavailable(driver.now) == 0
-    request, actions = driver.ask(SAFE)
+    request, actions = driver.ask(IDEMPOTENT)
     first = actions[0].endpoint  # type: ignore[union-attr]
     driver.end(request, first, Outcome.CONNECT_FAILED)
     assert driver.balancer.count_unavailable(driver.now) == 1
-    driver.balancer.endpoints[first].ejections.pop(SAFE)
+    driver.balancer.endpoints[first].ejections.pop(IDEMPOTENT)
     assert driver.balancer.count_unavailable(driver.now) == 0, "some class still uses it"
     driver.balancer.endpoints["h0"].is_routable = False
     assert driver.balancer.count_unavailable(driver.now + 60 * SECOND) == 1
