--- a/linetrack/server/admin.py
+++ b/linetrack/server/admin.py
@@ -8,13 +8,13 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from http import HTTPStatus
 
 import gevent
 import structlog
 from gevent import socket
 
 from linetrack.server.clock import clock
+from linetrack.server.http1 import statuses
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.requests import ClientRequest, RequestReader
 from linetrack.server.http1.responses import encode_response
@@ -98,14 +98,14 @@
 
     def _respond(self, request: ClientRequest) -> bytes:
         if request.path not in (HEALTH_PATH, METRICS_PATH):
-            return encode_response(HTTPStatus.NOT_FOUND, keep_alive=False)
+            return encode_response(statuses.NOT_FOUND, keep_alive=False)
         if request.method != "GET":
-            return encode_response(HTTPStatus.METHOD_NOT_ALLOWED, keep_alive=False)
+            return encode_response(statuses.METHOD_NOT_ALLOWED, keep_alive=False)
         if request.path == HEALTH_PATH:
-            status = HTTPStatus.OK if self.is_serving() else HTTPStatus.SERVICE_UNAVAILABLE
+            status = statuses.OK if self.is_serving() else statuses.SERVICE_UNAVAILABLE
             return encode_response(status, keep_alive=False)
         return encode_response(
-            HTTPStatus.OK, self._metrics(), keep_alive=False, content_type=METRICS_CONTENT_TYPE
+            statuses.OK, self._metrics(), keep_alive=False, content_type=METRICS_CONTENT_TYPE
         )
 
     def _metrics(self) -> bytes:
--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -20,6 +20,7 @@
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
 from linetrack.server.connection import Connection
+from linetrack.server.http1 import statuses
 from linetrack.server.http1.encoding import LAST_CHUNK, encode_chunk
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import parse_load_report
@@ -33,6 +34,8 @@
 log = structlog.get_logger()
 
 STREAM_STALL_TIMEOUT_SECONDS = 5.0  # without a byte, after which a streamed response is aborted
+#: Of a response that says, by a header, that its request was not processed.
+OVERLOAD_STATUSES = (statuses.SERVICE_UNAVAILABLE, statuses.GATEWAY_TIMEOUT)
 
 Notify = Callable[[FinishedAttempt | SentBody | StartedResponse, int], None]
 
@@ -280,8 +283,8 @@
 
 
 def _outcome(response: Response) -> Outcome:
-    if response.status == 200:
+    if response.status == statuses.OK:
         return Outcome.SUCCESS
-    if response.status in (503, 504) and response.is_unprocessed:
+    if response.status in OVERLOAD_STATUSES and response.is_unprocessed:
         return Outcome.OVERLOADED
     return Outcome.ERROR
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -9,7 +9,6 @@
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from http import HTTPStatus
 from typing import Protocol
 
 import gevent
@@ -24,6 +23,7 @@
 from linetrack.server.client_timeouts import body_timeout
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.http1 import statuses
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
 from linetrack.server.http1.requests import READINESS_PATH, ClientRequest, RequestReader
@@ -144,7 +144,7 @@
     def expire(self) -> None:
         """Called by the listener once the deadline has passed: end whatever waits for the client."""
         if self.is_reading_request():
-            error = MalformedMessageError("the request stalled", HTTPStatus.REQUEST_TIMEOUT)
+            error = MalformedMessageError("the request stalled", statuses.REQUEST_TIMEOUT)
             self.interrupt(error, ClientConnection.is_reading_request)
         else:
             self.sock.close()
@@ -299,7 +299,7 @@
         self.deadline = NEVER
         if request.path == READINESS_PATH:
             self.host.slots.finish_readiness_check(self.slot, clock())
-            status = HTTPStatus.OK if self.host.is_serving() else HTTPStatus.SERVICE_UNAVAILABLE
+            status = statuses.OK if self.host.is_serving() else statuses.SERVICE_UNAVAILABLE
             return self._respond(request, FinalResponse(status))
         event = self.host.validator.accept(request)
         self.host.slots.receive_request(self.slot, self.received_at)
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -27,13 +27,13 @@
     decode_endpoint_list,
     encode_poll,
 )
+from linetrack.server.http1 import statuses
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.responses import Response
 from linetrack.server.upstream_pool import UpstreamPool
 
 log = structlog.get_logger()
 
-STATUS_OK = 200
 MICROSECONDS_PER_MILLISECOND = 1_000
 MICROSECONDS_PER_SECOND = 1_000_000
 
@@ -194,7 +194,7 @@
 
     def _apply_response(self, response: Response, poll: Poll, server_generation: int) -> bool:
         """Publish what the response says; returns whether its server is still the one to poll."""
-        if response.status != STATUS_OK:
+        if response.status != statuses.OK:
             raise PollError(PollFailure.REJECTED, f"discovery answered {response.status}")
         previous_version = self.version
         try:
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -40,6 +40,7 @@
 from linetrack.policy.settings import Settings
 from linetrack.server.active_request import ActiveRequest, Attempt, FinalResponse
 from linetrack.server.clock import NEVER, clock
+from linetrack.server.http1 import statuses
 from linetrack.server.http1.responses import Response
 from linetrack.server.notifications import (
     DisconnectedClient,
@@ -216,7 +217,7 @@
             return
         attempt.has_response_started = True
         request.stream = stream
-        request.reply(FinalResponse(200, content_type=stream.content_type, stream=stream))
+        request.reply(FinalResponse(statuses.OK, content_type=stream.content_type, stream=stream))
         event = ResponseStarted(request.request_id, attempt.index, attempt.endpoint, started.latency)
         self._notify_policy(seen_at, event)
         gevent.sleep(0)
@@ -256,7 +257,7 @@
     def _forward_response(self, request: ActiveRequest, response: Response) -> None:
         """Send an endpoint's response to the client."""
         final = FinalResponse(
-            200, response.body, response.content_type, content_length=response.content_length
+            statuses.OK, response.body, response.content_type, content_length=response.content_length
         )
         self._reply(request, final, RequestOutcome.SERVED)
         # the client's greenlet writes it before the policy does its work on the attempt's end; what others
@@ -322,10 +323,10 @@
             case SetTimer(delay, token):
                 self.timers.schedule(self._policy_time + delay, TimerFired(token))
             case RejectRequest(request_id, retry_after):
-                final = FinalResponse(503, retry_after=retry_after)
+                final = FinalResponse(statuses.SERVICE_UNAVAILABLE, retry_after=retry_after)
                 self._complete(request_id, final, RequestOutcome.REJECTED)
             case FailRequest(request_id):
-                self._complete(request_id, FinalResponse(502), RequestOutcome.FAILED)
+                self._complete(request_id, FinalResponse(statuses.BAD_GATEWAY), RequestOutcome.FAILED)
             case CancelAttempt(request_id, attempt_index):
                 self._cancel(request_id, attempt_index)
             case WatchEndpoints(True):
--- a/linetrack/server/http1/errors.py
+++ b/linetrack/server/http1/errors.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 from linetrack.errors import LinetrackError
-
-BAD_REQUEST = 400
-CONTENT_TOO_LARGE = 413
-HEADERS_TOO_LARGE = 431
+from linetrack.server.http1.statuses import BAD_REQUEST
 
 
 class MalformedMessageError(LinetrackError):
--- a/linetrack/server/http1/message_reader.py
+++ b/linetrack/server/http1/message_reader.py
@@ -6,13 +6,14 @@
 
 import httptools
 
-from linetrack.server.http1.errors import CONTENT_TOO_LARGE, HEADERS_TOO_LARGE, MalformedMessageError
+from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import CONTENT_LENGTH, TRANSFER_ENCODING, HeaderName
 from linetrack.server.http1.limits import (
     MAX_BUFFERED_BODY_BYTES,
     MAX_HEAD_BYTES,
     MIN_SEPARATE_CHUNK_BYTES,
 )
+from linetrack.server.http1.statuses import CONTENT_TOO_LARGE, REQUEST_HEADER_FIELDS_TOO_LARGE
 
 
 class MessageReader:
@@ -51,7 +52,7 @@
         """Take one header of the head, or of the trailer, which is counted and not kept."""
         self.head_size += len(name) + len(value)
         if self.head_size > MAX_HEAD_BYTES:
-            raise MalformedMessageError("the head is too large", HEADERS_TOO_LARGE)
+            raise MalformedMessageError("the head is too large", REQUEST_HEADER_FIELDS_TOO_LARGE)
         if self.is_head_complete:
             # A trailer must not replace what the head said.
             return
@@ -133,4 +134,4 @@
             raise MalformedMessageError(f"not HTTP: {error}") from None
         # The parser buffers a header without an end and reports nothing of it: what was fed is counted here.
         if not self.is_head_complete and self.incomplete_head_bytes > 2 * MAX_HEAD_BYTES:
-            raise MalformedMessageError("the head is too large", HEADERS_TOO_LARGE)
+            raise MalformedMessageError("the head is too large", REQUEST_HEADER_FIELDS_TOO_LARGE)
--- a/linetrack/server/http1/requests.py
+++ b/linetrack/server/http1/requests.py
@@ -9,7 +9,7 @@
 import httptools
 
 from linetrack.server.http1.encoding import CHUNKED, encode_head
-from linetrack.server.http1.errors import HEADERS_TOO_LARGE, MalformedMessageError
+from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import (
     CLIENT_RETRY,
     CONTENT_LENGTH,
@@ -28,6 +28,7 @@
 )
 from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES
 from linetrack.server.http1.message_reader import MessageReader
+from linetrack.server.http1.statuses import REQUEST_HEADER_FIELDS_TOO_LARGE
 
 # A client asks here whether the sidecar serves; it is answered by the sidecar itself.
 READINESS_PATH = "/_health"
@@ -104,7 +105,7 @@
         """Take the next bytes of the target."""
         self.target += url
         if len(self.target) > MAX_HEAD_BYTES:
-            raise MalformedMessageError("the target is too long", HEADERS_TOO_LARGE)
+            raise MalformedMessageError("the target is too long", REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
         """Make the request from its head."""
--- a/linetrack/server/http1/responses.py
+++ b/linetrack/server/http1/responses.py
@@ -21,23 +21,10 @@
     format_seconds,
 )
 from linetrack.server.http1.message_reader import MessageReader
+from linetrack.server.http1.statuses import OK, REASON_PHRASES
 
-FIRST_FINAL_STATUS = 200  # those below are informational: the response proper follows
+FIRST_FINAL_STATUS = OK  # those below are informational: the response proper follows
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-REASON_PHRASES = {
-    200: "OK",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    408: "Request Timeout",
-    409: "Conflict",
-    413: "Content Too Large",
-    431: "Request Header Fields Too Large",
-    500: "Internal Server Error",
-    502: "Bad Gateway",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
-}
 
 
 @dataclass(slots=True)
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -8,12 +8,12 @@
 
 from dataclasses import dataclass
 from enum import Enum, auto
-from http import HTTPStatus
 
 from linetrack.control.metrics import RequestOutcome
 from linetrack.policy.events import RequestReceived
 from linetrack.server.clock import clock
 from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.http1 import statuses
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import parse_timeout
 from linetrack.server.http1.requests import ClientRequest
@@ -41,12 +41,12 @@
 
 
 REJECTION_STATUSES = {
-    RejectionReason.UNKNOWN_CLASS: HTTPStatus.BAD_REQUEST,
-    RejectionReason.MISSING_REQUEST_ID: HTTPStatus.BAD_REQUEST,
-    RejectionReason.INVALID_TIMEOUT: HTTPStatus.BAD_REQUEST,
-    RejectionReason.DUPLICATE_REQUEST_ID: HTTPStatus.CONFLICT,
-    RejectionReason.TIMEOUT_EXPIRED: HTTPStatus.GATEWAY_TIMEOUT,
-    RejectionReason.PROCESS_ENDING: HTTPStatus.SERVICE_UNAVAILABLE,
+    RejectionReason.UNKNOWN_CLASS: statuses.BAD_REQUEST,
+    RejectionReason.MISSING_REQUEST_ID: statuses.BAD_REQUEST,
+    RejectionReason.INVALID_TIMEOUT: statuses.BAD_REQUEST,
+    RejectionReason.DUPLICATE_REQUEST_ID: statuses.CONFLICT,
+    RejectionReason.TIMEOUT_EXPIRED: statuses.GATEWAY_TIMEOUT,
+    RejectionReason.PROCESS_ENDING: statuses.SERVICE_UNAVAILABLE,
 }
 
 
@@ -59,7 +59,7 @@
     """
 
     def __init__(self, rejection: RejectionReason, path: str) -> None:
-        status = REJECTION_STATUSES[rejection].value
+        status = REJECTION_STATUSES[rejection]
         super().__init__(f"{rejection.name.lower()}: {path[:MAX_LOGGED_PATH_LENGTH]!r}", status)
         self.rejection = rejection
         self.path = path
--- a/tests/server/test_http1.py
+++ b/tests/server/test_http1.py
@@ -11,7 +11,8 @@
 from linetrack.server.http1.headers import parse_load_report, parse_timeout
 from linetrack.server.http1.limits import MAX_BODY_BYTES
 from linetrack.server.http1.requests import ClientRequest, RequestReader, encode_request
-from linetrack.server.http1.responses import REASON_PHRASES, ResponseReader, encode_response
+from linetrack.server.http1.responses import ResponseReader, encode_response
+from linetrack.server.http1.statuses import REASON_PHRASES
 
 POST = (
     b"POST /pay/k9?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: 9b1f\r\nX-Expires-In: 0.480\r\n"
