--- a/tests/server/test_long_requests.py
+++ b/tests/server/test_long_requests.py
@@ -124,7 +124,12 @@
 
 
 def test_a_flood_of_long_bodies_leaves_memory_for_small_requests(tmp_path: Path) -> None:
-    world = Deployment(tmp_path, *(UpstreamServer(name, respond_with_digest) for name in "abc"))
+    def respond_and_drop_body(message: HttpMessage, wire: HttpConnection) -> bytes:
+        response = respond_with_digest(message, wire)
+        message.body = b""  # upstream servers keep the messages they saw: here hundreds of megabytes
+        return response
+
+    world = Deployment(tmp_path, *(UpstreamServer(name, respond_and_drop_body) for name in "abc"))
     world.sidecar.config["limits"]["memory_mb"] = 48
     with world as sidecar:
         stop = threading.Event()
