--- /dev/null
+++ b/linetrack/control/connection_slots.py
@@ -0,0 +1,247 @@
+"""Slots for client connections: which are kept alive after a response, for how long, and which are evicted.
+
+Holds the state of each connection and the order in which connections would give up their slots.  It does no
+I/O and reads no clock: the host reports what happens and when (integer microseconds, which never decrease)
+and carries out what is decided.  Nothing here belongs to one protocol.
+
+A kept connection saves a reconnect if it is used again, and costs a slot while it is idle.  `IdleTimeModel`
+estimates how likely it is to be used again; demand for new connections sets the price of a second of a
+slot, which rises as free slots become few.  After a response a connection is kept if its expected use
+within the time for which it must then be kept is worth more than its slot; otherwise it is closed with the
+response, which cannot race with a request.  Once it may be closed without notice, it stays while the next
+second of its slot is worth its price at that time.
+
+Every call takes constant time: at most one step for each of the fixed number of groups and buckets.
+"""
+
+from __future__ import annotations
+
+import math
+from bisect import bisect_right
+from collections import OrderedDict
+from enum import Enum, auto
+
+from linetrack.control.connection_demand import UNCONTENDED_SHARE, ConnectionDemand, slot_price
+from linetrack.control.idle_time_model import IDLE_BUCKET_ENDS_US, IdleTimeModel
+
+SECOND = 1_000_000
+REQUEST_COUNT_BOUNDS = (2, 4, 8)  # requests from which on a connection counts with those that had more
+OLD_CONNECTION_US = 2 * SECOND  # age from which on a connection counts with the old ones
+SLOTS_PER_TRIAL = 16  # one slot in so many is for connections that are kept on trial
+MIN_IDLE_US = 2 * SECOND  # an idle connection may be closed without notice after so long, and not before
+MIN_NEW_US = SECOND // 20  # the same before its first request, which may well be on its way
+MIN_PARTIAL_REQUEST_US = SECOND  # the same for one whose request has stopped half-way
+MAX_IDLE_US = IDLE_BUCKET_ENDS_US[-1]  # no connection is kept idle for longer
+
+
+def _group_parents() -> tuple[int | None, ...]:
+    """The parent of each group of connections, which `ConnectionSlot.reuse_group` numbers.
+
+    An old connection's parent is the group of young ones with as many requests; a young one's is that of
+    young ones with fewer.
+    """
+    group_count = (len(REQUEST_COUNT_BOUNDS) + 1) * 2
+    return (None, 0, *(group - 2 if group % 2 == 0 else group - 1 for group in range(2, group_count)))
+
+
+GROUP_PARENTS = _group_parents()
+
+
+class SlotState(Enum):
+    """What a connection is doing."""
+
+    NEW = auto()
+    """Accepted; nothing of a request has arrived."""
+    PARTIAL_REQUEST = auto()
+    """A part of a request has arrived."""
+    BUSY = auto()
+    """A complete request is being served."""
+    IDLE = auto()
+    """Kept alive after a response."""
+    CLOSED = auto()
+
+
+class ConnectionSlot:
+    """One connection's slot; created by `ConnectionSlots.open` and changed by `ConnectionSlots` alone."""
+
+    __slots__ = ("is_on_trial", "opened_at", "queue", "request_count", "state", "state_since")
+
+    def __init__(self, now: int) -> None:
+        self.opened_at = now
+        self.state = SlotState.NEW
+        self.state_since = now
+        self.request_count = 0
+        self.is_on_trial = False  # kept only to observe whether it is used again
+        # the slots in the same state, the oldest first
+        self.queue: OrderedDict[ConnectionSlot, None] | None = None
+
+    def reuse_group(self, now: int) -> int:
+        """The group of the idle-time model, by requests so far and age."""
+        is_old = now - self.opened_at >= OLD_CONNECTION_US
+        return bisect_right(REQUEST_COUNT_BOUNDS, self.request_count) * 2 + is_old
+
+
+class ConnectionSlots:
+    """The slots of all client connections.
+
+    Args:
+        capacity: How many connections may be open for requests before new clients find no slot.
+    """
+
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.idle_times = IdleTimeModel(GROUP_PARENTS)
+        self.demand = ConnectionDemand()
+        # each in the order in which connections entered the state
+        self.new: OrderedDict[ConnectionSlot, None] = OrderedDict()
+        self.partial_request: OrderedDict[ConnectionSlot, None] = OrderedDict()
+        self.idle_by_group: tuple[OrderedDict[ConnectionSlot, None], ...] = tuple(
+            OrderedDict() for _ in GROUP_PARENTS
+        )
+        self.busy_count = 0
+        self.occupied_count = 0  # busy and idle ones
+        self.trial_count = 0
+
+    # --- What happens on a connection --------------------------------------------------------------------
+    def open(self, now: int) -> ConnectionSlot:
+        """A connection was accepted."""
+        slot = ConnectionSlot(now)
+        slot.queue = self.new
+        self.new[slot] = None
+        return slot
+
+    def begin_request(self, slot: ConnectionSlot, now: int) -> None:
+        """A part of a request has arrived; reported again for each part, which changes nothing."""
+        if slot.state in (SlotState.NEW, SlotState.IDLE):
+            self._end_idle_time(slot, now, was_used=True)
+            self._set_state(slot, SlotState.PARTIAL_REQUEST, now)
+
+    def receive_request(self, slot: ConnectionSlot, now: int) -> None:
+        """A request is complete and about to be served."""
+        if slot.state is SlotState.IDLE:
+            self._end_idle_time(slot, now, was_used=True)
+        if slot.state is not SlotState.BUSY and slot.state is not SlotState.CLOSED:
+            self._set_state(slot, SlotState.BUSY, now)
+            if not slot.request_count:
+                self.demand.record_connection(now)
+            slot.request_count += 1
+
+    def decide_keep_alive(self, slot: ConnectionSlot, now: int) -> bool:
+        """Whether the connection is kept after the response that is about to be sent, or closed with it."""
+        if self.occupied_count <= self.capacity * UNCONTENDED_SHARE:
+            return True
+        group = slot.reuse_group(now)
+        keep = self.idle_times.best_keep_time(group, self.price(now), MIN_IDLE_US, MIN_IDLE_US)
+        if keep.duration:
+            return True
+        max_trials = max(1, self.capacity // SLOTS_PER_TRIAL)
+        if self.trial_count < max_trials and self.occupied_count < self.capacity:
+            # Without trials it would never be observed that clients have begun to reuse connections.
+            slot.is_on_trial = True
+            self.trial_count += 1
+            return True
+        self.demand.record_close(now, keep.reuse_probability)
+        return False
+
+    def mark_idle(self, slot: ConnectionSlot, now: int) -> None:
+        """The response was sent and the connection is kept."""
+        self._set_state(slot, SlotState.IDLE, now)
+
+    def finish_readiness_check(self, slot: ConnectionSlot, now: int) -> None:
+        """What was received is no request for upstreams, but a check whether this process is ready."""
+        if slot.state is SlotState.PARTIAL_REQUEST:
+            self._set_state(slot, SlotState.IDLE if slot.request_count else SlotState.NEW, now)
+
+    def close(self, slot: ConnectionSlot, now: int) -> None:
+        """The connection was closed by either side; a second call changes nothing."""
+        if slot.state is not SlotState.CLOSED:
+            self._end_idle_time(slot, now, was_used=False)
+            self._set_state(slot, SlotState.CLOSED, now)
+
+    # --- Decisions ---------------------------------------------------------------------------------------
+    def price(self, now: int) -> float:
+        """Reconnects that a second of a slot is worth."""
+        return slot_price(self.occupied_count, self.capacity, self.demand.rate.per_second(now))
+
+    def select_eviction(self, now: int) -> ConnectionSlot | None:
+        """The connection to close for a new one, or None where none may be closed yet.
+
+        One without any request goes first, then the idle one that is least likely to be used again, then
+        one whose request has stopped half-way.  The host closes it, or reports what has happened on it.
+        """
+        return (
+            _first_after(self.new, now, MIN_NEW_US)
+            or self._lowest_rate_idle_slot(now, math.inf)
+            or _first_after(self.partial_request, now, MIN_PARTIAL_REQUEST_US)
+        )
+
+    def select_expired(self, now: int) -> ConnectionSlot | None:
+        """An idle connection that is no longer worth its slot.
+
+        The host closes it, or reports what has happened on it.
+        """
+        return self._lowest_rate_idle_slot(now, self.price(now))
+
+    # --- Internals ---------------------------------------------------------------------------------------
+    def _set_state(self, slot: ConnectionSlot, state: SlotState, now: int) -> None:
+        """Move the slot to the queue of its new state; runs several times per request."""
+        queue = slot.queue
+        if queue is not None:
+            del queue[slot]
+        if slot.state is SlotState.BUSY or slot.state is SlotState.IDLE:
+            self.occupied_count -= 1
+            self.busy_count -= slot.state is SlotState.BUSY
+        if state is SlotState.BUSY:
+            queue = None
+            self.busy_count += 1
+            self.occupied_count += 1
+        elif state is SlotState.IDLE:
+            queue = self.idle_by_group[slot.reuse_group(now)]
+            self.occupied_count += 1
+        elif state is SlotState.PARTIAL_REQUEST:
+            queue = self.partial_request
+        else:
+            queue = self.new if state is SlotState.NEW else None
+        if queue is not None:
+            queue[slot] = None
+        slot.queue = queue
+        slot.state = state
+        slot.state_since = now
+
+    def _end_idle_time(self, slot: ConnectionSlot, now: int, was_used: bool) -> None:
+        if slot.state is SlotState.IDLE:
+            group = slot.reuse_group(slot.state_since)
+            self.idle_times.record(group, now - slot.state_since, was_used)
+        if slot.is_on_trial:
+            slot.is_on_trial = False
+            self.trial_count -= 1
+
+    def _lowest_rate_idle_slot(self, now: int, max_rate: float) -> ConnectionSlot | None:
+        """The closable idle connection with the lowest reuse rate, if that is below `max_rate`.
+
+        One that has been idle for the longest time that is allowed counts as never used again.
+        """
+        rates = self.idle_times.reuse_rates()
+        lowest = max_rate
+        selected = None
+        for group, slots in enumerate(self.idle_by_group):
+            slot = _first_after(slots, now, MIN_IDLE_US)
+            if slot is None:
+                continue
+            idle_time = now - slot.state_since
+            if idle_time < MAX_IDLE_US:
+                rate = rates[group][bisect_right(IDLE_BUCKET_ENDS_US, idle_time)]
+            else:
+                rate = 0.0
+            if rate < lowest:
+                lowest = rate
+                selected = slot
+        return selected
+
+
+def _first_after(slots: OrderedDict[ConnectionSlot, None], now: int, min_age: int) -> ConnectionSlot | None:
+    """The oldest of the slots, if it has been in its state for that long."""
+    oldest = next(iter(slots), None)
+    if oldest is None or now - oldest.state_since < min_age:
+        return None
+    return oldest
--- /dev/null
+++ b/linetrack/server/client_connection.py
@@ -0,0 +1,400 @@
+"""One connection of the application: reads its requests and writes their responses, one at a time.
+
+It keeps the deadline for whatever the client sends or takes.  What becomes of a request is decided
+elsewhere: it goes to the dispatcher, whose final response is written.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from functools import partial
+from typing import Protocol
+
+import gevent
+import structlog
+from gevent import socket
+
+from linetrack.control.connection_slots import ConnectionSlots, SlotState
+from linetrack.policy.events import RequestReceived
+from linetrack.server import client_timeouts
+from linetrack.server.active_request import FinalResponse
+from linetrack.server.budget import Budget
+from linetrack.server.client_timeouts import body_timeout
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.dispatcher import Dispatcher
+from linetrack.server.http1 import statuses
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.limits import MAX_BUFFERED_BODY_BYTES
+from linetrack.server.http1.requests import READINESS_PATH, ClientRequest, RequestReader
+from linetrack.server.http1.responses import CONTINUE_RESPONSE, encode_response
+from linetrack.server.lingering_close import discard_until_close
+from linetrack.server.memory_budget import SMALL_BODY_BYTES
+from linetrack.server.notifications import IncomingRequest
+from linetrack.server.pending_request import PendingRequest
+from linetrack.server.request_upload import RequestUpload
+from linetrack.server.request_validation import RequestValidator
+from linetrack.server.response_writer import write_response, write_stream
+from linetrack.server.sockets import READ_SIZE, is_readable
+
+log = structlog.get_logger()
+
+BODY_RESERVATION_BYTES = 256 * 1024  # reserved at a time for a body of unknown length
+EVENT_LOOP_READ = 1  # the event loop's constant for "readable"
+
+
+class ConnectionMigratedError(Exception):
+    """Wakes a connection's greenlet that waits for a request: the connection goes to another process."""
+
+
+class ConnectionHost(Protocol):
+    """What a connection needs of the listener that accepted it.
+
+    Attributes:
+        budget: Of the process.
+        dispatcher: Gets the requests.
+        slots: Decides which connections are kept.
+        validator: Checks the requests.
+        is_serving: Whether the process is ready for requests.
+        is_closing: Whether connections are closed once no request is on them.
+        rounds_retry_after: Whether advice to retry is given in whole seconds.
+        migrate: Hands a connection, by descriptor and number of responses, to another process and returns
+            whether that succeeded; None while connections stay here.
+        run_soon: Runs a function in the event loop.
+        unread_connections: Connections with a request pending and unread bytes behind it, which hide from
+            the event loop whether the client disconnects.
+    """
+
+    budget: Budget
+    dispatcher: Dispatcher
+    slots: ConnectionSlots
+    validator: RequestValidator
+    is_serving: Callable[[], bool]
+    is_closing: bool
+    rounds_retry_after: bool
+    migrate: Callable[[int, int], bool] | None
+    run_soon: Callable[[Callable[[], None]], object]
+    unread_connections: dict[ClientConnection, PendingRequest]
+
+    def connection_ended(self, connection: ClientConnection) -> None:
+        """The connection is closed."""
+        ...
+
+
+class ClientConnection:
+    """One connection of the application.
+
+    Attributes:
+        reader: Parses what arrives.
+        pending_requests: Complete requests that are not served yet.
+        received_at: When the bytes that completed them were read; at first, when the connection was accepted.
+        timeout_started_at: From when on the time of the current request counts.
+        deadline: After which whoever holds the connection up is out of time.
+        is_busy: Whether a request is being served.
+        reserved_bytes: Of memory, for a large request.
+        response_count: Responses of any kind that were written on it.
+    """
+
+    __slots__ = (
+        "deadline",
+        "greenlet",
+        "host",
+        "is_busy",
+        "pending_requests",
+        "reader",
+        "received_at",
+        "reserved_bytes",
+        "response_count",
+        "slot",
+        "sock",
+        "timeout_started_at",
+        "watcher",
+    )
+
+    def __init__(self, sock: socket.socket, host: ConnectionHost) -> None:
+        now = clock()
+        self.sock = sock
+        self.host = host
+        self.reader = RequestReader()
+        self.pending_requests: deque[ClientRequest] = deque()
+        self.slot = host.slots.open(now)
+        self.received_at = now
+        self.timeout_started_at = now
+        self.deadline = now + client_timeouts.REQUEST_TIMEOUT_US
+        self.is_busy = False
+        self.reserved_bytes = 0
+        self.response_count = 0
+        self.greenlet = gevent.Greenlet(self.serve)
+        # One watcher for the connection in place of a greenlet for each request; its callback never waits.
+        self.watcher = gevent.get_hub().loop.io(sock.fileno(), EVENT_LOOP_READ)
+
+    # --- State, as the listener sees it ------------------------------------------------------------------
+    def is_idle(self) -> bool:
+        """Whether it is between requests, as far as can be seen."""
+        return not self.is_busy and not self.reader.has_partial_request and not is_readable(self.sock)
+
+    def is_between_requests(self) -> bool:
+        """Whether no request is being served and nothing of the next one was read."""
+        return not (self.is_busy or self.pending_requests or self.reader.has_partial_request)
+
+    def is_reading_request(self) -> bool:
+        """Whether it waits for the rest of a request."""
+        return self.reader.has_partial_request and not self.is_busy
+
+    def expire(self) -> None:
+        """Called by the listener once the deadline has passed: end whatever waits for the client."""
+        if self.is_reading_request():
+            error = MalformedMessageError("the request stalled", statuses.REQUEST_TIMEOUT)
+            self.interrupt(error, ClientConnection.is_reading_request)
+        else:
+            self.sock.close()
+
+    def interrupt(self, error: Exception, still_applies: Callable[[ClientConnection], bool]) -> None:
+        """Raise the error in the connection's greenlet, if that still applies once the event loop runs.
+
+        Until then a request may be complete, and a greenlet that waits for its response must not be
+        interrupted.
+        """
+
+        def raise_in_greenlet() -> None:
+            if still_applies(self) and not self.greenlet.dead:
+                self.greenlet.throw(error)
+
+        self.host.run_soon(raise_in_greenlet)
+
+    # --- The connection's greenlet -----------------------------------------------------------------------
+    def serve(self) -> None:
+        """Serve requests until the connection ends or is migrated."""
+        try:
+            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._serve_requests()
+        except MalformedMessageError as error:
+            log.warning("request_malformed", fault=str(error), status=error.status)
+            self._reject(error.status)
+        except OSError:
+            pass  # the client has disconnected, takes nothing, or was closed by the listener
+        except Exception:
+            # A greenlet that fails would otherwise end silently.
+            log.exception("client_connection_failed")
+        finally:
+            self.watcher.close()
+            self.sock.close()
+            self.reader.close()
+            self.release_memory()
+            self.host.connection_ended(self)
+
+    def _serve_requests(self) -> None:
+        while not self._try_migrate():
+            try:
+                if not self.pending_requests and not self._read_requests():
+                    return
+                if not self._serve_request(self.pending_requests.popleft()):
+                    return
+            except ConnectionMigratedError:
+                pass  # interrupted while it waited for a request
+
+    def _try_migrate(self) -> bool:
+        """Whether another process has the connection from here on, with all that is unread on it."""
+        if self.host.migrate is None or not self.is_between_requests():
+            return False
+        self.is_busy = True  # so that nothing else closes or interrupts it meanwhile
+        is_migrated = self.host.migrate(self.sock.fileno(), self.response_count)
+        self.is_busy = False
+        return is_migrated
+
+    def release_memory(self) -> None:
+        """Give back what was reserved for a large request."""
+        self.host.budget.memory.release(self.reserved_bytes)
+        self.reserved_bytes = 0
+
+    # --- Reading requests --------------------------------------------------------------------------------
+    def _read_requests(self) -> bool:
+        """Read until there is a request to serve; False where the connection ends first."""
+        reader = self.reader
+        while not self.pending_requests:
+            if reader.deferred_error is not None:
+                raise reader.deferred_error
+            if reader.request.expects_continue:
+                self.send_continue()
+            data = self.sock.recv(READ_SIZE)
+            if not data:
+                return False
+            self.receive(data)
+            if not self.pending_requests:
+                self.host.slots.begin_request(self.slot, self.received_at)
+            if reader.has_partial_request and reader.is_head_complete and not self._reserve_for_body():
+                reader.request.body_stream = RequestUpload(self, self.host.budget.memory.chunk_size)
+                self.pending_requests.append(reader.request)
+            elif reader.body_size > SMALL_BODY_BYTES and not self.reserved_bytes:
+                self.reserved_bytes = self.host.budget.memory.wait_and_reserve(MAX_BUFFERED_BODY_BYTES)
+        return True
+
+    def send_continue(self) -> None:
+        """Ask for the body, if the client waits to be asked."""
+        request = self.reader.request
+        is_reading_body = self.reader.has_partial_request and self.reader.is_head_complete
+        if request.expects_continue and is_reading_body:
+            request.expects_continue = False
+            if not self.reader.body_size:
+                self.sock.sendall(CONTINUE_RESPONSE)
+
+    def receive(self, data: bytes) -> None:
+        """Parse bytes that have arrived, and set the deadline of a request that is incomplete."""
+        reader = self.reader
+        had_partial_request = reader.has_partial_request
+        had_head = reader.is_head_complete
+        self.received_at = clock()
+        self.pending_requests.extend(reader.feed(data))
+        if not reader.has_partial_request:
+            return
+        if self.pending_requests or (not had_partial_request and self.response_count):
+            # A new request has begun; the time of a connection's first one counts from when it was accepted.
+            self.timeout_started_at = self.received_at
+        if not self.is_busy:
+            self._set_request_deadline(had_head)
+
+    def _set_request_deadline(self, had_head: bool) -> None:
+        """Set the deadline for the rest of the incomplete request."""
+        reader = self.reader
+        if not reader.is_head_complete:
+            self.deadline = self.timeout_started_at + client_timeouts.REQUEST_TIMEOUT_US
+            return
+        earned = self.timeout_started_at + body_timeout(reader.body_size)
+        self.deadline = min(earned, self.received_at + client_timeouts.REQUEST_TIMEOUT_US)
+        if not had_head:
+            body_start_deadline = self.received_at + client_timeouts.BODY_START_TIMEOUT_US
+            self.deadline = max(self.deadline, body_start_deadline)
+
+    def _reserve_for_body(self) -> bool:
+        """Whether the current body is buffered until it is complete, with memory reserved for it.
+
+        One that does not fit is forwarded as it arrives.
+
+        Raises:
+            RejectedRequestError: The request of a large body is invalid, so that its body need not be read.
+        """
+        reader = self.reader
+        memory = self.host.budget.memory
+        length = reader.declared_content_length()
+        size = reader.body_size if length is None else length
+        if size <= SMALL_BODY_BYTES:
+            return True
+        if not self.reserved_bytes:
+            self.host.validator.validate(reader.request)
+            if size <= MAX_BUFFERED_BODY_BYTES:
+                self.reserved_bytes = memory.wait_and_reserve(MAX_BUFFERED_BODY_BYTES)
+                return True
+        if size <= self.reserved_bytes:
+            return True
+        missing = size - self.reserved_bytes if length is not None else BODY_RESERVATION_BYTES
+        if not memory.try_reserve(missing):
+            return False
+        self.reserved_bytes += missing
+        return True
+
+    # --- Serving a request -------------------------------------------------------------------------------
+    def _serve_request(self, request: ClientRequest) -> bool:
+        """Serve one request; whether the connection is kept."""
+        self.is_busy = True
+        self.deadline = NEVER
+        if request.path == READINESS_PATH:
+            self.host.slots.finish_readiness_check(self.slot, clock())
+            status = statuses.OK if self.host.is_serving() else statuses.SERVICE_UNAVAILABLE
+            return self._respond(request, FinalResponse(status))
+        event = self.host.validator.accept(request)
+        self.host.slots.receive_request(self.slot, self.received_at)
+        response = self._dispatch(request, event)
+        return response is not None and self._respond(request, response)
+
+    def _dispatch(self, request: ClientRequest, event: RequestReceived) -> FinalResponse | None:
+        """Hand the request to the dispatcher and wait for its final response.
+
+        Returns:
+            None if the client disconnects first.
+        """
+        pending = PendingRequest(
+            self.host.dispatcher, self.sock, event.request_id, request.keep_alive, self.received_at
+        )
+        incoming = IncomingRequest(request, event, pending.result.set, pending.is_abandoned)
+        self.host.dispatcher.enqueue(incoming, self.received_at)
+        upload = request.body_stream
+        if isinstance(upload, RequestUpload):
+            # While the body is read, that shows whether the client is connected; the watcher takes over
+            # behind it.
+            upload.on_aborted = pending.abandon
+            upload.on_complete = partial(self.watcher.start, self._on_readable, pending)
+        else:
+            self.watcher.start(self._on_readable, pending)
+        try:
+            response: FinalResponse | None = pending.result.get()
+        finally:
+            self.watcher.stop()
+            self.host.unread_connections.pop(self, None)
+            self.host.validator.finish(request.trace_id)
+        if isinstance(upload, RequestUpload) and upload.error is not None:
+            raise upload.error
+        return response
+
+    def _on_readable(self, pending: PendingRequest) -> None:
+        """Called by the event loop when something has arrived while a request is pending.
+
+        If the client has not disconnected, what has arrived stays unread and would hide a later disconnect
+        from the
+        watcher: the listener checks from here on.
+        """
+        self.watcher.stop()
+        if not pending.is_abandoned():
+            self.host.unread_connections[self] = pending
+
+    # --- Writing the response ----------------------------------------------------------------------------
+    def _respond(self, request: ClientRequest, response: FinalResponse) -> bool:
+        """Write the response; whether the connection is kept."""
+        keep_alive = self._decide_keep_alive(request)
+        if response.stream is None:
+            write_response(self, request, response, keep_alive, self.host.rounds_retry_after)
+        elif not write_stream(self, request, response.stream, keep_alive):
+            return False
+        self._finish_response(keep_alive)
+        return keep_alive
+
+    def _decide_keep_alive(self, request: ClientRequest) -> bool:
+        """Whether the connection is kept after the response."""
+        if not request.keep_alive or not request.is_complete:
+            return False
+        if self.host.is_closing and not self.pending_requests:
+            return False
+        has_next_request = bool(self.pending_requests) or self.reader.has_partial_request
+        if self.slot.state is not SlotState.BUSY or has_next_request:
+            return True
+        # A request that has arrived behind this one must not be lost by closing.
+        return self.host.slots.decide_keep_alive(self.slot, clock()) or is_readable(self.sock)
+
+    def _finish_response(self, keep_alive: bool) -> None:
+        """The response was written: wait for the next request, or close."""
+        self.is_busy = False
+        self.response_count += 1
+        self.release_memory()
+        if keep_alive:
+            now = clock()
+            self.timeout_started_at = now
+            self.deadline = now + client_timeouts.REQUEST_TIMEOUT_US
+            if self.slot.state is SlotState.BUSY and not self.reader.has_partial_request:
+                self.deadline = NEVER  # the slots decide how long it is kept
+                self.host.slots.mark_idle(self.slot, now)
+        elif self.reader.has_partial_request or is_readable(self.sock):
+            self._linger()
+
+    def _reject(self, status: int) -> None:
+        """Respond to what is no valid request, and close."""
+        self.is_busy = True
+        try:
+            self.sock.sendall(encode_response(status, keep_alive=False))
+            self._linger()
+        except OSError:
+            pass
+
+    def _linger(self) -> None:
+        """Discard what the client still sends; nothing of it is taken for a request."""
+        self.is_busy = True
+        is_body_incomplete = self.reader.has_partial_request and self.reader.request.body_stream is not None
+        discard_until_close(self, is_body_incomplete)
--- /dev/null
+++ b/linetrack/server/config.py
@@ -0,0 +1,324 @@
+"""The sidecar's configuration: EDGE_* variables and the JSON file, read, checked and given defaults.
+
+The only reader of both, at the start and at each reload.  It opens no socket and holds nothing that changes.
+Every error names the key at fault.
+"""
+
+from __future__ import annotations
+
+import json
+import resource
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, replace
+from typing import Any
+
+from linetrack.control.settings_digest import settings_digest
+from linetrack.errors import LinetrackError
+from linetrack.policy.settings import Settings
+from linetrack.server.address import parse_address
+from linetrack.server.endpoint_list import EndpointRecords, parse_endpoint_list
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.settings import SettingsError, SettingsNode, describe_invalid_key, read_settings
+
+EMPTY_ENDPOINT_LIST = EndpointRecords(0, True, ())
+HTTP1_STREAMS_PER_CONNECTION = 1  # whatever is configured
+# defaults of the limits: those that bind on the days that count
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+MIN_SOCKETS = 64
+DEFAULT_DIAL_TIMEOUT_US = 250_000
+DEFAULT_KEEP_ALIVE_TIMEOUT_US = 30_000_000
+
+CONFIG_FILE_VARIABLE = "EDGE_CONFIG"
+
+#: Fields that only a restart can change, and the keys that set them.
+RESTART_KEYS = {
+    "name": "name",
+    "listen": "listen",
+    "admin": "admin_addr",
+    "sockets": "limits.sockets",
+    "memory_mb": "limits.memory_mb",
+    "overload_control_enabled": "storms.damp",
+    "retry_after_in_whole_seconds": "storms.wholeSeconds",
+}
+
+#: Keys that a reloaded file must have if the file in force has them, by the object that holds them.  Left out
+#: are keys that turn something on, so that an older file can follow a newer one, and `RESTART_KEYS`.
+PERMANENT_KEYS: dict[str, tuple[str, ...]] = {
+    "": ("name", "listen", "discovery", "limits", "settings"),
+    "settings": ("classes", "azs", "zone", "me", "balancers", "registryMode", "rules", "stats", "allowed"),
+    "settings.rules": (
+        "askEveryUs",
+        "drainGraceUs",
+        "coldFrom",
+        "warmUpUs",
+        "fallMultiple",
+        "overloadForUs",
+    ),
+    "settings.allowed": (
+        "maxAttempts",
+        "mayCancel",
+        "mayProbe",
+        "parallelTries",
+        "retryAfter",
+        "maxRetryAfterUs",
+        "dialTimeoutUs",
+    ),
+}
+#: The same for keys that each class of the file in force has.
+PERMANENT_CLASS_KEYS = ("name", "repeat", "aimUs", "deadlineUs", "worth")
+
+
+class ConfigError(LinetrackError):
+    """A key of the configuration is missing or invalid.
+
+    Attributes:
+        key: the full path of the key, or the name of an environment variable.
+        reason: what is wrong with it.
+        value: the value as shown to the operator; None where it is missing.
+    """
+
+    def __init__(self, key: str, reason: str, value: str | None = None, *, line: str | None = None) -> None:
+        """`line` is what an operator reads, where it says more than the other arguments do."""
+        self.key = key
+        self.reason = reason
+        self.value = value
+        super().__init__(line or describe_invalid_key(key, reason, value))
+
+
+@dataclass(slots=True, frozen=True)
+class Config:
+    """Everything that one sidecar is configured with; durations in microseconds."""
+
+    name: str
+    listen: tuple[str, int]
+    admin: tuple[str, int] | None  # the operators' address; None: nothing listens there
+    discovery: tuple[str, int]
+    seed: int
+    sockets: int
+    memory_mb: int
+    initial_endpoints: EndpointRecords
+    settings: Settings
+    configured_streams: int  # a connection, as configured; HTTP/1.1 carries HTTP1_STREAMS_PER_CONNECTION
+    class_names: tuple[str, ...]
+    zone_names: tuple[str, ...]
+    host_class_names: tuple[str, ...]
+    load_report_fields: tuple[str, ...]
+    dial_timeout: int
+    keep_alive_timeout: int
+    overload_control_enabled: bool  # retry storms are damped, keys of the callers' own retries remembered
+    retry_after_in_whole_seconds: bool
+    permanent_keys: frozenset[str] = frozenset()  # which of PERMANENT_KEYS the file has
+
+    def keys_needing_restart(self, new: Config) -> list[str]:
+        """The keys in which a new configuration differs that only a restart can change."""
+        return sorted(
+            key for field, key in RESTART_KEYS.items() if getattr(self, field) != getattr(new, field)
+        )
+
+    def for_reload_of(self, running: Config) -> Config:
+        """This configuration as a sidecar that runs with another one takes it.
+
+        What only a restart can change stays as it was, and each zone and host class keeps its number: were
+        two zones to have one number after one another, a request that may have been executed in the first
+        would be retried in the second.
+
+        Raises:
+            ConfigError: a key is missing that the running configuration has.  A file that lost a part would
+                otherwise take effect with defaults.
+        """
+        if missing := running.permanent_keys - self.permanent_keys:
+            raise ConfigError(min(missing), "is missing, and the file in force says it")
+        zone_names = _extended(running.zone_names, self.zone_names)
+        zone = self.settings.zone
+        if zone < len(self.zone_names):
+            zone = zone_names.index(self.zone_names[zone])
+        unchanged = {field: getattr(running, field) for field in RESTART_KEYS}
+        return replace(
+            self,
+            settings=replace(self.settings, zone=zone),
+            zone_names=zone_names,
+            host_class_names=_extended(running.host_class_names, self.host_class_names),
+            **unchanged,
+        )
+
+    def has_same_settings(self, other: Config) -> bool:
+        """Whether nothing differs that needs a settings switch in a running sidecar."""
+        same = replace(
+            self,
+            discovery=other.discovery,
+            seed=other.seed,
+            initial_endpoints=other.initial_endpoints,
+            permanent_keys=other.permanent_keys,
+        )
+        return same == other
+
+    @property
+    def digest(self) -> str:
+        """Stands for all that decisions depend on, names with their numbers included.
+
+        It is equal in two processes of one sidecar with the same settings, whatever else their files hold.
+        """
+        return settings_digest(
+            self.settings, self.class_names, self.zone_names, self.host_class_names, self.load_report_fields
+        )
+
+    @property
+    def class_timeouts(self) -> tuple[int, ...]:
+        """The timeout of each request class."""
+        return tuple(request_class.timeout for request_class in self.settings.classes)
+
+    @property
+    def max_class_timeout(self) -> int:
+        """The longest timeout of any request class."""
+        return max(self.class_timeouts)
+
+
+def read_config(environ: Mapping[str, str]) -> Config:
+    """The platform's configuration, from the file that EDGE_CONFIG names.
+
+    Raises:
+        ConfigError: a key is missing or invalid.
+    """
+    path = environ.get(CONFIG_FILE_VARIABLE)
+    if not path:
+        raise ConfigError(CONFIG_FILE_VARIABLE, "is missing")
+    return parse_config(_read_file(path), environ)
+
+
+def parse_config(values: Any, environ: Mapping[str, str]) -> Config:
+    """The configuration that these values, in the platform's form, give.
+
+    Raises:
+        ConfigError: a key is missing or invalid.
+    """
+    try:
+        return _parse(SettingsNode(values, ""), environ)
+    except SettingsError as error:
+        raise ConfigError(error.key, error.reason, error.value) from None
+
+
+def _read_file(path: str) -> Any:
+    try:
+        with open(path, encoding="utf-8") as file:
+            return json.load(file)
+    except OSError as error:
+        reason = str(error.strerror)
+        line = f"{CONFIG_FILE_VARIABLE}: {path}: {reason}"
+        raise ConfigError(CONFIG_FILE_VARIABLE, reason, path, line=line) from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(CONFIG_FILE_VARIABLE, f"is not JSON: {error}", path) from None
+
+
+def _parse(root: SettingsNode, environ: Mapping[str, str]) -> Config:
+    name = _required_text(root, "name", environ)
+    listen = _required_text(root, "listen", environ)
+    discovery = _required_text(root, "discovery", environ)
+    admin = environ.get("EDGE_ADMIN_ADDR", "") or root.text("admin_addr", "")
+    if "settings" not in root.values:
+        raise ConfigError("settings", "is missing")
+    node = root.child("settings")
+    configured = read_settings(node.values, "settings")
+    allowed = node.child("allowed")
+    class_names = _class_names(node.children("classes"))
+    report_fields = node.child("stats").names("fields") if configured.load_report_fields else []
+    limits = root.child("limits")
+    return Config(
+        name=name,
+        sockets=_socket_limit(limits),
+        listen=_address(listen, "listen", "EDGE_LISTEN"),
+        admin=_address(admin, "admin_addr", "EDGE_ADMIN_ADDR") if admin else None,
+        discovery=_address(discovery, "discovery", "EDGE_DISCOVERY"),
+        seed=_seed(root.values.get("seed", "0")),
+        memory_mb=int(limits.number("memory_mb", DEFAULT_MEMORY_MB)),
+        initial_endpoints=_initial_endpoints(root.values.get("known")),
+        settings=replace(configured, max_streams_per_connection=HTTP1_STREAMS_PER_CONNECTION),
+        configured_streams=configured.max_streams_per_connection,
+        class_names=class_names,
+        zone_names=tuple(node.names("azs")),
+        host_class_names=tuple(node.names("skus")),
+        load_report_fields=tuple(report_fields),
+        dial_timeout=allowed.integer_at_least("dialTimeoutUs", 1, DEFAULT_DIAL_TIMEOUT_US),
+        keep_alive_timeout=allowed.integer_at_least("keepaliveUs", 0, DEFAULT_KEEP_ALIVE_TIMEOUT_US),
+        overload_control_enabled=root.child("storms").boolean("damp"),
+        retry_after_in_whole_seconds=root.child("storms").boolean("wholeSeconds"),
+        permanent_keys=_permanent_keys(root),
+    )
+
+
+def _required_text(root: SettingsNode, key: str, environ: Mapping[str, str]) -> str:
+    """From the environment or else the file; the other way round for discovery.
+
+    The environment stays as it was at the start, so it must not hide a discovery that a new file names.
+    """
+    variable = f"EDGE_{key.upper()}"
+    from_file = root.text(key, "")
+    from_environ = environ.get(variable, "")
+    text = from_file or from_environ if key == "discovery" else from_environ or from_file
+    if not text:
+        raise ConfigError(key, "is missing", line=f"{key} ({variable}) is missing")
+    return text
+
+
+def _class_names(classes: Iterable[SettingsNode]) -> tuple[str, ...]:
+    names: list[str] = []
+    for index, node in enumerate(classes):
+        name = node.text("name", str(index))
+        if name in names:
+            raise ConfigError(node.path_of("name"), "is there twice", repr(name))
+        names.append(name)
+    return tuple(names)
+
+
+def _socket_limit(limits: SettingsNode) -> int:
+    """The configured limit, or the process's own where that is lower."""
+    process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    sockets = min(limits.integer("sockets", DEFAULT_SOCKETS), process_limit)
+    if sockets < MIN_SOCKETS:
+        raise ConfigError("limits.sockets", "is too few to serve with", str(sockets))
+    return sockets
+
+
+def _address(text: str, key: str, variable: str) -> tuple[str, int]:
+    try:
+        return parse_address(text)
+    except ValueError as error:
+        raise ConfigError(key, str(error), repr(text), line=f"{key} ({variable}): {error}") from None
+
+
+def _seed(value: Any) -> int:
+    """Hexadecimal text or a whole number."""
+    try:
+        return value if isinstance(value, int) else int(value, 16)
+    except (TypeError, ValueError):
+        raise ConfigError("seed", "is no hexadecimal number", repr(value)) from None
+
+
+def _initial_endpoints(value: Any) -> EndpointRecords:
+    if value is None:
+        return EMPTY_ENDPOINT_LIST
+    try:
+        return parse_endpoint_list(value)
+    except MalformedMessageError as error:
+        raise ConfigError("known", str(error), line=f"known: {error}") from None
+
+
+def _permanent_keys(root: SettingsNode) -> frozenset[str]:
+    found: set[str] = set()
+    for path, names in PERMANENT_KEYS.items():
+        node = root
+        for name in path.split(".") if path else ():
+            node = node.child(name)
+        found |= {node.path_of(name) for name in names if name in node.values}
+    classes = root.child("settings").children("classes")
+    found |= {
+        f"settings.classes.*.{name}"
+        for name in PERMANENT_CLASS_KEYS
+        if all(name in request_class.values for request_class in classes)
+    }
+    return frozenset(found)
+
+
+def _extended(old: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
+    """The old names in their order, then those that are new."""
+    return old + tuple(name for name in new if name not in old)
--- /dev/null
+++ b/linetrack/server/connection.py
@@ -0,0 +1,110 @@
+"""One outgoing connection, to an upstream or to discovery: connecting, and reading one response at a time.
+
+It does not know who is on the other side, nor when to connect or to give up.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from gevent import socket
+
+from linetrack.server import sockets
+from linetrack.server.http1.errors import MalformedMessageError
+from linetrack.server.http1.responses import Response, ResponseReader
+
+
+class StalledError(MalformedMessageError):
+    """A response has begun, and then nothing of it arrived for `timeout` seconds."""
+
+    def __init__(self, timeout: float) -> None:
+        super().__init__("the response stalled")
+        self.timeout = timeout
+
+
+class Connection:
+    """A TCP connection that carries one request and its response at a time.
+
+    Args:
+        address: Of the other side.
+        max_body_bytes: Of a response.
+        max_buffered_body_bytes: Up to which a response's body is held until it is complete.
+    """
+
+    __slots__ = ("address", "idle_depth", "idle_since", "idle_until", "reader", "sock")
+
+    def __init__(self, address: tuple[str, int], max_body_bytes: int, max_buffered_body_bytes: int) -> None:
+        self.address = address
+        self.reader = ResponseReader(max_body_bytes, max_buffered_body_bytes)
+        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        # set by the pool while the connection is idle
+        self.idle_since = 0
+        self.idle_until = 0
+        self.idle_depth = 0  # how many connections were idle beside it
+
+    def connect(self, timeout: float) -> None:
+        """Connect within so many seconds; the connection is closed where that fails."""
+        try:
+            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self.sock.settimeout(timeout)
+            self.sock.connect(self.address)
+            # A response may take longer to begin than a connection may to be established.
+            self.sock.settimeout(None)
+        except BaseException:
+            self.close()
+            raise
+
+    def close(self) -> None:
+        """Close the socket and free the parser."""
+        self.sock.close()
+        self.reader.close()
+
+    def write(self, data: bytes | bytearray) -> None:
+        """Write all of it, waiting where needed."""
+        sockets.write(self.sock, data)
+
+    def read_response(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
+        """Wait for the response: a complete one, or a long one that has begun.
+
+        A response that has begun and then stalls would otherwise hold the connection and its request for as
+        long as the client waits.
+
+        Args:
+            stall_timeout: Seconds for which a response that has begun may stand still.
+            on_large_body: Called once, with the size of the body, where it does not arrive with its head.
+
+        Returns:
+            None where the connection ended first.
+
+        Raises:
+            StalledError: The response stood still.
+            MalformedMessageError: It is no response.
+            OSError: The connection failed.
+        """
+        reader = self.reader
+        data = self.sock.recv(sockets.READ_SIZE)
+        response = reader.feed(data) if data else reader.feed_eof()
+        if response is None and data and not reader.exceeds_body_buffer:
+            response = self._read_rest(stall_timeout, on_large_body)
+        return response or (reader.response if reader.exceeds_body_buffer else None)
+
+    def _read_rest(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
+        """Read on until the response is complete or long, or the connection ends."""
+        reader = self.reader
+        response: Response | None = None
+        has_more = True
+        is_reported = False
+        self.sock.settimeout(stall_timeout)
+        while response is None and has_more and not reader.exceeds_body_buffer:
+            if reader.response is not None and not is_reported:
+                is_reported = True
+                length = reader.response.content_length
+                on_large_body(reader.max_buffered_body_bytes if length is None else length)
+            try:
+                data = self.sock.recv(sockets.READ_SIZE)
+            except TimeoutError:
+                raise StalledError(stall_timeout) from None
+            has_more = bool(data)
+            response = reader.feed(data) if data else reader.feed_eof()
+        self.sock.settimeout(None)
+        return response
--- /dev/null
+++ b/linetrack/server/dispatcher.py
@@ -0,0 +1,349 @@
+"""The one greenlet that calls the policy: a queue of notifications, the policy's timers and its clock.
+
+Every notification reaches the policy through `Dispatcher.enqueue`, with the time at which it was seen, and
+every action that the policy returns becomes one call here.  The dispatcher touches no socket, waits for
+nothing but its queue (save one turn of the event loop, so that a response is written first), and does not
+decide what becomes of a request.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable
+from itertools import count
+
+import gevent
+import gevent.event
+
+from linetrack.control.metrics import Metrics, RequestOutcome
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    RejectRequest,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointListUpdate,
+    Event,
+    Outcome,
+    RequestBodySent,
+    ResponseStarted,
+    TimerFired,
+)
+from linetrack.policy.protocols import Policy
+from linetrack.policy.settings import Settings
+from linetrack.server.active_request import ActiveRequest, Attempt, FinalResponse
+from linetrack.server.clock import NEVER, clock
+from linetrack.server.http1 import statuses
+from linetrack.server.http1.responses import Response
+from linetrack.server.notifications import (
+    DisconnectedClient,
+    FinishedAttempt,
+    IncomingRequest,
+    Notification,
+    SentBody,
+    SerializedCallback,
+    StartedResponse,
+)
+from linetrack.server.timer_queue import TimerQueue
+
+MakePolicy = Callable[[Settings, int], Policy]
+
+
+def _ignore_endpoint(endpoint: str) -> None:
+    """Do nothing: there are no idle connections to close."""
+
+
+class Dispatcher:
+    """Feeds one policy and performs its actions.  Times are microseconds of `linetrack.server.clock`."""
+
+    def __init__(
+        self,
+        policy: Policy,
+        start_attempt: Callable[[Attempt], None],
+        abort_attempt: Callable[[Attempt], None],
+        watch_endpoints: Callable[[], None],
+        close_idle_connections: Callable[[str], None] = _ignore_endpoint,
+        metrics: Metrics | None = None,
+    ) -> None:
+        """Prepare a dispatcher that `run` starts.
+
+        Args:
+            policy: Decides about every request.
+            start_attempt: Starts sending an attempt, without waiting.
+            abort_attempt: Closes the connection of an attempt that has ended here, without waiting.
+            watch_endpoints: Subscribes to endpoint lists.
+            close_idle_connections: Closes the idle connections to an endpoint.
+            metrics: The counters of the process.
+        """
+        self.policy = policy
+        self.metrics = metrics or Metrics()
+        self.queue: deque[tuple[int, Notification]] = deque()
+        self.active_requests: dict[int, ActiveRequest] = {}
+        self.timers: TimerQueue[TimerFired | Attempt] = TimerQueue()
+        self.shutdown_deadline = NEVER  # when all requests must be answered, once the process is to exit
+        self._start_attempt = start_attempt
+        self._abort_attempt = abort_attempt
+        self._watch_endpoints = watch_endpoints
+        self._close_idle_connections = close_idle_connections
+        self._policy_time = clock()
+        self._request_ids = count(1)
+        self._wakeup = gevent.event.Event()
+        self._alarm = gevent.get_hub().loop.timer(0)
+        self._alarm_at = NEVER
+
+    def enqueue(self, notification: Notification, seen_at: int) -> None:
+        """Add what was seen on a socket at `seen_at`; may be called from any greenlet."""
+        self.queue.append((seen_at, notification))
+        self._wakeup.set()
+
+    def next_request_id(self) -> int:
+        """Return the identifier of a new request; none is used twice."""
+        return next(self._request_ids)
+
+    def run(self) -> None:
+        """Process notifications and timers forever."""
+        while True:
+            item = self._next_notification()
+            if item is not None:
+                seen_at, notification = item
+                self._fire_due_timers(seen_at)
+                self._process(seen_at, notification)
+            else:
+                self._fire_due_timers(clock())
+
+    # --- The queue and the timers --------------------------------------------------------------------
+    def _next_notification(self) -> tuple[int, Notification] | None:
+        """Wait for the next notification; return None once a timer is due before it."""
+        while not self.queue:
+            due_at = self.timers.next_due_at()
+            if due_at is not None and due_at <= clock():
+                return None
+            self._wait(due_at)
+        return self.queue.popleft()
+
+    def _wait(self, due_at: int | None) -> None:
+        """Wait until something is enqueued or the next timer is due.
+
+        There is one alarm for all timers.  It is set anew only for an earlier one, as most waits end long
+        before it.
+        """
+        if due_at is not None and due_at < self._alarm_at:
+            self._alarm_at = due_at
+            self._alarm.close()
+            self._alarm = gevent.get_hub().loop.timer(max(0, due_at - clock()) / 1_000_000)
+            self._alarm.start(self._on_alarm)
+        self._wakeup.clear()
+        self._wakeup.wait()
+
+    def _on_alarm(self) -> None:
+        self._alarm_at = NEVER
+        self._wakeup.set()
+
+    def _fire_due_timers(self, now: int) -> None:
+        """Fire the timers that are due by now, in their order, each at its own time."""
+        while (timer := self.timers.pop_due(now)) is not None:
+            due_at, item = timer
+            if isinstance(item, Attempt):
+                self.time_out(item, due_at)
+            else:
+                self._notify_policy(due_at, item)
+
+    # --- Notifications -------------------------------------------------------------------------------
+    def _process(self, seen_at: int, notification: Notification) -> None:
+        match notification:
+            case IncomingRequest():
+                self._on_request(seen_at, notification)
+            case FinishedAttempt():
+                self._on_attempt_finished(seen_at, notification)
+            case DisconnectedClient(request_id):
+                self._on_client_disconnected(seen_at, request_id)
+            case SentBody(attempt):
+                self._on_body_sent(seen_at, attempt)
+            case StartedResponse():
+                self._on_response_started(seen_at, notification)
+            case EndpointListUpdate():
+                self._notify_policy(seen_at, notification)
+            case SerializedCallback(callback):
+                callback()
+
+    def _on_request(self, seen_at: int, incoming: IncomingRequest) -> None:
+        received = incoming.received
+        self.metrics.requests_received += 1
+        self.active_requests[received.request_id] = ActiveRequest(
+            received, incoming.request, seen_at, incoming.reply, incoming.has_client_disconnected
+        )
+        self._notify_policy(seen_at, received)
+
+    def _on_client_disconnected(self, seen_at: int, request_id: int) -> None:
+        request = self.active_requests.get(request_id)
+        if request is None or request.is_completed:
+            return
+        request.is_completed = True
+        self.metrics.clients_disconnected += 1
+        self._notify_policy(seen_at, ClientDisconnected(request_id))
+        if request.stream is not None:
+            request.stream.finish(Outcome.CANCELLED)
+        self._forget_if_finished(request)
+
+    def _on_body_sent(self, seen_at: int, attempt: Attempt) -> None:
+        """Begin an attempt's time with the last byte of its long body.
+
+        Where the body was streamed, the request's time begins with it too.
+        """
+        request = attempt.request
+        if attempt.has_ended or request.is_completed:
+            return
+        attempt.sent_at = seen_at
+        if not request.is_replayable:
+            request.deadline = min(seen_at + request.timeout, self.shutdown_deadline)
+            attempt.deadline = request.deadline
+            self.timers.schedule(attempt.deadline, attempt)
+        self._notify_policy(seen_at, RequestBodySent(request.request_id, attempt.index))
+
+    def _on_response_started(self, seen_at: int, started: StartedResponse) -> None:
+        """Make a streamed response the request's response, unless it has one."""
+        attempt = started.attempt
+        request = attempt.request
+        stream = started.stream
+        if request.is_completed or attempt.has_ended or request.stream is not None:
+            stream.finish(Outcome.CANCELLED)
+            return
+        attempt.has_response_started = True
+        request.stream = stream
+        request.reply(FinalResponse(statuses.OK, content_type=stream.content_type, stream=stream))
+        event = ResponseStarted(request.request_id, attempt.index, attempt.endpoint, started.latency)
+        self._notify_policy(seen_at, event)
+        gevent.sleep(0)
+
+    def _on_attempt_finished(self, seen_at: int, finished: FinishedAttempt) -> None:
+        attempt = finished.attempt
+        request = attempt.request
+        if attempt.has_response_started:
+            self._on_stream_finished(request, finished.outcome)
+        elif finished.response is not None and not request.is_completed and request.stream is None:
+            self._forward_response(request, finished.response)
+        event = AttemptEnded(
+            request.request_id,
+            attempt.index,
+            attempt.endpoint,
+            finished.outcome,
+            finished.latency,
+            request.is_completed,
+            finished.load_report,
+        )
+        self._notify_policy(seen_at, event)
+        self._forget_if_finished(request)
+
+    def _on_stream_finished(self, request: ActiveRequest, outcome: Outcome) -> None:
+        """Count the end of a request whose response was streamed."""
+        if request.is_completed:
+            return
+        request.is_completed = True
+        if outcome is Outcome.CANCELLED:
+            self.metrics.clients_disconnected += 1
+        elif outcome is Outcome.SUCCESS:
+            self.metrics.record_outcome(request.class_name, RequestOutcome.SERVED)
+        else:
+            self.metrics.record_outcome(request.class_name, RequestOutcome.FAILED)
+
+    # --- Final responses -----------------------------------------------------------------------------
+    def _forward_response(self, request: ActiveRequest, response: Response) -> None:
+        """Send an endpoint's response to the client."""
+        final = FinalResponse(
+            statuses.OK, response.body, response.content_type, content_length=response.content_length
+        )
+        self._reply(request, final, RequestOutcome.SERVED)
+        # the client's greenlet writes it before the policy does its work on the attempt's end; what others
+        # enqueue meanwhile is processed after that
+        gevent.sleep(0)
+
+    def _complete(self, request_id: int, final: FinalResponse, outcome: RequestOutcome) -> None:
+        """Send the policy's own final response; a request that is completed stays as it is."""
+        request = self.active_requests.get(request_id)
+        if request is not None and not request.is_completed:
+            self._reply(request, final, outcome)
+            self._forget_if_finished(request)
+
+    def _reply(self, request: ActiveRequest, final: FinalResponse, outcome: RequestOutcome) -> None:
+        request.is_completed = True
+        self.metrics.record_outcome(request.class_name, outcome)
+        request.reply(final)
+
+    def _forget_if_finished(self, request: ActiveRequest) -> None:
+        if request.is_completed and all(attempt.has_ended for attempt in request.attempts):
+            self.active_requests.pop(request.request_id, None)
+            request.release_references()
+
+    # --- Attempts that end here ----------------------------------------------------------------------
+    def time_out(self, attempt: Attempt, due_at: int) -> None:
+        """End an attempt at its deadline: its connection is closed at once and the policy is notified."""
+        # a streamed response has limits of its own; a deadline that was moved has a timer of its own
+        if attempt.has_ended or attempt.has_response_started or attempt.deadline > due_at:
+            return
+        attempt.has_ended = True
+        self._abort_attempt(attempt)
+        latency = max(0, due_at - attempt.sent_at)
+        self._on_attempt_finished(due_at, FinishedAttempt(attempt, Outcome.TIMEOUT, latency))
+
+    def _cancel(self, request_id: int, attempt_index: int) -> None:
+        """Cancel an attempt; its end is enqueued, as the policy's own actions are still being performed."""
+        request = self.active_requests.get(request_id)
+        if request is None or request.attempts[attempt_index].has_ended:
+            return
+        attempt = request.attempts[attempt_index]
+        cancelled_at = clock()
+        attempt.has_ended = True
+        self._abort_attempt(attempt)
+        finished = FinishedAttempt(attempt, Outcome.CANCELLED, cancelled_at - attempt.sent_at)
+        self.enqueue(finished, cancelled_at)
+
+    # --- The policy ----------------------------------------------------------------------------------
+    def _notify_policy(self, now: int, event: Event) -> None:
+        """Hand an event to the policy, whose time never goes back, and perform the actions it returns."""
+        self._policy_time = max(self._policy_time, now)
+        for action in self.policy.handle(self._policy_time, event):
+            self.perform(action)
+
+    def perform(self, action: Action) -> None:
+        """Perform one action of the policy.
+
+        Raises:
+            NotImplementedError: The policy of this program returns no such action.
+        """
+        match action:
+            case StartAttempt():
+                self._start(action)
+            case SetTimer(delay, token):
+                self.timers.schedule(self._policy_time + delay, TimerFired(token))
+            case RejectRequest(request_id, retry_after):
+                final = FinalResponse(statuses.SERVICE_UNAVAILABLE, retry_after=retry_after)
+                self._complete(request_id, final, RequestOutcome.REJECTED)
+            case FailRequest(request_id):
+                self._complete(request_id, FinalResponse(statuses.BAD_GATEWAY), RequestOutcome.FAILED)
+            case CancelAttempt(request_id, attempt_index):
+                self._cancel(request_id, attempt_index)
+            case WatchEndpoints(True):
+                self._watch_endpoints()
+            case CloseIdleConnections(endpoint):
+                self._close_idle_connections(endpoint)
+            case _:
+                raise NotImplementedError(f"the policy never returned {action!r} before")
+
+    def _start(self, action: StartAttempt) -> None:
+        request = self.active_requests[action.request_id]
+        self.metrics.attempts_started += 1
+        deadline = request.deadline
+        if action.timeout:
+            deadline = min(deadline, self._policy_time + action.timeout)
+        attempt = Attempt(request, action.endpoint, clock(), deadline, action.write_deadline)
+        request.attempts.append(attempt)
+        if deadline != NEVER:
+            self.timers.schedule(deadline, attempt)
+        self._start_attempt(attempt)
--- /dev/null
+++ b/linetrack/server/hot_restart_channel.py
@@ -0,0 +1,172 @@
+"""The hot-restart channel: messages and descriptors over a Unix socket between two processes of one sidecar.
+
+Owns how frames and descriptors are written and read, and where the socket stands.  What the messages are is
+in `hot_restart_messages.py`; the order of the steps is decided in `linetrack/control/hot_restart.py`.
+"""
+
+from __future__ import annotations
+
+import array
+import json
+import os
+import struct
+from collections import deque
+from dataclasses import dataclass
+from hashlib import blake2b
+from pathlib import Path
+from types import TracebackType
+from typing import Self
+
+import gevent
+import structlog
+from gevent import socket
+from gevent.lock import Semaphore
+
+from linetrack.server.hot_restart_messages import (
+    LENGTH_BYTES,
+    MAX_FRAME_BYTES,
+    Grant,
+    HotRestartMessage,
+    HotRestartProtocolError,
+    decode_length,
+    decode_message,
+    encode_frame,
+)
+
+log = structlog.get_logger()
+
+MAX_DESCRIPTORS_PER_FRAME = 16
+WRITE_TIMEOUT_SECONDS = 0.5  # for the other side to take a frame
+READ_SIZE_BYTES = 64 * 1024
+DESCRIPTOR_BYTES = struct.calcsize("i")
+SOCKET_NAME_DIGEST_BYTES = 8
+NETWORK_NAMESPACE = "/proc/self/ns/net"
+
+
+@dataclass(slots=True, frozen=True)
+class ReceivedMessage:
+    """A message and the descriptors that came with it, which the receiver owns."""
+
+    message: HotRestartMessage
+    descriptors: list[int]
+
+
+@dataclass(slots=True, frozen=True)
+class GrantedListener:
+    """A listening socket, by its descriptor, and the message that goes with it."""
+
+    descriptor: int
+    grant: Grant
+
+
+class HotRestartChannel:
+    """One connection between the two processes; leaving its context closes it."""
+
+    def __init__(self, sock: socket.socket) -> None:
+        self._sock = sock
+        self._buffer = b""
+        self._descriptors: deque[int] = deque()  # received, not yet given out with a message
+        self._write_lock = Semaphore()  # frames of two greenlets must not mix
+
+    def __enter__(self) -> Self:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.close()
+
+    def send(self, message: HotRestartMessage, descriptors: tuple[int, ...] = ()) -> bool:
+        """Send a message with descriptors, which stay open here; return whether all of it was sent.
+
+        A channel on which that fails is closed.
+        """
+        frame = encode_frame(message, len(descriptors))
+        timeout = TimeoutError("the channel is not read")
+        try:
+            with self._write_lock, gevent.Timeout(WRITE_TIMEOUT_SECONDS, timeout):
+                sent = self._sock.sendmsg([frame], _encode_descriptors(descriptors))
+                if sent < len(frame):
+                    self._sock.sendall(memoryview(frame)[sent:])
+        except OSError as fault:
+            log.warning("hot_restart_channel_broken", message=message.name, fault=str(fault))
+            self.close()
+            return False
+        return True
+
+    def receive(self) -> ReceivedMessage | None:
+        """Wait for the next message; return None where the channel has ended or a frame is too long.
+
+        Raises HotRestartProtocolError where the frame holds no message or lacks descriptors.
+        """
+        try:
+            data = self._read_frame()
+        except OSError:
+            return None
+        if data is None:
+            return None
+        frame = decode_message(data)
+        if frame.descriptor_count > len(self._descriptors):
+            raise HotRestartProtocolError(f"{frame.descriptor_count} descriptors are missing")
+        descriptors = [self._descriptors.popleft() for _ in range(frame.descriptor_count)]
+        return ReceivedMessage(frame.message, descriptors)
+
+    def close(self) -> None:
+        """End the connection, and every connection that came over it and was not given out."""
+        self._sock.close()
+        while self._descriptors:
+            os.close(self._descriptors.popleft())
+
+    def _read_frame(self) -> bytes | None:
+        """Return the JSON of the next frame, or None where there is none."""
+        head = self._read_exactly(LENGTH_BYTES)
+        if head is None:
+            return None
+        length = decode_length(head)
+        if length > MAX_FRAME_BYTES:
+            return None
+        return self._read_exactly(length)
+
+    def _read_exactly(self, size: int) -> bytes | None:
+        while len(self._buffer) < size:
+            ancillary_size = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_FRAME * DESCRIPTOR_BYTES)
+            data, ancillary, _, _ = self._sock.recvmsg(READ_SIZE_BYTES, ancillary_size)
+            for level, kind, payload in ancillary:
+                if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
+                    self._descriptors.extend(_decode_descriptors(payload))
+            if not data:
+                return None
+            self._buffer += data
+        data = self._buffer[:size]
+        self._buffer = self._buffer[size:]
+        return data
+
+
+def socket_path(folder: str, name: str, listen: tuple[str, int]) -> Path | None:
+    """Return where the processes of one sidecar find one another; None where there is no folder.
+
+    The path stands for the sidecar's name, the address that it listens at and its network namespace:
+    processes on one machine may share a folder and an address and still be in different networks.
+    """
+    if not folder:
+        return None
+    try:
+        network = os.stat(NETWORK_NAMESPACE).st_ino
+    except OSError:
+        network = 0
+    text = json.dumps([name, *listen, network])
+    digest = blake2b(text.encode(), digest_size=SOCKET_NAME_DIGEST_BYTES).hexdigest()
+    return Path(folder) / f"linetrack-{digest}.sock"
+
+
+def _encode_descriptors(descriptors: tuple[int, ...]) -> list[tuple[int, int, bytes]]:
+    """Return the ancillary data that carries descriptors."""
+    if not descriptors:
+        return []
+    return [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors).tobytes())]
+
+
+def _decode_descriptors(payload: bytes) -> tuple[int, ...]:
+    """Return the descriptors in ancillary data; a last one that was cut off is left out."""
+    count = len(payload) // DESCRIPTOR_BYTES
+    return struct.unpack(f"{count}i", payload[: count * DESCRIPTOR_BYTES])
--- /dev/null
+++ b/linetrack/server/lifecycle.py
@@ -0,0 +1,288 @@
+"""The program from start to exit: its parts, its phases and its signals.
+
+Reads no message and decides nothing about a request.
+"""
+
+from __future__ import annotations
+
+import gc
+import signal
+from collections.abc import Callable, Mapping
+from dataclasses import asdict
+from enum import Enum
+from functools import partial
+
+import gevent
+import structlog
+from gevent.event import Event
+
+from linetrack.control.metrics import Metrics
+from linetrack.control.settings_switch import SettingsSwitch
+from linetrack.policy.balancer import Balancer
+from linetrack.server.admin import AdminServer
+from linetrack.server.attempt_runner import AttemptRunner
+from linetrack.server.budget import Budget
+from linetrack.server.clock import clock
+from linetrack.server.config import Config, ConfigError, read_config
+from linetrack.server.discovery_client import DiscoveryClient
+from linetrack.server.dispatcher import Dispatcher, MakePolicy
+from linetrack.server.greenlets import spawn_essential
+from linetrack.server.hot_restart import HotRestart
+from linetrack.server.listener import Listener
+from linetrack.server.logging_setup import configure_logging
+from linetrack.server.reload import ConfiguredParts, Reloader, log_unused_multiplexing
+from linetrack.server.upstream_pool import UpstreamPool
+
+log = structlog.get_logger()
+
+CONNECT_GRACE_SECONDS = 0.5  # after SIGTERM, in which clients still connect
+FINAL_WRITE_GRACE_SECONDS = 0.1  # after the last response, for its last bytes to be read
+DRAIN_POLL_SECONDS = 0.01  # between looks whether every request has its response
+ENDPOINT_LIST_TIMEOUT_SECONDS = 4.0  # after which a process serves without an answer of discovery
+GC_THRESHOLD = 20_000  # allocations between collections of young objects, which cost milliseconds
+FULL_GC_INTERVAL_SECONDS = 5.0  # between collections over all objects since the start: memory stays level
+SECOND_US = 1_000_000
+
+EXIT_OK = 0
+EXIT_CANNOT_LISTEN = 1
+EXIT_CONFIG_INVALID = 2
+
+
+class Phase(Enum):
+    """The phases of the program's life; the values are logged."""
+
+    STARTING = "starting"  # the configuration is read, the policy made
+    SERVING = "serving"
+    DRAINING = "draining"  # SIGTERM has come: connections are still accepted, or handed to a successor
+    SHUTTING_DOWN = "shutting_down"  # none is accepted any more; requests in flight get their responses
+    ENDED = "ended"
+
+
+class Sidecar:
+    """The program's parts, wired together, and the order in which they start and end."""
+
+    def __init__(self, read: Callable[[], Config], make_policy: MakePolicy = Balancer) -> None:
+        """Make one that is not running yet.
+
+        Args:
+            read: returns the configuration, at the start and at each reload, or raises a ConfigError.
+            make_policy: makes the policy from its settings and a seed.
+        """
+        config = read()
+        self.phase = Phase.STARTING
+        self.metrics = Metrics()
+        self.metrics.declare_classes(config.class_names)
+        self.budget = Budget(config.sockets, config.memory_mb)
+        self.upstreams = UpstreamPool(self.budget.descriptors, config.dial_timeout, config.keep_alive_timeout)
+        self.attempt_runner = self._make_attempt_runner(config)
+        self.discovery = self._make_discovery_client(config)
+        if config.overload_control_enabled:
+            make_policy = with_overload_control(make_policy)
+        self.policy_switch = SettingsSwitch(make_policy(config.settings, config.seed))
+        self.dispatcher = self._make_dispatcher()
+        self.listener = self._make_listener(config)
+        parts = ConfiguredParts(
+            dispatcher=self.dispatcher,
+            policy_switch=self.policy_switch,
+            listener=self.listener,
+            upstreams=self.upstreams,
+            attempt_runner=self.attempt_runner,
+            discovery=self.discovery,
+            metrics=self.metrics,
+        )
+        self.reloader = Reloader(read, config, parts)
+        self.hot_restart = HotRestart(
+            lambda: self.config,
+            listener=self.listener,
+            upstreams=self.upstreams,
+            discovery=self.discovery,
+            policy_switch=self.policy_switch,
+            budget=self.budget,
+        )
+        self._shutdown_requested = Event()
+
+    @property
+    def config(self) -> Config:
+        """The configuration in force."""
+        return self.reloader.config
+
+    def is_serving(self) -> bool:
+        """Whether the program is ready for requests, and not about to end."""
+        return self.phase is Phase.SERVING
+
+    def run(self) -> int:
+        """Run from start to exit; return the exit status.  Raises OSError where an address cannot be had."""
+        # gevent would note which greenlet spawned which, at the cost of a walk of the stack for each
+        gevent.config.track_greenlet_tree = False
+        self._install_signal_handlers()
+        log_unused_multiplexing(self.config)
+        endpoints = self.hot_restart.open_listener()
+        self.discovery.restore(endpoints)
+        self._spawn_greenlets()
+        _tune_garbage_collection()
+        self._wait_for_endpoint_list()
+        self._enter(Phase.SERVING)
+        self.hot_restart.follow_predecessor()
+        self._shutdown_requested.wait()
+        self._drain()
+        self._enter(Phase.ENDED)
+        return EXIT_OK
+
+    # --- Parts -------------------------------------------------------------------------------------
+    def _make_attempt_runner(self, config: Config) -> AttemptRunner:
+        return AttemptRunner(
+            self.upstreams,
+            self.budget,
+            config.load_report_fields,
+            lambda notification, seen_at: self.dispatcher.enqueue(notification, seen_at),
+            self.metrics,
+        )
+
+    def _make_discovery_client(self, config: Config) -> DiscoveryClient:
+        return DiscoveryClient(
+            config.discovery,
+            self.upstreams,
+            lambda update, seen_at: self.dispatcher.enqueue(update, seen_at),
+            config.zone_names,
+            config.host_class_names,
+            config.settings,
+            config.seed,
+        )
+
+    def _make_dispatcher(self) -> Dispatcher:
+        return Dispatcher(
+            self.policy_switch,
+            self.attempt_runner.start,
+            self.attempt_runner.abort,
+            self.discovery.watch,
+            self.upstreams.close_idle,
+            self.metrics,
+        )
+
+    def _make_listener(self, config: Config) -> Listener:
+        return Listener(
+            self.dispatcher,
+            self.budget,
+            config.class_names,
+            config.class_timeouts,
+            self.is_serving,
+            config.retry_after_in_whole_seconds,
+        )
+
+    # --- Start -------------------------------------------------------------------------------------
+    def _install_signal_handlers(self) -> None:
+        """A second SIGTERM changes nothing; a SIGHUP during a reload is one more reload."""
+        gevent.signal_handler(signal.SIGTERM, self._shutdown_requested.set)
+        gevent.signal_handler(signal.SIGINT, self._shutdown_requested.set)
+        gevent.signal_handler(signal.SIGHUP, self.reloader.requested.set)
+
+    def _spawn_greenlets(self) -> None:
+        if self.config.admin is not None:
+            admin = AdminServer(self.config.admin, self.is_serving, self._metrics_text)
+            spawn_essential("admin", admin.accept)
+        spawn_essential("dispatcher", self.dispatcher.run)
+        if not self.hot_restart.has_predecessor:
+            self.hot_restart.start_accepting()
+        spawn_essential("discovery", self.discovery.run)
+        spawn_essential("idle connection expiry", self.upstreams.run_expiry)
+        spawn_essential("client sweep", self.listener.sweep)
+        spawn_essential("reload", self.reloader.run)
+        spawn_essential("garbage collection", _collect_garbage_forever)
+
+    def _wait_for_endpoint_list(self) -> None:
+        """Where lists are pushed, wait for the first answer of discovery.
+
+        What discovery has is binding there from a process's first moment, so that the list of the
+        configuration may be too old to send by.  Discovery is called by all processes that start together,
+        and may be cut off: if it has not answered in time it is taken to be out of reach, and if it is down
+        it has no list; then the list of the configuration is all that there is.
+        """
+        if not self.discovery.schedule.updates_are_pushed:
+            return
+        events = [self.discovery.initial_poll_finished, self._shutdown_requested]
+        if not gevent.wait(events, ENDPOINT_LIST_TIMEOUT_SECONDS, count=1):
+            log.warning("endpoint_list_timeout", entries=len(self.upstreams.endpoints))
+
+    # --- End ---------------------------------------------------------------------------------------
+    def _drain(self) -> None:
+        """Hand over to a successor or answer what is in flight, by the longest timeout of any class."""
+        self._enter(Phase.DRAINING)
+        began = clock()
+        self.hot_restart.begin_shutdown()
+        grace = int((CONNECT_GRACE_SECONDS + FINAL_WRITE_GRACE_SECONDS) * SECOND_US)
+        deadline = began + self.reloader.max_timeout + grace
+        self.dispatcher.shutdown_deadline = deadline - int(FINAL_WRITE_GRACE_SECONDS * SECOND_US)
+        if not self.hot_restart.wait_for_handover(deadline):
+            self._shut_down(deadline)
+
+    def _shut_down(self, deadline: int) -> None:
+        """End without a successor: close every connection once no request is on it."""
+        if self.hot_restart.is_accepting:
+            # one that never accepted leaves the queue to the process whose it is
+            gevent.sleep(CONNECT_GRACE_SECONDS)
+            self.hot_restart.stop_accepting()
+            # first, so that there is room for the connections that wait in the queue
+            self.listener.close_between_requests()
+            self.listener.stop_accepting()
+        self.listener.close_between_requests()
+        self._enter(Phase.SHUTTING_DOWN)
+        while self.listener.connections and clock() < deadline:
+            gevent.sleep(DRAIN_POLL_SECONDS)
+
+    def _enter(self, phase: Phase) -> None:
+        self.phase = phase
+        log.info("phase_changed", phase=phase.value, **self.metrics.totals())
+
+    def _metrics_text(self) -> str:
+        unavailable = self.policy_switch.count_unavailable(clock())
+        return self.metrics.prometheus_text(len(self.upstreams.endpoints), unavailable)
+
+
+def main(environ: Mapping[str, str]) -> int:
+    """Run the platform's sidecar; return the exit status."""
+    return serve(partial(read_config, environ))
+
+
+def serve(read: Callable[[], Config], make_policy: MakePolicy = Balancer) -> int:
+    """Run one sidecar in the foreground until SIGTERM; return the exit status."""
+    configure_logging()
+    try:
+        sidecar = Sidecar(read, make_policy)
+    except ConfigError as fault:
+        log.error("config_invalid", fault=str(fault))
+        return EXIT_CONFIG_INVALID
+    try:
+        return sidecar.run()
+    except OSError as fault:
+        config = sidecar.config
+        log.error("cannot_listen", address=config.listen, admin=config.admin, fault=str(fault))
+        return EXIT_CANNOT_LISTEN
+
+
+def with_overload_control(make_policy: MakePolicy) -> MakePolicy:
+    """Return what makes the same policy with overload control; a policy that is not ours stays as it is."""
+    if make_policy is not Balancer:
+        return make_policy
+    # imported here only, so that a sidecar without overload control does not pay the memory
+    from linetrack.control.idempotency_keys import IdempotencyKeyTable
+    from linetrack.control.overload_control import AdaptiveOverloadController, OverloadPhase, OverloadStatus
+
+    def log_phase(phase: OverloadPhase, status: OverloadStatus) -> None:
+        log.info("overload_phase_changed", phase=phase.value, **asdict(status))
+
+    return lambda settings, seed: Balancer(
+        settings, seed, AdaptiveOverloadController(seed, log_phase), IdempotencyKeyTable()
+    )
+
+
+def _tune_garbage_collection() -> None:
+    """Collect seldom while serving: what was made until now stays, and is not looked at again."""
+    gc.collect()
+    gc.freeze()
+    gc.set_threshold(GC_THRESHOLD)
+
+
+def _collect_garbage_forever() -> None:
+    while True:
+        gevent.sleep(FULL_GC_INTERVAL_SECONDS)
+        gc.collect()
--- /dev/null
+++ b/tests/server/test_startup.py
@@ -0,0 +1,105 @@
+"""The start of the program: its configuration, its address and its first endpoint list."""
+
+from __future__ import annotations
+
+import json
+import socket
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from tests.support.configuration import sidecar_config
+from tests.support.http import http_response
+from tests.support.paths import ROOT
+from tests.support.servers import UpstreamServer, unused_address
+from tests.support.sidecar_process import Deployment, SidecarProcess
+from tests.support.waiting import wait_until
+
+INVALID_CONFIGURATIONS: list[tuple[str, str]] = [
+    ("{", "EDGE_CONFIG"),
+    ("{}", "name"),
+    ('{"name":"n","listen":7}', "listen"),
+]
+
+
+@pytest.mark.parametrize(("text", "key"), INVALID_CONFIGURATIONS)
+def test_an_invalid_configuration_ends_the_program_and_names_the_key(
+    tmp_path: Path, text: str, key: str
+) -> None:
+    sidecar = SidecarProcess(tmp_path, {})
+    sidecar.environ = {"EDGE_CONFIG": str(tmp_path / "faulty.json")}
+    (tmp_path / "faulty.json").write_text(text)
+    assert sidecar.launch().wait(20) == 2
+    assert key in sidecar.log()
+    assert "Traceback" not in sidecar.log()
+
+
+def test_an_address_that_cannot_be_bound_ends_the_program(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as other:
+        values = {**sidecar_config("127.0.0.1:9", []), "listen": f"127.0.0.1:{other.getsockname()[1]}"}
+        sidecar = SidecarProcess(tmp_path, values)
+        assert sidecar.launch().wait(20) == 1
+    assert "cannot_listen" in sidecar.log()
+    assert "Traceback" not in sidecar.log()
+
+
+def test_with_discovery_out_of_reach_the_cached_list_is_used(tmp_path: Path) -> None:
+    server = UpstreamServer("a")
+    sidecar = SidecarProcess(tmp_path, sidecar_config(unused_address(), [server.entry()]))
+    with sidecar:
+        wait_until(lambda: "discovery_poll_failed" in sidecar.log())
+        assert sidecar.ask().status == 200
+    server.close()
+
+
+def test_with_pushed_lists_nothing_is_sent_by_a_list_from_before_the_start(tmp_path: Path) -> None:
+    """A poll that discovery rejects, as all processes that start together poll at once, makes nobody ready.
+
+    What discovery has is binding from a new process's first moment.
+    """
+    a, b = UpstreamServer("a"), UpstreamServer("b")
+    world = Deployment(tmp_path, a, b)
+    world.sidecar.config["settings"]["registryMode"] = "automatic"
+    world.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
+    world.discovery.version = 2
+    away, listed = http_response(b"", 503), {"version": 2, "full": True, "servers": world.discovery.entries}
+    world.discovery.scripted = [
+        away,
+        http_response(b"no list"),
+        away,
+        http_response(json.dumps(listed).encode()),
+    ]
+    with world as sidecar:
+        assert {sidecar.ask().body for _ in range(20)} == {b"b"}
+        assert not a.seen
+        assert "endpoint_list_timeout" not in sidecar.log()
+
+
+def test_with_pushed_lists_a_start_becomes_ready_though_discovery_never_answers(tmp_path: Path) -> None:
+    """A path that is cut gives no answer at all, and must not keep a process from getting ready."""
+    world = Deployment(tmp_path, UpstreamServer("a"))
+    world.sidecar.config["settings"]["registryMode"] = "automatic"
+    world.discovery.scripted = [b""] * 100
+    with world as sidecar:
+        assert sidecar.ask().status == 200
+        assert "endpoint_list_timeout" in sidecar.log()
+
+
+def test_a_restarted_program_serves_on_the_same_address(tmp_path: Path) -> None:
+    world = Deployment(tmp_path, UpstreamServer("a"))
+    with world as sidecar:
+        assert sidecar.ask().status == 200
+        assert sidecar.end() == 0
+        sidecar.launch()
+        wait_until(sidecar._ready)
+        assert sidecar.ask().status == 200
+
+
+def test_the_simulation_host_imports_nothing_of_the_server() -> None:
+    code = "import sys, linetrack.simhost.host; print(*sys.modules)"
+    out = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    ).stdout
+    assert not {name for name in out.split() if name.startswith(("gevent", "linetrack.server", "structlog"))}
--- a/tests/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -1,20 +1,44 @@
-"""The wire: round trips, a hand-written conversation, bad input, and the adapter as a process."""
+"""The simulator's wire: each message, a hand-written conversation, bad input, the adapter as a process."""
 
 import io
 import os
 import subprocess
 import sys
-from pathlib import Path
 
 import pytest
 
-from linetrack import interface as i
+from linetrack.policy.actions import (
+    Action,
+    CancelAttempt,
+    CloseIdleConnections,
+    FailRequest,
+    FetchEndpoints,
+    Log,
+    RejectRequest,
+    SendHealthCheck,
+    SendToPeer,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from linetrack.policy.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Event,
+    HealthCheckEnded,
+    Outcome,
+    PeerMessageReceived,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from linetrack.policy.settings import Idempotency, LoadField
 from linetrack.simhost import wire
-from linetrack.simhost.host import Host
-from linetrack.simhost.settings import from_pairs
-from linetrack.simhost.wire import WireError
+from linetrack.simhost.fields import InvalidFieldError, split_line
+from linetrack.simhost.host import EXIT_INVALID_INPUT, Host
+from linetrack.simhost.settings import parse_settings
+from tests.support.paths import ROOT
 
-ROOT = Path(__file__).parent.parent
 BOOT = (
     "allowed.mayCancel=true allowed.maxAttempts=3 allowed.parallelTries=true allowed.retryAfter=true "
     "allowed.maxRetryAfterUs=1000000 azs=north,south balancers=1 classes.count=2 classes.0.aimUs=300000 "
@@ -96,11 +120,12 @@
         lines += [f"MEMBERSHIP i=sidecar/{number} index=1 form=all slot=3"]
     lines += [f"REQ i=sidecar/{n} ref={n} kind=0 patienceLeftUs=900000" for n in (0, 1)]
     _, reply = talk([*lines, "YOUR_TURN"])
-    assert "ref=0 upstream=only:0" in reply and "ref=1 upstream=only:1" in reply
+    assert "ref=0 upstream=only:0" in reply
+    assert "ref=1 upstream=only:1" in reply
 
 
 @pytest.mark.parametrize(
-    ("lines", "said"),
+    ("lines", "message"),
     [
         (["HELLO x=1"], "TICK"),
         (["TICK clockUs=x"], "clockUs"),
@@ -115,91 +140,100 @@
     ],
 )
 def test_unreadable_input_says_what_and_where(
-    lines: list[str], said: str, capsys: pytest.CaptureFixture[str]
+    lines: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     status, _ = talk(lines)
     error = capsys.readouterr().err
-    assert status != 0
-    assert said in error and "line " in error and "Traceback" not in error
+    assert status == EXIT_INVALID_INPUT
+    assert message in error
+    assert "line " in error
+    assert "Traceback" not in error
 
 
-def test_exception_in_the_module_is_told_on_the_wire(
+def test_exception_in_the_policy_is_reported_on_the_wire(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> None:
         raise IndexError("out of range")
 
-    monkeypatch.setattr("linetrack.rules.Balancer.handle", broken)
+    monkeypatch.setattr("linetrack.policy.balancer.Balancer.handle", broken)
     _, reply = talk(CONVERSATION[:10])
     assert "GIVE_IN i=sidecar/0 what=IndexError: out of range\n" in reply
     assert "Traceback" in capsys.readouterr().err
 
 
-ACTIONS: list[tuple[i.Action, str]] = [
-    (i.Send(1, "u:1", 9), "SUBMIT_TO i=s ref=1 upstream=u:1 withinUs=9"),
-    (i.Cancel(1, 2), "UNDO_SEND i=s ref=1 trial=2"),
-    (i.Refuse(1, 5), "OVERLOAD_REPLY i=s ref=1 backoffUs=5"),
-    (i.Refuse(1), "OVERLOAD_REPLY i=s ref=1"),
-    (i.Fail(1), "GIVE_UP i=s ref=1"),
-    (i.SetTimer(4, "t"), "REMIND i=s offsetUs=4 nonce=t"),
-    (i.Watch(False), "FOLLOW i=s want=0"),
-    (i.FetchList(), "FETCH i=s"),
-    (i.Probe("u:1"), "PROBE i=s upstream=u:1"),
-    (i.CloseIdle("u:1"), "DROP_CONNS i=s upstream=u:1"),
-    (i.Tell(-1, b"hi g7"), "WRITE_PEER i=s dst=-1 body=aGkgZzc="),
-    (i.Tell(2), "WRITE_PEER i=s dst=2 body=-"),
-    (i.Note("two\nlines"), "NOTE_DOWN i=s what=two lines"),
+ACTIONS: list[tuple[Action, str]] = [
+    (StartAttempt(1, "u:1", 9), "SUBMIT_TO i=s ref=1 upstream=u:1 withinUs=9"),
+    (CancelAttempt(1, 2), "UNDO_SEND i=s ref=1 trial=2"),
+    (RejectRequest(1, 5), "OVERLOAD_REPLY i=s ref=1 backoffUs=5"),
+    (RejectRequest(1), "OVERLOAD_REPLY i=s ref=1"),
+    (FailRequest(1), "GIVE_UP i=s ref=1"),
+    (SetTimer(4, "t"), "REMIND i=s offsetUs=4 nonce=t"),
+    (WatchEndpoints(False), "FOLLOW i=s want=0"),
+    (FetchEndpoints(), "FETCH i=s"),
+    (SendHealthCheck("u:1"), "PROBE i=s upstream=u:1"),
+    (CloseIdleConnections("u:1"), "DROP_CONNS i=s upstream=u:1"),
+    (SendToPeer(-1, b"hi g7"), "WRITE_PEER i=s dst=-1 body=aGkgZzc="),
+    (SendToPeer(2), "WRITE_PEER i=s dst=2 body=-"),
+    (Log("two\nlines"), "NOTE_DOWN i=s what=two lines"),
 ]
 
 
 @pytest.mark.parametrize(("action", "line"), ACTIONS)
-def test_every_action_has_its_line(action: i.Action, line: str) -> None:
+def test_every_action_has_its_line(action: Action, line: str) -> None:
     assert wire.format_action("s", action) == line
 
 
-EVENTS: list[tuple[str, i.Event]] = [
+EVENTS: list[tuple[str, Event]] = [
     (
         "REQ ref=1 kind=0 party=2 targetKey=k:x patienceLeftUs=5 workUs=7 repeat=1 update=1",
-        i.Arrival(1, 0, 5, 2, "k:x", 7, True, True),
+        RequestReceived(1, 0, 5, 2, "k:x", 7, True, True),
     ),
-    ("ESTABLISHED ref=1 trial=0 upstream=u:1 rttUs=9", i.Begun(1, 0, "u:1", 9)),
+    ("ESTABLISHED ref=1 trial=0 upstream=u:1 rttUs=9", ResponseStarted(1, 0, "u:1", 9)),
     (
         "FINISHED ref=1 trial=1 upstream=u:1 how=busy rttUs=3 pressure=1.5,2",
-        i.Ended(1, 1, "u:1", i.Outcome.FULL, 3, False, (1.5, 2.0)),
+        AttemptEnded(1, 1, "u:1", Outcome.OVERLOADED, 3, False, (1.5, 2.0)),
     ),
-    ("CLIENT_LEFT ref=1", i.ClientLeft(1)),
-    ("ALARM nonce=a:1", i.TimerDue("a:1")),
-    ("CHECKED upstream=u:1 rttUs=4 how=done", i.ProbeEnded("u:1", i.Outcome.OK, 4)),
-    ("MEMO originPeer=2 body=aGkgZzc=", i.PeerMessage(2, b"hi g7")),
+    ("CLIENT_LEFT ref=1", ClientDisconnected(1)),
+    ("ALARM nonce=a:1", TimerFired("a:1")),
+    ("CHECKED upstream=u:1 rttUs=4 how=done", HealthCheckEnded("u:1", Outcome.SUCCESS, 4)),
+    ("MEMO originPeer=2 body=aGkgZzc=", PeerMessageReceived(2, b"hi g7")),
 ]
 
 
 @pytest.mark.parametrize(("line", "event"), EVENTS)
-def test_every_event_is_read(line: str, event: i.Event) -> None:
-    name, fields = wire.split(line)
-    assert wire.EVENTS[name](fields) == event
+def test_every_event_is_read(line: str, event: Event) -> None:
+    name, fields = split_line(line)
+    assert wire.EVENT_PARSERS[name](fields) == event
 
 
-@pytest.mark.parametrize(("word", "outcome"), wire.OUTCOMES.items())
-def test_every_outcome_is_read(word: str, outcome: i.Outcome) -> None:
-    _, fields = wire.split(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
-    ended = wire.EVENTS["FINISHED"](fields)
-    assert isinstance(ended, i.Ended) and ended.outcome is outcome
+@pytest.mark.parametrize(("word", "outcome"), wire.OUTCOME_BY_NAME.items())
+def test_every_outcome_is_read(word: str, outcome: Outcome) -> None:
+    _, fields = split_line(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
+    ended = wire.EVENT_PARSERS["FINISHED"](fields)
+    assert isinstance(ended, AttemptEnded)
+    assert ended.outcome is outcome
 
 
-@pytest.mark.parametrize("line", ["MEMO originPeer=1 body=%%%", "FINISHED ref=1 trial=0 upstream=u how=odd"])
-def test_bad_fields_are_faults(line: str) -> None:
-    name, fields = wire.split(line)
-    with pytest.raises(WireError):
-        wire.EVENTS[name](fields)
+@pytest.mark.parametrize(
+    ("line", "field"),
+    [("MEMO originPeer=1 body=%%%", "body"), ("FINISHED ref=1 trial=0 upstream=u how=odd", "how")],
+)
+def test_invalid_fields_are_errors(line: str, field: str) -> None:
+    name, fields = split_line(line)
+    with pytest.raises(InvalidFieldError) as raised:
+        wire.EVENT_PARSERS[name](fields)
+    assert raised.value.field == field
 
 
-def test_settings_are_read_and_unknown_ones_passed_over() -> None:
-    _, pairs = wire.split("X " + BOOT)
-    settings = from_pairs(pairs)
-    assert settings.must_ask and settings.parallel and settings.zones == 2
-    assert settings.report_fields == (i.Load.QUEUE, i.Load.RATE)
-    assert [c.effect for c in settings.classes] == [i.Effect.SAFE, i.Effect.UNSAFE]
+def test_settings_are_read_and_unknown_ones_ignored() -> None:
+    _, pairs = split_line("X " + BOOT)
+    settings = parse_settings(pairs)
+    assert settings.must_subscribe
+    assert settings.may_run_parallel_attempts
+    assert settings.zone_count == 2
+    assert settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
+    assert [c.idempotency for c in settings.classes] == [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT]
 
 
 def run_process(text: str, seed: str) -> subprocess.CompletedProcess[str]:
@@ -239,4 +273,5 @@
 def test_end_of_input_between_batches_is_a_clean_exit() -> None:
     assert run_process("", "0").returncode == 0
     broken = run_process("TICK clockUs=1\n", "0")
-    assert broken.returncode != 0 and "inside a batch" in broken.stderr
+    assert broken.returncode != 0
+    assert "inside a batch" in broken.stderr
