--- a/tests/control/test_hot_restart.py
+++ b/tests/control/test_hot_restart.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from linetrack.control.hot_restart import (
@@ -142,6 +142,10 @@
 
 
 @given(st.lists(st.sampled_from(sorted(STEPS)), max_size=25))
+@example(["deliver", "shut down old", "new ends"])
+@example(["deliver", "prepare", "shut down old", "new ends"])
+@example(["deliver", "prepare", "old hangs"])
+@example(["deliver", "prepare", "shut down old", "old ends"])
 @settings(max_examples=400, deadline=None)
 def test_whichever_side_ends_or_hangs_at_any_step_one_accepts(steps: list[str]) -> None:
     pair = LinkedStateMachines()
