--- /dev/null
+++ b/tests/emulator/test_ledger.py
@@ -0,0 +1,38 @@
+"""Ledgers: reading back, files cut off, full disks."""
+
+from pathlib import Path
+
+import pytest
+
+from linetrack.emulator.ledger import Ledger, LedgerError, read_ledger
+from linetrack.emulator.ledger_events import AttemptReceived, RequestNotSent
+
+
+def test_a_ledger_reads_back_and_one_cut_off_in_its_last_line_does_too(tmp_path: Path) -> None:
+    path = tmp_path / "l.jsonl"
+    ledger = Ledger(path)
+    written = [AttemptReceived(n, f"u{n}", 'a "b"\n', n, "SERVING") for n in range(100)]
+    for event in written:
+        ledger.write(event)
+    ledger.close()
+    assert list(read_ledger(path)) == written
+    data = path.read_bytes()
+    first = b'{"e":"try","t":0,"up":"u0","trace":"a \\"b\\"\\n","first":0,"state":"SERVING"}\n'
+    assert data.startswith(first)
+    for cut in (1, 10, 30):
+        path.write_bytes(data[:-cut])
+        assert list(read_ledger(path)) == written[:-1]
+    for nonsense in (b"nonsense\n", b'{"t": 1}\n', b'{"e": "nonsense", "t": 1}\n', b'{"e": "unsent"}\n'):
+        path.write_bytes(first + nonsense + data)
+        with pytest.raises(LedgerError, match=r"l\.jsonl:2: no event: ") as raised:
+            list(read_ledger(path))
+        assert (raised.value.path, raised.value.line) == (path, 2)
+
+
+def test_a_full_disk_ends_the_ledger_and_not_the_emulator() -> None:
+    ledger = Ledger(Path("/dev/full"))
+    for n in range(3):
+        ledger.write(RequestNotSent(n, n))
+        ledger.flush()
+    assert ledger.error
+    assert not ledger.has_unwritten
--- a/tests/experiments/test_audit.py
+++ b/tests/experiments/test_audit.py
@@ -22,7 +22,8 @@
 )
 from linetrack.experiments.audit import FACTS_FILE, Findings, Rule, RunFacts, SidecarKill, audit
 
-MS, SECOND = 1000, 1_000_000
+MS = 1000
+SECOND = 1_000_000
 IDEMPOTENCY = {
     "look": Idempotency.IDEMPOTENT,
     "sale": Idempotency.IDEMPOTENCY_KEY,
