--- a/linetrack/control/hot_restart.py
+++ b/linetrack/control/hot_restart.py
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Identity:
-    """What tells the processes of one sidecar from another customer's with the same name and address."""
+    """What distinguishes one sidecar's processes from another customer's with its name and address."""
 
     class_names: tuple[str, ...]
     settings_digest: str
@@ -85,7 +85,7 @@
 
 
 class PredecessorStateMachine:
-    """The side that serves; it changes nothing until it is told to shut down.
+    """The side that serves; it changes nothing until its shutdown begins.
 
     | state           | meaning                                 | left by                                |
     | --------------- | --------------------------------------- | -------------------------------------- |
--- a/linetrack/server/greenlets.py
+++ b/linetrack/server/greenlets.py
@@ -18,14 +18,14 @@
 
     A process that lived on without one of these would accept connections and never answer.
     """
+    return gevent.spawn(_run_or_exit, name, work)
 
-    def run_or_exit() -> None:
-        try:
-            work()
-        except gevent.GreenletExit:
-            return
-        except BaseException:
-            log.exception("greenlet_crashed", greenlet=name)
-            os._exit(CRASHED_EXIT_STATUS)
 
-    return gevent.spawn(run_or_exit)
+def _run_or_exit(name: str, work: Callable[[], None]) -> None:
+    try:
+        work()
+    except gevent.GreenletExit:
+        return
+    except BaseException:
+        log.exception("greenlet_crashed", greenlet=name)
+        os._exit(CRASHED_EXIT_STATUS)
--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -9,6 +9,7 @@
 import errno
 import os
 from collections.abc import Callable
+from functools import partial
 
 import gevent
 import structlog
@@ -89,7 +90,7 @@
 
     @property
     def has_predecessor(self) -> bool:
-        """Whether the listening socket is a predecessor's, which tells when this process may accept."""
+        """Whether the listening socket is a predecessor's, which says when this process may accept."""
         return self._successor is not None
 
     def follow_predecessor(self) -> None:
@@ -230,11 +231,7 @@
                 settings_digest=self._current_config().digest,
             )
         )
-
-        def migrate(descriptor: int, response_count: int) -> bool:
-            return self._migrate_client(channel, descriptor, response_count)
-
-        self._listener.migrate_connections(migrate)
+        self._listener.migrate_connections(partial(self._migrate_client, channel))
 
     def _migrate_client(self, channel: HotRestartChannel, descriptor: int, response_count: int) -> bool:
         """Send a client connection to the successor; return whether it was sent."""
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -11,6 +11,7 @@
 from dataclasses import asdict
 from enum import Enum
 from functools import partial
+from typing import TYPE_CHECKING
 
 import gevent
 import structlog
@@ -33,6 +34,9 @@
 from linetrack.server.reload import ConfiguredParts, Reloader, log_unused_multiplexing
 from linetrack.server.upstream_pool import UpstreamPool
 
+if TYPE_CHECKING:
+    from linetrack.control.overload_control import OverloadPhase, OverloadStatus
+
 log = structlog.get_logger()
 
 CONNECT_GRACE_SECONDS = 0.5  # after SIGTERM, in which clients still connect
@@ -218,7 +222,7 @@
     def _shut_down(self, deadline: int) -> None:
         """End without a successor: close every connection once no request is on it."""
         if self.hot_restart.is_accepting:
-            # one that never accepted leaves the queue to the process whose it is
+            # a process that never accepted leaves the waiting connections to the one that does
             gevent.sleep(CONNECT_GRACE_SECONDS)
             self.hot_restart.stop_accepting()
             # first, so that there is room for the connections that wait in the queue
@@ -265,16 +269,17 @@
         return make_policy
     # imported here only, so that a sidecar without overload control does not pay the memory
     from linetrack.control.idempotency_keys import IdempotencyKeyTable
-    from linetrack.control.overload_control import AdaptiveOverloadController, OverloadPhase, OverloadStatus
-
-    def log_phase(phase: OverloadPhase, status: OverloadStatus) -> None:
-        log.info("overload_phase_changed", phase=phase.value, **asdict(status))
+    from linetrack.control.overload_control import AdaptiveOverloadController
 
     return lambda settings, seed: Balancer(
-        settings, seed, AdaptiveOverloadController(seed, log_phase), IdempotencyKeyTable()
+        settings, seed, AdaptiveOverloadController(seed, _log_overload_phase), IdempotencyKeyTable()
     )
 
 
+def _log_overload_phase(phase: OverloadPhase, status: OverloadStatus) -> None:
+    log.info("overload_phase_changed", phase=phase.value, **asdict(status))
+
+
 def _tune_garbage_collection() -> None:
     """Collect seldom while serving: what was made until now stays, and is not looked at again."""
     gc.collect()
