--- a/linetrack/control/policy_snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -186,6 +186,7 @@
         self._same_zones = same_zones
 
     def policy_state(self) -> PolicyState:
+        """Return everything, for the parts of the policy to take over."""
         values = self._values
         return PolicyState(
             latency=self._latency(),
--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -110,7 +110,8 @@
         if attempt is not None:
             attempt.endpoint.in_flight.pop(key, None)
             self._outcomes.record(now, attempt, event)
-            self._selector.refresh(now, attempt.endpoint, event.outcome is Outcome.SUCCESS)
+            is_success = event.outcome is Outcome.SUCCESS
+            self._selector.refresh(now, attempt.endpoint, keep_others=is_success)
         if request is None:
             return
         if event.request_completed:
@@ -151,7 +152,7 @@
         attempt = self._guard.send(now, request, endpoint)
         if attempt is None:
             return False
-        self._selector.refresh(now, endpoint, True)
+        self._selector.refresh(now, endpoint, keep_others=True)
         may_hedge = request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if self._settings.may_run_parallel_attempts and may_hedge and attempt.expected_latency:
             delay = self._hedge_delay(now, request, attempt)
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -66,15 +66,15 @@
         if request.net_value >= 0:  # else it is shed
             self._select_second(now, request, home, home_weights, away, away_weights)
 
-    def refresh(self, now: int, endpoint: Endpoint, is_this_alone: bool) -> None:
-        """Renew what is cached of an endpoint that was sent to or heard of; of all, unless told otherwise."""
-        self._weights.refresh(now, endpoint, is_this_alone)
+    def refresh(self, now: int, endpoint: Endpoint, keep_others: bool) -> None:
+        """Renew the cached weight of an endpoint that was sent to or heard of; drop others unless kept."""
+        self._weights.refresh(now, endpoint, keep_others)
 
     def next_endpoint(self, now: int, request: Request) -> Endpoint | None:
         """Return where the next retry or hedged attempt goes: the second candidate, then the rotation."""
         untried = {
-            *self._available(now, request, False, request.attempted),
-            *self._available(now, request, True, request.attempted),
+            *self._available(now, request, is_other_zones=False, excluded=request.attempted),
+            *self._available(now, request, is_other_zones=True, excluded=request.attempted),
         }
         if self._settings.retry_window:
             # the few retries that a limit leaves are not for more of what failed, but for what served lately
--- a/linetrack/policy/endpoint_weights.py
+++ b/linetrack/policy/endpoint_weights.py
@@ -89,15 +89,7 @@
         """
         weights = weighted.weights
         if self._settings.max_streams_per_connection > 1:
-            mark = self._settings.instance * INSTANCE_HASH_MULTIPLIER
-            scale = len(weighted.endpoints)
-            weights = [
-                weight
-                if endpoint.connected_until >= now
-                else weight
-                / (1 + (endpoint.rendezvous_rank(mark) * scale / PREFERRED_COUNT) ** PREFERENCE_EXPONENT)
-                for weight, endpoint in zip(weights, weighted.endpoints, strict=True)
-            ]
+            weights = self._prefer_few_connections(now, weighted)
         if self._settings.has_affinity_keys and request.received.affinity_key:
             mark = zlib.crc32(request.received.affinity_key.encode())
             weights = [
@@ -106,6 +98,16 @@
             ]
         return weights
 
+    def _prefer_few_connections(self, now: int, weighted: WeightedEndpoints) -> list[float]:
+        weights = weighted.weights.copy()
+        mark = self._settings.instance * INSTANCE_HASH_MULTIPLIER
+        count = len(weighted.endpoints)
+        for index, endpoint in enumerate(weighted.endpoints):
+            if endpoint.connected_until < now:
+                position = endpoint.rendezvous_rank(mark) * count / PREFERRED_COUNT
+                weights[index] = weights[index] / (1 + position**PREFERENCE_EXPONENT)
+        return weights
+
     @property
     def is_caching(self) -> bool:
         """Return whether weights may be cached at all."""
@@ -121,12 +123,12 @@
         self._cache[class_index] = weighted
         self._cache_expires_at[class_index] = now + ESTIMATE_LIFETIME
 
-    def refresh(self, now: int, endpoint: Endpoint, is_this_alone: bool) -> None:
-        """Renew what is cached of an endpoint that was sent to or heard of; of all, unless told otherwise."""
+    def refresh(self, now: int, endpoint: Endpoint, keep_others: bool) -> None:
+        """Renew the cached weight of an endpoint that was sent to or heard of; drop others unless kept."""
         if endpoint.zone == self._settings.zone:
             return
         is_known = all(endpoint in weighted.endpoints for weighted in self._cache.values())
-        if not is_this_alone or endpoint.ejections or not is_known:
+        if not keep_others or endpoint.ejections or not is_known:
             self.clear_cache()
         for class_index, weighted in self._cache.items():
             index = weighted.endpoints.index(endpoint)
