--- a/linetrack/policy/admission.py
+++ b/linetrack/policy/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request is worth what it costs: its value, its cost to others, and load shedding.
+"""Whether a request is admitted: its value, its cost to others, and load shedding.
 
 Values and costs are in units of a mean request's value.  The value of an attempt is the chance that it is
 answered in time, times the request's priority weight.  Its cost is what its work delays the other requests:
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from linetrack.policy.class_statistics import FAILING_RATIO
-from linetrack.policy.decaying_average import DECAY_TIME, SECOND, SLOW_EWMA_WEIGHT, DecayingAverage, decayed
+from linetrack.policy.decaying_average import DECAY_TIME, SLOW_EWMA_WEIGHT, DecayingAverage, decayed
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.endpoint_weights import WeightedEndpoints
 from linetrack.policy.events import RequestReceived
@@ -23,6 +23,7 @@
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Settings
 from linetrack.policy.tenant_quotas import TenantQuotas
+from linetrack.policy.time_units import SECOND
 
 ON_TIME_STEEPNESS = 2.5  # chance to meet the objective: 1 / (1 + (expected latency / objective) ** this)
 LATE_COST_RATIO = 16.0  # work costs 1 + this x the ratio of late requests beyond the usual one
@@ -47,7 +48,7 @@
 
 
 class Admission:
-    """Values requests, sheds those that are not worth their cost, and says what a retry is worth."""
+    """Values requests, sheds those whose cost exceeds their value, and values retries."""
 
     def __init__(
         self,
@@ -118,7 +119,7 @@
         request.overload_factor = 1 + LATE_COST_RATIO * max(0.0, late - USUAL_LATE_RATIO)
         objectives = [each.latency_objective / cost for each, cost in zip(classes, costs, strict=True)]
         request.mean_objective = sum(objectives) / len(classes)
-        # when nothing was heard for a while, nothing is known to be full, or requests would be shed for ever
+        # without responses for a while nothing is known to be full, or requests would be shed for ever
         request.staleness_discount = decayed(now, 1.0, self._last_response_at, 0.0, DECAY_TIME)
 
     def net_values(self, now: int, request: Request, weighted: WeightedEndpoints) -> list[float]:
--- a/linetrack/policy/attempt_outcomes.py
+++ b/linetrack/policy/attempt_outcomes.py
@@ -40,7 +40,7 @@
         self._is_retired = False
 
     def retire(self) -> None:
-        """Learn nothing any more, as an instance under other settings learns in its place."""
+        """Learn nothing any more, as an instance under other settings does from here on."""
         self._is_retired = True
 
     def record(self, now: int, attempt: Attempt, event: AttemptEnded) -> None:
--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -160,7 +160,7 @@
         return True
 
     def _hedge_delay(self, now: int, request: Request, attempt: Attempt) -> float:
-        """Return how long a hedged attempt waits; the first mostly answers while it does."""
+        """Return how long a hedged attempt waits; meanwhile the first mostly gets its response."""
         hedge_latency = attempt.expected_latency
         if request.second_candidate:
             latency = self._latency_model.expected_latency(now, request.second_candidate)
@@ -177,7 +177,7 @@
         self._guard.record_end(request, attempt, outcome)
         if request.in_flight or request.is_waiting:
             return
-        # an attempt that was never executed put no load on anybody, so the next takes its place for nothing
+        # an attempt that was never executed put no load on any endpoint, so the next one costs no budget
         price = 0.0 if outcome in NEVER_EXECUTED else RETRY_PRICE
         if not self._try_next(now, request, price) and not request.in_flight:
             self._give_up(now, request)
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -67,7 +67,7 @@
             self._select_second(now, request, home, home_weights, away, away_weights)
 
     def refresh(self, now: int, endpoint: Endpoint, keep_others: bool) -> None:
-        """Renew the cached weight of an endpoint that was sent to or heard of; drop others unless kept."""
+        """Renew the cached weight of an endpoint after a send or response; drop the others unless kept."""
         self._weights.refresh(now, endpoint, keep_others)
 
     def next_endpoint(self, now: int, request: Request) -> Endpoint | None:
@@ -187,7 +187,7 @@
     ) -> list[Endpoint]:
         """Return the endpoints of the own zone, or of the others, that the request's next attempt may go to.
 
-        A zone is never given up as a whole: if all its endpoints are ejected, those with a connection are
+        A zone is never given up completely: if all its endpoints are ejected, those with a connection are
         used, and those without as well unless another zone can be reached.
         """
         scope = self._guard.scope(now, request)
--- a/linetrack/policy/class_statistics.py
+++ b/linetrack/policy/class_statistics.py
@@ -5,8 +5,9 @@
 import math
 from typing import NamedTuple
 
-from linetrack.policy.decaying_average import DECAY_TIME, SECOND, SLOWEST_EWMA_WEIGHT, decayed
+from linetrack.policy.decaying_average import DECAY_TIME, SLOWEST_EWMA_WEIGHT, decayed
 from linetrack.policy.settings import Settings
+from linetrack.policy.time_units import SECOND
 
 FAILING_RATIO = 0.4  # a class with less than this of the best class's on-time ratio fails by itself
 ON_TIME_WEIGHT = 0.5  # weight of a new response in a class's on-time ratio
--- a/linetrack/policy/decaying_average.py
+++ b/linetrack/policy/decaying_average.py
@@ -7,7 +7,8 @@
 
 import math
 
-SECOND = 1_000_000
+from linetrack.policy.time_units import SECOND
+
 DECAY_TIME = 12 * SECOND  # own observations fade towards what is known of their group over this time
 MAX_WEIGHT = 10.0  # observations that an average rests on at most, so that each newer one still counts
 PRIOR_WEIGHT = 2.0  # observations at which an own average counts as much as the prior
--- a/linetrack/policy/endpoint.py
+++ b/linetrack/policy/endpoint.py
@@ -9,12 +9,13 @@
 import zlib
 from typing import NamedTuple
 
-from linetrack.policy.decaying_average import SECOND, DecayingAverage
+from linetrack.policy.decaying_average import DecayingAverage
 from linetrack.policy.events import EndpointEntry, EndpointStatus
 from linetrack.policy.settings import Settings
+from linetrack.policy.time_units import SECOND
 
 ESTIMATE_LIFETIME = SECOND  # for so long an estimate for an idle endpoint is used before it is renewed
-HASH_MULTIPLIER = 0x9E3779B1  # 2^32 over the golden ratio: spreads near values over the whole range
+HASH_MULTIPLIER = 0x9E3779B1  # 2^32 over the golden ratio: spreads near values over the range
 HASH_RANGE = 2**32
 
 
--- a/linetrack/policy/endpoint_list.py
+++ b/linetrack/policy/endpoint_list.py
@@ -9,13 +9,13 @@
 from random import Random
 
 from linetrack.policy.actions import Action, SetTimer, WatchEndpoints
-from linetrack.policy.decaying_average import SECOND
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.events import EndpointEntry, EndpointListUpdate, EndpointStatus, ListForm
 from linetrack.policy.models import Models
 from linetrack.policy.outlier_detection import OutlierDetector
 from linetrack.policy.settings import Settings
 from linetrack.policy.slow_start import SlowStart
+from linetrack.policy.time_units import SECOND
 
 POLL_TOKEN = "ask"  # of the timer after which to subscribe
 START_SPACING = 10_000  # time between first polls, over all instances that start together
--- a/linetrack/policy/endpoint_weights.py
+++ b/linetrack/policy/endpoint_weights.py
@@ -124,7 +124,7 @@
         self._cache_expires_at[class_index] = now + ESTIMATE_LIFETIME
 
     def refresh(self, now: int, endpoint: Endpoint, keep_others: bool) -> None:
-        """Renew the cached weight of an endpoint that was sent to or heard of; drop others unless kept."""
+        """Renew the cached weight of an endpoint after a send or response; drop the others unless kept."""
         if endpoint.zone == self._settings.zone:
             return
         is_known = all(endpoint in weighted.endpoints for weighted in self._cache.values())
--- a/linetrack/policy/events.py
+++ b/linetrack/policy/events.py
@@ -115,7 +115,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client of a request has gone: nothing more is to be sent for it."""
+    """The client of a request has disconnected: nothing more is to be sent for it."""
 
     request_id: int
 
--- a/linetrack/policy/load_reports.py
+++ b/linetrack/policy/load_reports.py
@@ -7,15 +7,10 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from linetrack.policy.decaying_average import (
-    EWMA_WEIGHT,
-    SECOND,
-    SLOW_EWMA_WEIGHT,
-    DecayingAverage,
-    decayed,
-)
+from linetrack.policy.decaying_average import EWMA_WEIGHT, SLOW_EWMA_WEIGHT, DecayingAverage, decayed
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.settings import LoadField, Settings
+from linetrack.policy.time_units import SECOND
 
 MAX_UTILIZATION = 0.85  # a reported utilization from here on says little about the load
 REPORT_DECAY_TIME = 1 * SECOND  # a load report that is not renewed fades to its zone's mean over this time
@@ -67,7 +62,7 @@
         if LoadField.REQUEST_RATE in report and endpoint.warm_fraction_at(now, self._settings) >= 1:
             self._request_rates[endpoint.host_class].add(now, report[LoadField.REQUEST_RATE] / SECOND)
         if self._settings.capacity_varies_with_load:
-            # the list tells the load of all endpoints at once, a response that of one that may be rarely seen
+            # the list has the load of all endpoints at once, a response that of one that may be rarely used
             if report.get(LoadField.UTILIZATION, 1.0) < MAX_UTILIZATION and endpoint.load_reported_at:
                 self._record_utilization(report[LoadField.UTILIZATION], endpoint.reported_load)
             return
@@ -136,7 +131,7 @@
     ) -> None:
         """Take in how many requests are at the endpoint; those that are not own ones count.
 
-        Late news would swing the traffic, so it is smoothed; own requests are counted as they are sent.
+        Late reports would swing the traffic, so they are smoothed; own requests are counted as they are sent.
         """
         beyond_own = max(0.0, load - len(endpoint.in_flight))
         age_share = 1.0
--- a/linetrack/policy/outlier_detection.py
+++ b/linetrack/policy/outlier_detection.py
@@ -7,12 +7,12 @@
 
 from __future__ import annotations
 
-from linetrack.policy.decaying_average import SECOND
 from linetrack.policy.endpoint import NO_EJECTION, Ejection, Endpoint
 from linetrack.policy.events import Outcome
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Idempotency, Settings
 from linetrack.policy.success_model import SuccessModel
+from linetrack.policy.time_units import SECOND
 
 BASE_EJECTION_TIME = 1 * SECOND  # doubles while trials fail
 MAX_EJECTION_TIME = 8 * SECOND  # so that a recovered endpoint is not kept out for long
--- a/linetrack/policy/request.py
+++ b/linetrack/policy/request.py
@@ -44,7 +44,7 @@
         self.class_cost = 1.0
         self.overload_factor = 1.0  # how much dearer work is while many requests are late
         self.mean_objective = 1.0
-        self.staleness_discount = 1.0  # falls to 0 while nothing is heard of any endpoint
+        self.staleness_discount = 1.0  # falls to 0 while no endpoint responds
         self.jitter = 1.0  # grades decisions, so that all instances do not turn at once
 
     @property
--- a/linetrack/policy/retry_limits.py
+++ b/linetrack/policy/retry_limits.py
@@ -12,8 +12,8 @@
 
 from linetrack.policy.protocols import OverloadController
 from linetrack.policy.settings import Settings
+from linetrack.policy.time_units import FOREVER
 
-FOREVER = 1 << 62
 TOKENS_PER_REQUEST = 0.15  # hedged attempts and retries per request, over time
 MAX_TOKENS = 8.0
 INITIAL_TOKENS = 1.0  # the least that lets one retry go: many instances may start together
@@ -130,7 +130,7 @@
     def __init__(
         self, budget: RetryBudget, window: RetryWindow, overload_controller: OverloadController | None
     ) -> None:
-        """Pay from this budget; the window is only told of requests, the guard asks it."""
+        """Pay from this budget; the window only counts requests here, the guard asks it."""
         self._budget = budget
         self._window = window
         self._overload_controller = overload_controller
--- a/linetrack/policy/send_guard.py
+++ b/linetrack/policy/send_guard.py
@@ -142,7 +142,7 @@
         self._actions.append(RejectRequest(request.request_id, advice))
 
     def close(self, request: Request) -> None:
-        """Allow the request nothing more: its client has its final response from an endpoint, or has gone."""
+        """Allow the request nothing more: its client has a response from an endpoint, or has disconnected."""
         request.is_open = False
 
     def key_expires_at(self, now: int, request: Request) -> int:
--- a/linetrack/policy/settings.py
+++ b/linetrack/policy/settings.py
@@ -43,7 +43,7 @@
     """One class of requests."""
 
     idempotency: Idempotency
-    latency_objective: int  # a response within it earns the request's whole weight
+    latency_objective: int  # a response within it earns the request's full weight
     timeout: int  # the usual time from a request's arrival until its client gives up
     latency_objective_stretch: float = 0.0  # read and checked; no decision uses it
     priority_weight: float = 1.0
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that an instance is told when it starts, or when its settings are switched."""
+    """The settings that an instance starts with, or is switched to."""
 
     classes: tuple[RequestClass, ...]
     instance: int = 0
--- a/linetrack/policy/slow_start.py
+++ b/linetrack/policy/slow_start.py
@@ -21,9 +21,9 @@
 from linetrack.policy.models import Models
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Settings
+from linetrack.policy.time_units import FOREVER
 from linetrack.policy.traffic_share import TrafficShare
 
-FOREVER = 1 << 62
 SAFETY_FACTOR = 0.5  # part of the bearable load that is used: work is random and capacities are guessed
 MAX_WINDOWS_PER_TURN = 4  # instances take turns where one send each fits in so many windows, else by tokens
 CHANCE_DEVIATIONS = 2.5  # standard deviations of chance that must fit beside the mean of random sends
@@ -145,7 +145,7 @@
             )
             bearable = settings.overload_multiple * warm_fraction * SAFETY_FACTOR
             budget = bearable * settings.overload_window * capacity
-            # random sends: the mean of which this many deviations above still fit the whole budget
+            # random sends: this many standard deviations above their mean still fit the budget
             root = math.sqrt(CHANCE_DEVIATIONS**2 + 4 * budget / SAFETY_FACTOR) - CHANCE_DEVIATIONS
             share = self._traffic_share.estimate(now, self._endpoints.values(), rates)
             endpoint.send_allowance = budget * share
--- a/linetrack/policy/success_model.py
+++ b/linetrack/policy/success_model.py
@@ -59,7 +59,7 @@
         """Return the probability that an attempt of the class finds room at the endpoint and no error.
 
         Errors that are usual are left out: while any response may fail by chance, the ratio of few responses
-        strays by up to its root, and sound endpoints would be avoided one after the other.
+        strays by up to its root, and healthy endpoints would be avoided one after the other.
         """
         probability = self.zone_acceptance(now, endpoint.zone)
         if self._settings.max_streams_per_connection > 1 and endpoint.connected_until < now:
--- a/linetrack/policy/tenant_quotas.py
+++ b/linetrack/policy/tenant_quotas.py
@@ -1,6 +1,6 @@
 """How much of a request's value its tenant's quota leaves it.
 
-Requests beyond the quota are worth less, so that the burst of one tenant does not displace all others.
+Requests beyond the quota have less value, so that the burst of one tenant does not displace all others.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 import math
 from typing import NamedTuple
 
-from linetrack.policy.decaying_average import SECOND
 from linetrack.policy.events import RequestReceived
 from linetrack.policy.settings import Settings
+from linetrack.policy.time_units import SECOND
 
 RATE_DECAY_TIME = 5 * SECOND  # a tenant's own rate is counted over about this time
 CHANCE_DEVIATIONS = 2.5  # standard deviations of chance that a tenant's requests may exceed its quota by
--- a/linetrack/policy/traffic_share.py
+++ b/linetrack/policy/traffic_share.py
@@ -1,6 +1,6 @@
 """Estimates which share of the fleet's traffic one instance carries.
 
-Instances share nothing, but the load report of an endpoint tells the rate of requests that it serves for all
+Instances share nothing, but the load report of an endpoint holds the rate of requests that it serves for all
 instances together.  The own sends, divided by the sum of these rates over all warm endpoints, are the own
 share.  Warming endpoints are left out of both, as their rates are rarely reported.  Rates are in requests a
 microsecond, times in microseconds.
@@ -12,11 +12,12 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from linetrack.policy.decaying_average import DECAY_TIME, SECOND, DecayingAverage
+from linetrack.policy.decaying_average import DECAY_TIME, DecayingAverage
 from linetrack.policy.endpoint import Endpoint
+from linetrack.policy.time_units import SECOND
 
 SEND_DECAY_TIME = 5 * SECOND  # time constant of the count of own sends
-ESTIMATE_LIFETIME = SECOND  # an estimate stands for so long, as it takes a look at every endpoint
+SHARE_LIFETIME = SECOND  # an estimate stands for so long, as it takes a look at every endpoint
 EVEN_WEIGHT = 0.25  # weight of the even share in each estimate, so that no instance ends up without any
 
 
@@ -47,7 +48,7 @@
         """
         if now >= self._expires_at:
             self._share = self._measure(now, endpoints, rates)
-            self._expires_at = now + ESTIMATE_LIFETIME
+            self._expires_at = now + SHARE_LIFETIME
         return self._share
 
     def _measure(
--- a/tests/policy/test_traffic_share.py
+++ b/tests/policy/test_traffic_share.py
@@ -6,7 +6,7 @@
 
 from linetrack.policy.actions import StartAttempt
 from linetrack.policy.balancer import Balancer
-from linetrack.policy.decaying_average import SECOND, DecayingAverage
+from linetrack.policy.decaying_average import DecayingAverage
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.events import (
     AttemptEnded,
@@ -17,7 +17,8 @@
     RequestReceived,
 )
 from linetrack.policy.settings import LoadField
-from linetrack.policy.traffic_share import ESTIMATE_LIFETIME, EVEN_WEIGHT, SEND_DECAY_TIME, TrafficShare
+from linetrack.policy.time_units import SECOND
+from linetrack.policy.traffic_share import EVEN_WEIGHT, SEND_DECAY_TIME, SHARE_LIFETIME, TrafficShare
 from tests.helpers import IDEMPOTENT, MS, settings
 
 BEGIN = 1000 * SECOND
@@ -63,8 +64,8 @@
     share.record_send(BEGIN)
     assert share.estimate(BEGIN, ENDPOINTS, {}) == 1 / 8
     only = {0: reported(10.0)[0]}
-    assert share.estimate(BEGIN + ESTIMATE_LIFETIME, ENDPOINTS, only) == 1 / 8
-    assert share.estimate(BEGIN + 2 * ESTIMATE_LIFETIME, [], reported(10.0)) == 1 / 8
+    assert share.estimate(BEGIN + SHARE_LIFETIME, ENDPOINTS, only) == 1 / 8
+    assert share.estimate(BEGIN + 2 * SHARE_LIFETIME, [], reported(10.0)) == 1 / 8
 
 
 def test_a_fleet_that_loses_instances_does_not_hand_out_their_shares_at_once() -> None:
@@ -75,7 +76,7 @@
     now = BEGIN + 20 * SECOND
     before = share.estimate(now, ENDPOINTS, reported(10.0))
     # nine in ten have ended, with their traffic: what is served falls to this instance's own
-    assert share.estimate(now + ESTIMATE_LIFETIME, ENDPOINTS, reported(0.5)) < 1.3 * before
+    assert share.estimate(now + SHARE_LIFETIME, ENDPOINTS, reported(0.5)) < 1.3 * before
 
 
 def test_the_estimate_is_renewed_once_in_a_while_alone() -> None:
@@ -84,8 +85,8 @@
     first = share.estimate(BEGIN, ENDPOINTS, reported(10.0))
     for _ in range(100):
         share.record_send(BEGIN)
-    assert share.estimate(BEGIN + ESTIMATE_LIFETIME - 1, ENDPOINTS, reported(10.0)) == first
-    assert share.estimate(BEGIN + ESTIMATE_LIFETIME, ENDPOINTS, reported(10.0)) > first
+    assert share.estimate(BEGIN + SHARE_LIFETIME - 1, ENDPOINTS, reported(10.0)) == first
+    assert share.estimate(BEGIN + SHARE_LIFETIME, ENDPOINTS, reported(10.0)) > first
 
 
 def warming_sends(share_of_traffic: float) -> int:
