--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -22,16 +22,17 @@
 from typing import NamedTuple
 
 from linetrack.control.decaying_rate import DecayingRate
-from linetrack.control.retry_schedule import SECOND_US, RetrySchedule
+from linetrack.control.retry_schedule import RetrySchedule
 from linetrack.policy.events import RequestReceived
+from linetrack.policy.time_units import SECOND
 
-UPDATE_INTERVAL_US = SECOND_US // 10  # between two changes of the limit
+UPDATE_INTERVAL_US = SECOND // 10  # between two changes of the limit
 
 # When the controller engages and disengages.
 ENGAGE_BAD_RATIO = 0.65  # of the responses of the last second
 MIN_RESPONSES_TO_ENGAGE = 8.0  # within about a second, below which a ratio means nothing
 DISENGAGE_HEADROOM = 1.2  # times the offered rate that the limit must exceed ...
-DISENGAGE_AFTER_US = 3 * SECOND_US  # ... for so long
+DISENGAGE_AFTER_US = 3 * SECOND  # ... for so long
 RECOVERING_GOOD_RATE = 1.0  # good responses a second from which on an overload counts as recovering
 RELAPSE_GOOD_RATIO = 0.35  # below which a recovery has failed
 
@@ -48,7 +49,7 @@
 #: Once a second while responses are in time but no longer fast: a queue builds up, and overload is near.
 GENTLE_DECREASE_FACTOR = 0.9
 MIN_FAST_RATIO = 0.8
-DECREASE_INTERVAL_US = SECOND_US
+DECREASE_INTERVAL_US = SECOND
 MAX_LIMIT_TO_GOOD_RATE = 3.0
 MIN_LIMIT_SHARE = 0.25  # of the baseline rate, however bad responses are: a recovery has to be noticed
 MIN_RATE_PER_SECOND = 2.0
@@ -223,8 +224,8 @@
         group.offered_rate.add(now)
 
     def _refill(self, now: int) -> None:
-        capacity = max(MIN_BURST_REQUESTS, 2 * self.rate_limit * UPDATE_INTERVAL_US / SECOND_US)
-        refill = self.rate_limit * (now - self._last_refill_at) / SECOND_US
+        capacity = max(MIN_BURST_REQUESTS, 2 * self.rate_limit * UPDATE_INTERVAL_US / SECOND)
+        refill = self.rate_limit * (now - self._last_refill_at) / SECOND
         self.tokens = min(capacity, self.tokens + refill)
         self._reserved_tokens = min(MIN_BURST_REQUESTS, self._reserved_tokens + MIN_GROUP_SHARE * refill)
         self._last_refill_at = now
@@ -288,7 +289,7 @@
         self._disengage_if_sufficient(now, offered_rate, good_ratio)
 
     def _update_baseline(self, elapsed: int, good_rate: float) -> None:
-        seconds = min(1.0, elapsed / SECOND_US)
+        seconds = min(1.0, elapsed / SECOND)
         self._baseline_seconds = min(BASELINE_WINDOW_SECONDS, self._baseline_seconds + seconds)
         if self._baseline_seconds > 0:
             weight = min(1.0, seconds / self._baseline_seconds)
@@ -381,7 +382,7 @@
         offered_rate = self._offered_rate.per_second(now)
         retry_ratio = self._retry_rate.per_second(now) / max(offered_rate, 1e-9)
         status = OverloadStatus(
-            engaged_seconds=round((now - self._engaged_at) / SECOND_US, 1),
+            engaged_seconds=round((now - self._engaged_at) / SECOND, 1),
             rate_limit=round(self.rate_limit, 1),
             baseline_rate=round(self._baseline_rate, 1),
             offered_rate=round(offered_rate, 1),
--- a/linetrack/control/retry_schedule.py
+++ b/linetrack/control/retry_schedule.py
@@ -10,8 +10,9 @@
 import heapq
 from random import Random
 
-SECOND_US = 1_000_000
-RETURN_GRACE_US = 2 * SECOND_US  # after a scheduled return in which a retry still counts as that return
+from linetrack.policy.time_units import SECOND
+
+RETURN_GRACE_US = 2 * SECOND  # after a scheduled return in which a retry still counts as that return
 MAX_SCHEDULED_RETURNS = 4096  # remembered at once
 
 
@@ -33,7 +34,7 @@
         The times begin at half of `default` from now and follow one another at `returns_per_second`; none is
         later than `maximum` from now.
         """
-        interval = SECOND_US / returns_per_second
+        interval = SECOND / returns_per_second
         self._last_return_at = int(max(self._last_return_at, now + default // 2) + interval)
         delay = self._last_return_at - now
         if delay > maximum:
--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -16,6 +16,7 @@
 
 from linetrack.control.metrics import Metrics
 from linetrack.policy.events import EndpointStatus, Outcome
+from linetrack.policy.time_units import SECOND
 from linetrack.server.active_request import Attempt
 from linetrack.server.budget import Budget
 from linetrack.server.clock import clock
@@ -134,7 +135,7 @@
             return
         self.is_written = True
         self.runner.metrics.attempts_sent += 1
-        response = connection.read_response(self.pool.dial_timeout / 1_000_000, self._reserve_memory)
+        response = connection.read_response(self.pool.dial_timeout / SECOND, self._reserve_memory)
         seen_at = clock()
         if response is None:
             self._finish(Outcome.RESET, seen_at=seen_at)
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -38,6 +38,7 @@
 )
 from linetrack.policy.protocols import Policy
 from linetrack.policy.settings import Settings
+from linetrack.policy.time_units import SECOND
 from linetrack.server.active_request import ActiveRequest, Attempt, FinalResponse
 from linetrack.server.clock import NEVER, clock
 from linetrack.server.http1 import statuses
@@ -137,7 +138,7 @@
         if due_at is not None and due_at < self._alarm_at:
             self._alarm_at = due_at
             self._alarm.close()
-            self._alarm = gevent.get_hub().loop.timer(max(0, due_at - clock()) / 1_000_000)
+            self._alarm = gevent.get_hub().loop.timer(max(0, due_at - clock()) / SECOND)
             self._alarm.start(self._on_alarm)
         self._wakeup.clear()
         self._wakeup.wait()
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -18,6 +18,7 @@
 from linetrack.control.decaying_rate import DecayingRate
 from linetrack.control.idle_time_model import IdleTimeModel
 from linetrack.policy.events import EndpointStatus
+from linetrack.policy.time_units import SECOND
 from linetrack.server.clock import clock
 from linetrack.server.connection import Connection
 from linetrack.server.descriptor_budget import DescriptorBudget
@@ -139,7 +140,7 @@
             connection = Connection(upstream.address, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
             on_socket(connection.sock)
             self._dial_rate.add(clock())
-            connection.connect(self.dial_timeout / 1_000_000)
+            connection.connect(self.dial_timeout / SECOND)
         except BaseException:
             self._descriptors.release()
             raise
