--- a/linetrack/cli/sidecar.py
+++ b/linetrack/cli/sidecar.py
@@ -22,6 +22,7 @@
     from linetrack.server.config import Config, ConfigError, parse_config
 
     def read() -> Config:
+        """The configuration that the file gives now."""
         try:
             return parse_config(platform_form(read_operators_file(path)), {})
         except FileError as error:
--- a/linetrack/emulator/discovery.py
+++ b/linetrack/emulator/discovery.py
@@ -105,6 +105,7 @@
 
     def _handler_of(self, sidecar: int) -> Callable[[socket.socket], None]:
         def handle(sock: socket.socket) -> None:
+            """Respond to the calls of one sidecar's connection."""
             self.connections.add(sock)
             try:
                 reader = RequestReader(sock)
--- a/linetrack/emulator/http_server.py
+++ b/linetrack/emulator/http_server.py
@@ -126,11 +126,13 @@
     """Accept connections until the socket is closed, and handle each in a greenlet of its own."""
 
     def handle_connection(connection: socket.socket) -> None:
+        """Handle one connection, which may end at any time."""
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         with contextlib.suppress(OSError, httptools.HttpParserError), connection:
             handle(connection)
 
     def accept() -> None:
+        """Accept until the socket is closed."""
         while True:
             try:
                 connection, _ = sock.accept()
--- a/linetrack/experiments/measurements.py
+++ b/linetrack/experiments/measurements.py
@@ -269,6 +269,7 @@
     width = min(goal.window_s, len(offered))
 
     def share(begin: int, end: int) -> float:
+        """The share served of what was offered in these seconds."""
         total = offered[begin:end].sum()
         return float(served[begin:end].sum() / total) if total else 1.0
 
