--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -110,7 +110,8 @@
         if attempt is not None:
             attempt.endpoint.in_flight.pop(key, None)
             self._outcomes.record(now, attempt, event)
-            self._selector.refresh(now, attempt.endpoint, event.outcome is Outcome.SUCCESS)
+            is_success = event.outcome is Outcome.SUCCESS
+            self._selector.refresh(now, attempt.endpoint, keep_others=is_success)
         if request is None:
             return
         if event.request_completed:
@@ -151,7 +152,7 @@
         attempt = self._guard.send(now, request, endpoint)
         if attempt is None:
             return False
-        self._selector.refresh(now, endpoint, True)
+        self._selector.refresh(now, endpoint, keep_others=True)
         may_hedge = request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
         if self._settings.may_run_parallel_attempts and may_hedge and attempt.expected_latency:
             delay = self._hedge_delay(now, request, attempt)
@@ -159,7 +160,7 @@
         return True
 
     def _hedge_delay(self, now: int, request: Request, attempt: Attempt) -> float:
-        """Return how long a hedged attempt waits; the first mostly answers while it does."""
+        """Return how long a hedged attempt waits; meanwhile the first mostly gets its response."""
         hedge_latency = attempt.expected_latency
         if request.second_candidate:
             latency = self._latency_model.expected_latency(now, request.second_candidate)
@@ -176,7 +177,7 @@
         self._guard.record_end(request, attempt, outcome)
         if request.in_flight or request.is_waiting:
             return
-        # an attempt that was never executed put no load on anybody, so the next takes its place for nothing
+        # an attempt that was never executed put no load on any endpoint, so the next one costs no budget
         price = 0.0 if outcome in NEVER_EXECUTED else RETRY_PRICE
         if not self._try_next(now, request, price) and not request.in_flight:
             self._give_up(now, request)
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -66,15 +66,15 @@
         if request.net_value >= 0:  # else it is shed
             self._select_second(now, request, home, home_weights, away, away_weights)
 
-    def refresh(self, now: int, endpoint: Endpoint, is_this_alone: bool) -> None:
-        """Renew what is cached of an endpoint that was sent to or heard of; of all, unless told otherwise."""
-        self._weights.refresh(now, endpoint, is_this_alone)
+    def refresh(self, now: int, endpoint: Endpoint, keep_others: bool) -> None:
+        """Renew the cached weight of an endpoint after a send or response; drop the others unless kept."""
+        self._weights.refresh(now, endpoint, keep_others)
 
     def next_endpoint(self, now: int, request: Request) -> Endpoint | None:
         """Return where the next retry or hedged attempt goes: the second candidate, then the rotation."""
         untried = {
-            *self._available(now, request, False, request.attempted),
-            *self._available(now, request, True, request.attempted),
+            *self._available(now, request, is_other_zones=False, excluded=request.attempted),
+            *self._available(now, request, is_other_zones=True, excluded=request.attempted),
         }
         if self._settings.retry_window:
             # the few retries that a limit leaves are not for more of what failed, but for what served lately
@@ -187,7 +187,7 @@
     ) -> list[Endpoint]:
         """Return the endpoints of the own zone, or of the others, that the request's next attempt may go to.
 
-        A zone is never given up as a whole: if all its endpoints are ejected, those with a connection are
+        A zone is never given up completely: if all its endpoints are ejected, those with a connection are
         used, and those without as well unless another zone can be reached.
         """
         scope = self._guard.scope(now, request)
