--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -157,6 +157,7 @@
         """
 
         def raise_in_greenlet() -> None:
+            """Run by the event loop, later."""
             if still_applies(self) and not self.greenlet.dead:
                 self.greenlet.throw(error)
 
@@ -307,11 +308,7 @@
         return response is not None and self._respond(request, response)
 
     def _dispatch(self, request: ClientRequest, event: RequestReceived) -> FinalResponse | None:
-        """Hand the request to the dispatcher and wait for its final response.
-
-        Returns:
-            None if the client disconnects first.
-        """
+        """Dispatch the request; return its final response, or None if the client disconnects first."""
         pending = PendingRequest(
             self.host.dispatcher, self.sock, event.request_id, request.keep_alive, self.received_at
         )
