--- a/linetrack/policy/attempt_outcomes.py
+++ b/linetrack/policy/attempt_outcomes.py
@@ -90,10 +90,10 @@
         endpoint = attempt.endpoint
         is_success = event.outcome is Outcome.SUCCESS
         if is_success:
-            endpoint.answered_sent_at = max(endpoint.answered_sent_at, attempt.sent_at)
+            endpoint.last_success_sent_at = max(endpoint.last_success_sent_at, attempt.sent_at)
         is_silence = event.outcome in SILENCE and event.latency > attempt.expected_latency
         # a silence that later attempts overtook is a lost response, and says nothing of the endpoint's speed
-        if not is_success and not (is_silence and attempt.sent_at >= endpoint.answered_sent_at):
+        if not is_success and not (is_silence and attempt.sent_at >= endpoint.last_success_sent_at):
             return
         is_late = event.latency > self._objective(attempt)
         self._models.classes.record_response(now, attempt.class_index, is_success and not is_late, is_late)
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -78,7 +78,7 @@
         }
         if self._settings.retry_window:
             # the few retries that a limit leaves are not for more of what failed, but for what served lately
-            served = {endpoint for endpoint in untried if endpoint.answered_sent_at > now - DECAY_TIME}
+            served = {endpoint for endpoint in untried if endpoint.last_success_sent_at > now - DECAY_TIME}
             untried = served or untried
         if request.second_candidate in untried:
             return request.second_candidate
--- a/linetrack/policy/endpoint.py
+++ b/linetrack/policy/endpoint.py
@@ -46,7 +46,7 @@
     error_ratio: float
     fault_ratio: float
     last_response_at: int
-    answered_sent_at: int
+    last_success_sent_at: int
     send_tokens: float
     send_tokens_at: int
     warmup_sends: list[int]
@@ -88,12 +88,12 @@
     """What is known of one endpoint: its entry in the list, load reports, and own attempts."""
 
     __slots__ = (
-        "answered_sent_at", "capacity", "cell", "class_errors", "connected_until", "ejections", "error_ratio",
+        "capacity", "cell", "class_errors", "connected_until", "ejections", "error_ratio",
         "estimate_expires_at", "fault_ratio", "host_class", "idle_factor", "in_flight", "is_routable",
-        "is_unlisted", "last_response_at", "last_used_at", "latency_factor", "load_reported_at",
-        "loaded_factor", "max_send_tokens", "name", "name_hash", "reported_load", "selection_weight",
-        "send_allowance", "send_allowance_expires_at", "send_tokens", "send_tokens_at", "started_at",
-        "warm_at", "warm_fraction", "warmup_sends", "warmup_started_at", "zone",
+        "is_unlisted", "last_response_at", "last_success_sent_at", "last_used_at", "latency_factor",
+        "load_reported_at", "loaded_factor", "max_send_tokens", "name", "name_hash", "reported_load",
+        "selection_weight", "send_allowance", "send_allowance_expires_at", "send_tokens", "send_tokens_at",
+        "started_at", "warm_at", "warm_fraction", "warmup_sends", "warmup_started_at", "zone",
     )  # fmt: skip
 
     def __init__(self, entry: EndpointEntry) -> None:
@@ -132,7 +132,7 @@
         self.last_response_at = 0
         self.last_used_at = 0  # when an attempt on it last ended
         self.connected_until = 0  # until when there is a connection to it that may be reused
-        self.answered_sent_at = 0  # when the latest of those attempts was sent that were answered
+        self.last_success_sent_at = 0  # when the latest of those attempts was sent that were answered
         # slow_start
         self.warmup_started_at = entry.started_at  # the stated start, or when it was listed if that lay ahead
         self.warm_at = 0  # until then it has a part of its capacity only
@@ -167,7 +167,7 @@
             error_ratio=self.error_ratio,
             fault_ratio=self.fault_ratio,
             last_response_at=self.last_response_at,
-            answered_sent_at=self.answered_sent_at,
+            last_success_sent_at=self.last_success_sent_at,
             send_tokens=self.send_tokens,
             send_tokens_at=self.send_tokens_at,
             warmup_sends=list(self.warmup_sends),
@@ -183,7 +183,7 @@
         self.error_ratio = state.error_ratio
         self.fault_ratio = state.fault_ratio
         self.last_response_at = state.last_response_at
-        self.answered_sent_at = state.answered_sent_at
+        self.last_success_sent_at = state.last_success_sent_at
         self.send_tokens = state.send_tokens
         self.send_tokens_at = state.send_tokens_at
         self.warmup_sends = state.warmup_sends
--- a/linetrack/policy/latency_model.py
+++ b/linetrack/policy/latency_model.py
@@ -111,7 +111,7 @@
         """
         own = len(endpoint.in_flight)
         for attempt in endpoint.in_flight.values():
-            is_overtaken = attempt.sent_at < endpoint.answered_sent_at
+            is_overtaken = attempt.sent_at < endpoint.last_success_sent_at
             if not is_overtaken or now - attempt.sent_at < HEDGE_DELAY_RATIO * attempt.expected_latency:
                 break
             own -= 1
@@ -142,7 +142,7 @@
         if in_flight:
             # a hung endpoint must not keep its low penalty: its oldest silence is a lower bound
             for oldest in in_flight.values():
-                is_overtaken = oldest.sent_at < endpoint.answered_sent_at
+                is_overtaken = oldest.sent_at < endpoint.last_success_sent_at
                 if not is_overtaken and not self._classes.is_failing(now, oldest.class_index):
                     silence = now - oldest.sent_at - 2 * oldest.expected_latency
                     return max(expected, silence + expected)
--- a/linetrack/policy/outlier_detection.py
+++ b/linetrack/policy/outlier_detection.py
@@ -65,7 +65,7 @@
         if not until or until > now:
             return not until
         is_idempotent = request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
-        may_try = is_idempotent or endpoint.answered_sent_at > until
+        may_try = is_idempotent or endpoint.last_success_sent_at > until
         return may_try and all(
             attempt.class_index != request.class_index for attempt in endpoint.in_flight.values()
         )
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -46,8 +46,8 @@
     new = Balancer(old.balancer.settings, 2)
     new.handle(old.now, EndpointListUpdate(ListForm.CACHED, endpoints()))
     assert policy_snapshot.restore(new, json.loads(snapshot), old.now, True, True)
-    assert {name: each.answered_sent_at for name, each in new.endpoints.items()} == {
-        name: each.answered_sent_at for name, each in old.balancer.endpoints.items()
+    assert {name: each.last_success_sent_at for name, each in new.endpoints.items()} == {
+        name: each.last_success_sent_at for name, each in old.balancer.endpoints.items()
     }
 
 
