--- a/linetrack/policy/__init__.py
+++ b/linetrack/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policy: every decision about a request, without I/O and without a clock."""
+"""The policy: makes every decision about requests; does no I/O and reads no clock."""
--- a/linetrack/policy/actions.py
+++ b/linetrack/policy/actions.py
@@ -1,7 +1,7 @@
-"""What the policy asks its host to do, in the order in which it is to be done.
+"""Actions: what the policy asks its host to do.  The host executes them in the order of the list.
 
-All times are integer microseconds.  The actions that come with each request are not frozen, as constructing
-a frozen one takes three times as long; nothing changes them either.
+All times are integer microseconds.  The action classes that are used for every request are not frozen, as
+constructing a frozen dataclass takes three times as long; their instances are never modified either.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
     request_id: int
     endpoint: str
-    timeout: int = 0  # 0: until the client gives up
-    write_deadline: int = 0  # the moment after which none of it may be written, it ends as NOT_SENT; 0: none
+    timeout: int = 0  # 0: none beyond the client's own timeout
+    write_deadline: int = 0  # time after which it must not be written and ends as NOT_SENT; 0: none
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final response: rejected, and a retry by the client is harmless."""
+    """Give the final response: rejected; the client may safely retry."""
 
     request_id: int
-    retry_after: int = 0  # 0: no advice
+    retry_after: int = 0  # 0: send no retry-after advice
 
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final response: failed, and the request may have been executed."""
+    """Give the final response: failed; the request may have been executed."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Give an attempt up; its end is notified like any other."""
+    """Cancel an attempt.  The host still notifies the policy of its end with `AttemptEnded`."""
 
     request_id: int
     attempt: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Notify `TimerFired` with this token after the delay."""
+    """Send the policy a `TimerFired` with this token after the delay."""
 
     delay: int
     token: str
@@ -54,26 +54,26 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Subscribe to endpoint lists, or end the subscription."""
+    """Subscribe to endpoint list updates, or end the subscription."""
 
     enabled: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Get the endpoint list once."""
+    """Request the endpoint list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class SendHealthCheck:
-    """Check the health of an endpoint."""
+    """Send a health check to an endpoint."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
-    """Close the idle connections to an endpoint, as it has probably closed them."""
+    """Close the idle connections to an endpoint, which has probably dropped them already."""
 
     endpoint: str
 
--- a/linetrack/policy/admission.py
+++ b/linetrack/policy/admission.py
@@ -1,8 +1,8 @@
-"""Whether a request is admitted: its value, its cost to others, and load shedding.
+"""Admission control: values requests, estimates what they cost others, and sheds load.
 
-Values and costs are in units of a mean request's value.  The value of an attempt is the chance that it is
-answered in time, times the request's priority weight.  Its cost is what its work delays the other requests:
-where requests take longer than without congestion, one more delays them all.  All times are integer
+Values and costs are in units of a mean request's value.  The value of an attempt is the probability that it
+is answered in time, times the request's priority weight.  Its cost is the delay that its work causes for
+other requests: under congestion, each additional request delays all others.  All times are integer
 microseconds.
 """
 
@@ -14,7 +14,12 @@
 from typing import NamedTuple
 
 from linetrack.policy.class_statistics import FAILING_RATIO
-from linetrack.policy.decaying_average import DECAY_TIME, SLOW_EWMA_WEIGHT, DecayingAverage, decayed
+from linetrack.policy.decaying_average import (
+    OBSERVATION_DECAY_TIME,
+    SLOW_EWMA_WEIGHT,
+    DecayingAverage,
+    decayed,
+)
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.endpoint_weights import WeightedEndpoints
 from linetrack.policy.events import RequestReceived
@@ -25,23 +30,46 @@
 from linetrack.policy.tenant_quotas import TenantQuotas
 from linetrack.policy.time_units import SECOND
 
-ON_TIME_STEEPNESS = 2.5  # chance to meet the objective: 1 / (1 + (expected latency / objective) ** this)
-LATE_COST_RATIO = 16.0  # work costs 1 + this x the ratio of late requests beyond the usual one
-USUAL_LATE_RATIO = 0.1  # of requests that chance alone may make late, for very uneven work
-REJECTION_COST = 0.3  # value of a mean request's room in a zone whose queues are all full
-MAX_LISTED_LOAD_RATIO = 2.0  # listed load makes an attempt look at most so many times as slow as responses do
-SHED_HOLD_TIME = 6_000  # by endpoint: for so long clients' retries are shed after a request of their class
-FAILING_CLASS_SAMPLE = 0.04  # share of a failing class's requests that is admitted at least
-MIN_SUCCESS_PROBABILITY = 0.05  # of a retry
-RETRY_TIMEOUT_RATIO = 0.95  # a client's retry with less than this of the longest timeout used time up before
+# P(latency objective met) = 1 / (1 + odds).  The odds that a response is late are
+# (expected latency / objective) ** ON_TIME_STEEPNESS.
+#
+# The cost to others follows from it: where requests take n times as long as without congestion, one more
+# delays the others by its latency x (n - 1) in total.  The slope of their probability to be in time,
+# ON_TIME_STEEPNESS x odds / (1 + odds)^2, converts that delay to value.  Odds over 1, where the slope is
+# greatest, count as 1.
+ON_TIME_STEEPNESS = 2.5
+
+# The cost of work is multiplied by 1 + LATE_WORK_COST_FACTOR x (late ratio - TOLERATED_LATE_RATIO).  Where
+# the work of requests varies widely, up to the tolerated ratio of them may be late by chance alone.
+LATE_WORK_COST_FACTOR = 16.0
+TOLERATED_LATE_RATIO = 0.1
+
+# Cost of the queue slot of a mean request in a zone whose queues are all full.
+FULL_QUEUE_SLOT_COST = 0.3
+
+# Limit on the latency derived from listed load, as a multiple of the latency expected from responses.
+MAX_LISTED_LOAD_SLOWDOWN = 2.0
+
+# After a request was shed, client retries of its class are rejected for this time x the number of endpoints.
+SHED_HOLD_TIME_PER_ENDPOINT_US = 6_000
+
+# Minimum share of a failing class's requests that is admitted, to notice when the class recovers.
+MIN_FAILING_CLASS_SAMPLE = 0.04
+
+# Minimum share of a request's value that a retry must be expected to gain.
+MIN_RETRY_GAIN = 0.05
+
+# A client retry whose timeout is below this share of its class's longest timeout is assumed to have lost the
+# difference to earlier attempts.
+CLIENT_RETRY_TIMEOUT_RATIO = 0.95
 
 
 class AdmissionState(NamedTuple):
-    """What was learnt, in a form that another process can take over."""
+    """The learnt state, in a form that another process can import."""
 
     last_response_at: int
     late_ratio: DecayingAverage
-    # by class, or in units that depend on the classes; None where these mean something else here
+    # by request class, or in units that depend on the classes; None where the importer's classes differ
     mean_value: float | None
     shed_at: list[int] | None
     longest_timeouts: list[int] | None
@@ -58,7 +86,15 @@
         models: Models,
         overload_controller: OverloadController | None,
     ) -> None:
-        """Start with nothing late and nothing shed; `endpoints` are the listed ones, by name."""
+        """Initialize without any late or shed requests.
+
+        Args:
+            settings: the settings of this instance.
+            random: the source of jitter and samples.
+            endpoints: the listed endpoints, by name.
+            models: the learnt models, which other components update.
+            overload_controller: consulted about each new request; None in deployments without one.
+        """
         self._settings = settings
         self._random = random
         self._endpoints = endpoints
@@ -68,39 +104,39 @@
         self._classes = models.classes
         self._overload_controller = overload_controller
         self._quotas = TenantQuotas(settings)
-        self._mean_value = 0.0  # of a request, in priority weights; 0 before the first
-        self._late_ratio = DecayingAverage()  # of the requests that were sent
-        self._shed_at = [-SECOND] * len(settings.classes)  # when a request of each class was last shed
-        self._longest_timeouts = [0] * len(settings.classes)  # of requests that are no client's retry
+        self._mean_value = 0.0  # mean priority weight, times cost where requests weigh by work; 0 if unknown
+        self._late_ratio = DecayingAverage()  # share of the sent requests that missed their objective
+        self._shed_at = [-SECOND] * len(settings.classes)  # time of the last shed request, by class
+        self._longest_timeouts = [0] * len(settings.classes)  # by class, client retries excluded
         self._last_response_at = 0
 
     def record_request(self, now: int, request: Request) -> None:
-        """Take in a new request, before it is valued."""
+        """Record a new request; must be called before it is valued."""
         received = request.received
         class_index = request.class_index
         request.quota_factor = self._quotas.record_request(now, received)
         if not received.is_retry:
             self._longest_timeouts[class_index] = max(self._longest_timeouts[class_index], received.timeout)
-        elif received.timeout < RETRY_TIMEOUT_RATIO * self._longest_timeouts[class_index]:
-            # the time that first requests have beyond a client's retry was used up before it
+        elif received.timeout < CLIENT_RETRY_TIMEOUT_RATIO * self._longest_timeouts[class_index]:
+            # earlier attempts of the client have used up the difference between its timeout and the usual one
             request.started_at = now + min(0, received.timeout - request.request_class.timeout)
 
     def record_class(self, now: int, class_index: int) -> None:
-        """Count a request of the class, and its value in the mean."""
+        """Count a request of the class and update the mean value."""
         self._classes.record_request(class_index)
         cost = self._latency_model.class_cost(now, class_index) if self._settings.weighs_by_work else 1.0
         value = self._settings.classes[class_index].priority_weight * cost
         self._mean_value += SLOW_EWMA_WEIGHT * (value - self._mean_value) if self._mean_value else value
 
     def admits(self, now: int, received: RequestReceived) -> bool:
-        """Return whether a new request is to be considered at all."""
+        """Return whether a new request is considered for sending; it is rejected otherwise."""
         class_index = received.class_index
         value_by_work = 0.0
         if self._overload_controller:
             cost = self._latency_model.class_cost(now, class_index)
             value_by_work = self._class_value(now, class_index) / cost
-        # retries of what was just shed are not valued one by one against every endpoint
-        hold_time = SHED_HOLD_TIME * len(self._endpoints)
+        # after shedding, reject client retries of the class without valuing each against every endpoint
+        hold_time = SHED_HOLD_TIME_PER_ENDPOINT_US * len(self._endpoints)
         is_held = received.is_retry and now - self._shed_at[class_index] < hold_time
         is_admitted = not is_held and (
             not self._overload_controller or self._overload_controller.admit(now, received, value_by_work)
@@ -108,36 +144,39 @@
         return not self._is_sampled_out(now, class_index) and is_admitted
 
     def assess(self, now: int, request: Request) -> None:
-        """Work out what of the request's value and cost is the same for every endpoint."""
+        """Compute the terms of the request's value and cost that do not depend on the endpoint."""
         classes = self._settings.classes
         costs = [self._latency_model.class_cost(now, index) for index in range(len(classes))]
         request.class_cost = costs[request.class_index]
         request.value = self._class_value(now, request.class_index) * request.quota_factor
         request.jitter = 0.5 + self._random.random()
-        # a jam can look like slow endpoints, so lateness itself makes work dearer
-        late = decayed(now, self._late_ratio.value, self._late_ratio.updated_at, 0.0, DECAY_TIME)
-        request.overload_factor = 1 + LATE_COST_RATIO * max(0.0, late - USUAL_LATE_RATIO)
+        # the latency model may mistake congestion for slow endpoints, so lateness itself raises the cost
+        late_ratio = decayed(
+            now, self._late_ratio.value, self._late_ratio.updated_at, 0.0, OBSERVATION_DECAY_TIME
+        )
+        request.overload_factor = 1 + LATE_WORK_COST_FACTOR * max(0.0, late_ratio - TOLERATED_LATE_RATIO)
         objectives = [each.latency_objective / cost for each, cost in zip(classes, costs, strict=True)]
         request.mean_objective = sum(objectives) / len(classes)
-        # without responses for a while nothing is known to be full, or requests would be shed for ever
-        request.staleness_discount = decayed(now, 1.0, self._last_response_at, 0.0, DECAY_TIME)
+        # estimates of congestion fade without responses, as shedding every request would keep them unchanged
+        request.staleness_discount = decayed(now, 1.0, self._last_response_at, 0.0, OBSERVATION_DECAY_TIME)
 
     def net_values(self, now: int, request: Request, weighted: WeightedEndpoints) -> list[float]:
-        """Return for each endpoint the value likely gained there less what the work costs others.
+        """Return for each endpoint the expected value of the request there minus its cost to others.
 
-        Where requests take n times as long as without congestion, one more delays them by its latency
-        x (n - 1) in all; the slope of the chance to be in time turns that into value.  One loop, as it runs
-        over every endpoint of the own zone for every request.
+        `ON_TIME_STEEPNESS` says how the cost is derived; its jitter keeps instances from shedding all at once
+        and then nothing.  This is one loop, as it runs for every endpoint of the own zone and every request.
         """
         baseline = self._latency_model.baseline_latency()
         capacity_varies_with_load = self._settings.capacity_varies_with_load
         discount = request.staleness_discount
-        left = request.useful_until - now
-        in_time = (request.class_cost * discount / left) ** ON_TIME_STEEPNESS if left > 0 else math.inf
-        in_time_others = (discount / request.mean_objective) ** ON_TIME_STEEPNESS
+        remaining = request.useful_until - now
+        odds_factor = (
+            (request.class_cost * discount / remaining) ** ON_TIME_STEEPNESS if remaining > 0 else math.inf
+        )
+        others_factor = (discount / request.mean_objective) ** ON_TIME_STEEPNESS
         value = request.value
         work_cost = request.jitter * request.overload_factor * request.class_cost * ON_TIME_STEEPNESS
-        room_cost = 0.0
+        queue_slot_cost = 0.0
         zone = -1
         net_values = []
         for endpoint, latency, probability in zip(
@@ -145,68 +184,67 @@
         ):
             if endpoint.zone != zone:
                 zone = endpoint.zone
-                room_cost = self._room_cost(now, request, zone)
+                queue_slot_cost = self._queue_slot_cost(now, request, zone)
             warm_fraction = endpoint.warm_fraction
             uncongested = baseline * endpoint.idle_factor
             if capacity_varies_with_load:
                 latency = self._latency_by_listed_load(now, endpoint, uncongested, latency)
             if warm_fraction < 1:
-                # its congestion is that of the warm endpoints, or it would idle while they are jammed
+                # exclude the congestion of the zone's warm endpoints, or this one would idle meanwhile
                 latency *= math.exp(-self._latency_model.congestion_log(now, endpoint.zone))
-            power = latency**ON_TIME_STEEPNESS
-            net_value = probability / (1 + in_time * power) * value - room_cost
+            latency_power = latency**ON_TIME_STEEPNESS
+            net_value = probability / (1 + odds_factor * latency_power) * value - queue_slot_cost
             congestion = latency * warm_fraction / uncongested
             if congestion > 1:
-                late = in_time_others * power if in_time_others * power < 1 else 1.0
-                # the jitter in the cost grades this: all instances must not shed all and then nothing
-                net_value -= work_cost * late / (1 + late) ** 2 * (congestion - 1)
+                others_odds = others_factor * latency_power if others_factor * latency_power < 1 else 1.0
+                net_value -= work_cost * others_odds / (1 + others_odds) ** 2 * (congestion - 1)
             net_values.append(net_value)
         return net_values
 
     def is_retry_worthwhile(
         self, now: int, request: Request, endpoint: Endpoint, key_expires_at: int
     ) -> bool:
-        """Return whether a retry or hedged attempt is likely to gain more than it costs.
+        """Return whether the expected value of a retry or hedged attempt exceeds its cost.
 
-        `key_expires_at` is when the endpoint may have forgotten the request's key; 0 if never.
+        `key_expires_at` is when endpoints begin to forget the request's idempotency key; 0: never.
         """
         latency = request.class_cost * self._latency_model.expected_latency(now, endpoint)
         if key_expires_at and now + latency >= key_expires_at:
-            # it would be taken up when the key is forgotten
+            # the endpoint could execute it after it has forgotten the key, and so a second time
             return False
         cost = self._settings.cross_zone_cost if endpoint.zone != self._settings.zone else 0.0
-        left = request.useful_until - now
+        remaining = request.useful_until - now
         gain: float = self._success_model.success_probability(now, endpoint, request.class_index)
-        ratio = request.staleness_discount * latency / left if left > 0 else math.inf
+        ratio = request.staleness_discount * latency / remaining if remaining > 0 else math.inf
         gain *= 1 / (1 + ratio**ON_TIME_STEEPNESS)
         if latency < request.deadline - now:
             gain = max(gain, request.request_class.late_weight)
-        # where all queues are full, each retry takes the room of another request
-        cost += self._room_cost(now, request, endpoint.zone)
-        return gain * request.value > cost and gain > MIN_SUCCESS_PROBABILITY
+        # where all queues are full, each retry displaces another request
+        cost += self._queue_slot_cost(now, request, endpoint.zone)
+        return gain * request.value > cost and gain > MIN_RETRY_GAIN
 
     def record_shed(self, now: int, request: Request) -> None:
-        """Note that a request was shed."""
+        """Record that a request was shed."""
         self._shed_at[request.class_index] = now
 
     def record_response(self, now: int) -> None:
-        """Note that some endpoint responded."""
+        """Record that an endpoint responded."""
         self._last_response_at = now
 
     def record_completion(self, now: int, request: Request, is_served: bool) -> None:
-        """Count the end of a request, whichever way."""
-        took = (request.response_started_at or now) - request.started_at
-        is_late = took > request.request_class.latency_objective
+        """Record the end of a request, served or not."""
+        latency = (request.response_started_at or now) - request.started_at
+        is_late = latency > request.request_class.latency_objective
         if request.attempt_count and not self._classes.is_failing(now, request.class_index):
             self._late_ratio.add(now, float(is_late))
         self._classes.record_completion(request.class_index, is_served and not is_late)
 
     def take_over(self, predecessor: Admission) -> None:
-        """Go on after an instance under other settings; what it learnt by class is dropped."""
+        """Continue from an instance under other settings, without what it learnt by class."""
         self._last_response_at = predecessor._last_response_at
 
     def export_state(self) -> AdmissionState:
-        """Return what was learnt."""
+        """Return the learnt state."""
         return AdmissionState(
             last_response_at=self._last_response_at,
             late_ratio=self._late_ratio,
@@ -216,7 +254,7 @@
         )
 
     def import_state(self, state: AdmissionState) -> None:
-        """Take over what was learnt elsewhere."""
+        """Replace the learnt state with that of another process."""
         self._last_response_at = state.last_response_at
         self._late_ratio = state.late_ratio
         if state.mean_value is not None:
@@ -227,14 +265,14 @@
             self._longest_timeouts = state.longest_timeouts
 
     def _is_sampled_out(self, now: int, class_index: int) -> bool:
-        """Return whether a request is left out as its class is late wherever it goes; a few are not."""
+        """Return whether to reject a request as its class is late at every endpoint; a sample is admitted."""
         ratio = self._classes.relative_on_time_ratio(now, class_index)
         if ratio >= FAILING_RATIO:
             return False
-        return self._random.random() > max(FAILING_CLASS_SAMPLE, (ratio / FAILING_RATIO) ** 2)
+        return self._random.random() > max(MIN_FAILING_CLASS_SAMPLE, (ratio / FAILING_RATIO) ** 2)
 
     def _class_value(self, now: int, class_index: int) -> float:
-        """Return the mean value of a class's requests, with what the goal adds for the worst served."""
+        """Return the mean value of a class's requests, including the goal's weight of the worst class."""
         settings = self._settings
         cost = self._latency_model.class_cost(now, class_index) if settings.weighs_by_work else 1.0
         weight = max(1e-9, settings.classes[class_index].priority_weight) * cost
@@ -243,17 +281,17 @@
             return value
         odds = settings.goal_weight_of_worst_class / (1 - settings.goal_weight_of_worst_class)
         share = max(0.01, self._classes.request_shares[class_index])
-        return value + self._classes.worst_served_part(class_index, odds / share)
+        return value + self._classes.worst_served_weight(class_index, odds / share)
 
-    def _room_cost(self, now: int, request: Request, zone: int) -> float:
-        """Return what an attempt's room in the zone costs others: full queues reject all classes."""
+    def _queue_slot_cost(self, now: int, request: Request, zone: int) -> float:
+        """Return the cost of an attempt's queue slot in the zone: full queues reject all classes."""
         rejection = 1.0 - self._success_model.zone_acceptance(now, zone)
-        return REJECTION_COST * request.jitter * request.class_cost * rejection
+        return FULL_QUEUE_SLOT_COST * request.jitter * request.class_cost * rejection
 
     def _latency_by_listed_load(
         self, now: int, endpoint: Endpoint, uncongested: float, latency: float
     ) -> float:
-        """Return the latency with the listed load counted in full: responses show an overload too late."""
-        load = 1 + self._load_reports.load_beyond_own(now, endpoint)
+        """Return the latency raised for the listed load, as responses show an overload too late."""
+        load = 1 + self._load_reports.load_from_other_instances(now, endpoint)
         by_load = uncongested * self._load_reports.work_fraction * load / endpoint.warm_fraction
-        return max(latency, min(by_load, MAX_LISTED_LOAD_RATIO * latency))
+        return max(latency, min(by_load, MAX_LISTED_LOAD_SLOWDOWN * latency))
--- a/linetrack/policy/attempt_outcomes.py
+++ b/linetrack/policy/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches: hands it to each part that learns from it, in a fixed order."""
+"""Passes the outcome of each attempt to every component that learns from it, in a fixed order."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from linetrack.policy.protocols import OverloadController
 from linetrack.policy.settings import Settings
 
-BROKEN_CONNECTION = (Outcome.CONNECT_FAILED, Outcome.RESET)
-SILENCE = (Outcome.TIMEOUT, Outcome.CANCELLED)
+BROKEN_CONNECTION_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.RESET)
+NO_RESPONSE_OUTCOMES = (Outcome.TIMEOUT, Outcome.CANCELLED)
 
 
 class OutcomeRecorder:
-    """Learns from outcomes, until another instance takes over."""
+    """Records outcomes until the instance is retired."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         overload_controller: OverloadController | None,
         actions: list[Action],
     ) -> None:
-        """Hand outcomes to these parts; append to `actions` what is to be done."""
+        """Initialize with the components to update; resulting actions are appended to `actions`."""
         self._settings = settings
         self._models = models
         self._outlier_detector = outlier_detector
@@ -40,11 +40,11 @@
         self._is_retired = False
 
     def retire(self) -> None:
-        """Learn nothing any more, as an instance under other settings does from here on."""
+        """Stop learning: from now on, the successor under other settings learns instead."""
         self._is_retired = True
 
     def record(self, now: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """Take in how an attempt ended."""
+        """Update the models with the outcome of an attempt."""
         endpoint = attempt.endpoint
         endpoint.estimate_expires_at = 0
         if self._is_retired:
@@ -57,12 +57,12 @@
         if is_idle_reset:
             return
         self._models.success.record_acceptance(now, endpoint.zone, event.outcome is Outcome.OVERLOADED)
-        self._record_time(now, attempt, event)
+        self._record_latency(now, attempt, event)
         if event.outcome is Outcome.CANCELLED:
             return
         self._record_load(now, attempt, event)
         if event.outcome is Outcome.TIMEOUT and endpoint.last_response_at > attempt.sent_at:
-            return  # it is slow and not silent, which its latency counts: overload must not look like failure
+            return  # the endpoint is slow, which its latency shows: overload must not count as failure
         if event.outcome is not Outcome.TIMEOUT:
             endpoint.last_response_at = now
             self._admission.record_response(now)
@@ -70,10 +70,10 @@
         self._detect_outlier(now, endpoint, attempt.class_index, event.outcome)
 
     def _record_connection(self, now: int, attempt: Attempt, event: AttemptEnded) -> bool:
-        """Learn about connections; return whether an idle one was reset, which is no error."""
+        """Update connection state; return whether an idle connection was reset, which is not an error."""
         endpoint = attempt.endpoint
         endpoint.last_used_at = now
-        is_broken = event.outcome in BROKEN_CONNECTION
+        is_broken = event.outcome in BROKEN_CONNECTION_OUTCOMES
         endpoint.connected_until = 0 if is_broken else now + self._settings.keep_alive_timeout
         if attempt.opens_connection:
             self._models.success.record_connect(now, event.outcome is Outcome.CONNECT_FAILED)
@@ -85,22 +85,22 @@
         self._actions.append(CloseIdleConnections(endpoint.name))
         return True
 
-    def _record_time(self, now: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from the time that a response took, or for which there was none."""
+    def _record_latency(self, now: int, attempt: Attempt, event: AttemptEnded) -> None:
+        """Record the latency of a response, or the time waited without one."""
         endpoint = attempt.endpoint
         is_success = event.outcome is Outcome.SUCCESS
         if is_success:
             endpoint.last_success_sent_at = max(endpoint.last_success_sent_at, attempt.sent_at)
-        is_silence = event.outcome in SILENCE and event.latency > attempt.expected_latency
-        # a silence that later attempts overtook is a lost response, and says nothing of the endpoint's speed
-        if not is_success and not (is_silence and attempt.sent_at >= endpoint.last_success_sent_at):
+        is_unanswered = event.outcome in NO_RESPONSE_OUTCOMES and event.latency > attempt.expected_latency
+        # if a later attempt was answered, this response was lost and tells nothing about the endpoint's speed
+        if not is_success and not (is_unanswered and attempt.sent_at >= endpoint.last_success_sent_at):
             return
         is_late = event.latency > self._objective(attempt)
         self._models.classes.record_response(now, attempt.class_index, is_success and not is_late, is_late)
         self._models.latency.record_latency(now, attempt, event.latency)
 
     def _record_load(self, now: int, attempt: Attempt, event: AttemptEnded) -> None:
-        """Tell the overload controller whether the response was in time, and in half of that time."""
+        """Report to the overload controller whether the response met the objective, or half of it."""
         if self._overload_controller:
             objective = self._objective(attempt)
             is_success = event.outcome is Outcome.SUCCESS
@@ -111,8 +111,8 @@
 
     def _detect_outlier(self, now: int, endpoint: Endpoint, class_index: int, outcome: Outcome) -> None:
         is_ejected = self._outlier_detector.record_outcome(now, endpoint, class_index, outcome)
-        if is_ejected and self._outlier_detector.is_lost(endpoint, class_index):
-            self._endpoint_list.remove_lost(endpoint)
+        if is_ejected and self._outlier_detector.is_unlisted_and_failing(endpoint, class_index):
+            self._endpoint_list.forget_unlisted(endpoint)
 
     def _objective(self, attempt: Attempt) -> int:
         return self._settings.classes[attempt.class_index].latency_objective
--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -1,9 +1,9 @@
-"""A request's life: its attempts, hedging, retries and final response.
+"""The lifecycle of a request: its attempts, hedging, retries and final response.
 
 The first attempt goes to the first candidate.  A hedged attempt follows after a timer, as in "The Tail at
-Scale" by Dean and Barroso, and only where the request class and the settings allow two at once.  Retries
-follow failures while they are worthwhile and the retry budget pays for them.  All times are integer
-microseconds.
+Scale" by Dean and Barroso, and only where the request class and the settings allow parallel attempts.  A
+failed attempt is retried if a retry is worthwhile and the retry budget has enough tokens.  All times are
+integer microseconds.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 from linetrack.policy.send_guard import SendGuard
 from linetrack.policy.settings import Idempotency, Settings
 
-WAIT_TOKEN = "hold"  # of the timer after which a waiting request looks for an endpoint again
-HEDGE_TOKEN = "copy"  # of the timer after which a hedged attempt is due
-WAIT_STEP = 20_000  # how often a waiting request looks for an endpoint
-MAX_WAIT_RATIO = 0.25  # of its latency objective for which a request waits at most
-HEDGE_TIME_RATIO = 5.0  # a hedged attempt may wait until so many of its own expected latencies are left
+WAIT_TOKEN = "hold"  # token of the timer after which a waiting request checks for an endpoint again
+HEDGE_TOKEN = "copy"  # token of the timer after which a hedged attempt is due
+WAIT_INTERVAL_US = 20_000  # interval at which a waiting request checks for an endpoint
+MAX_WAIT_RATIO = 0.25  # maximum wait for an endpoint, as a share of the latency objective
+# A hedged attempt waits until the time left to the objective is this multiple of its own expected latency.
+HEDGE_RESERVE_RATIO = 5.0
 
 
 class RequestLifecycle:
-    """The open requests of one instance, and what happens to each."""
+    """Leads the open requests of one instance to their final responses."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         retry_limits: RetryLimits,
         actions: list[Action],
     ) -> None:
-        """Start without requests; append to `actions` what is to be done."""
+        """Initialize without requests; resulting actions are appended to `actions`."""
         self._settings = settings
         self._admission = admission
         self._selector = selector
@@ -50,11 +51,12 @@
         self._outcomes = outcomes
         self._retry_limits = retry_limits
         self._actions = actions
-        self.requests: dict[int, Request] = {}  # without their final response, by request id
-        self.abandoned: dict[tuple[int, int], Attempt] = {}  # in flight although their request is over
+        self.requests: dict[int, Request] = {}  # requests without a final response, by request id
+        # attempts in flight whose request is closed, by request id and attempt number
+        self.abandoned: dict[tuple[int, int], Attempt] = {}
 
     def receive(self, now: int, received: RequestReceived) -> None:
-        """Take a new request in: start its first attempt, let it wait, or reject it."""
+        """Handle a new request: start its first attempt, let it wait for an endpoint, or reject it."""
         request = Request(received, self._settings.classes[received.class_index], now)
         self.requests[request.request_id] = request
         self._admission.record_request(now, request)
@@ -66,7 +68,7 @@
             self._give_up(now, request)
 
     def timer_fired(self, now: int, kind: str, request_id: int) -> None:
-        """Act on a timer of a request."""
+        """Handle a timer of a request."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -77,7 +79,7 @@
             self._hedge(now, request)
 
     def body_sent(self, now: int, request_id: int, attempt_number: int) -> None:
-        """Let an attempt's time run from here on: the last byte of its long body is written."""
+        """Restart the clock of an attempt whose long body has been sent completely."""
         request = self.requests.get(request_id)
         attempt = request.in_flight.get(attempt_number) if request else None
         if request is None or attempt is None:
@@ -89,7 +91,7 @@
             attempt.endpoint.in_flight[(request_id, attempt_number)] = attempt
 
     def response_started(self, now: int, request_id: int, attempt_number: int) -> None:
-        """Bind the request to the attempt whose streamed response begins; the rest of it is no load."""
+        """Bind the request to the attempt whose streamed response begins, which no longer counts as load."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -100,7 +102,7 @@
         request.response_started_at = now
 
     def attempt_ended(self, now: int, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt, and close or retry its request."""
+        """Record the end of an attempt, and close or retry its request."""
         request = self.requests.get(event.request_id)
         key = (event.request_id, event.attempt)
         if request is None:
@@ -123,7 +125,7 @@
             self._attempt_failed(now, request, attempt, event.outcome)
 
     def client_disconnected(self, now: int, request_id: int) -> None:
-        """Close a request that nobody waits for any more."""
+        """Close a request whose client has disconnected."""
         if request := self.requests.get(request_id):
             self._close(now, request, False)
 
@@ -138,17 +140,17 @@
             self._wait(now, request)
 
     def _wait(self, now: int, request: Request) -> None:
-        """Look again shortly, as no endpoint may be sent to, for a part of the latency objective at most."""
-        longest = int(MAX_WAIT_RATIO * request.request_class.latency_objective)
-        wait_until = min(request.deadline - 2 * WAIT_STEP, request.started_at + longest)
-        if now + WAIT_STEP > wait_until:
+        """Check for an endpoint again shortly, or give up after a share of the latency objective."""
+        max_wait = int(MAX_WAIT_RATIO * request.request_class.latency_objective)
+        wait_until = min(request.deadline - 2 * WAIT_INTERVAL_US, request.started_at + max_wait)
+        if now + WAIT_INTERVAL_US > wait_until:
             self._give_up(now, request)
         else:
             request.is_waiting = True
-            self._actions.append(SetTimer(WAIT_STEP, f"{WAIT_TOKEN}:{request.request_id}"))
+            self._actions.append(SetTimer(WAIT_INTERVAL_US, f"{WAIT_TOKEN}:{request.request_id}"))
 
     def _send(self, now: int, request: Request, endpoint: Endpoint) -> bool:
-        """Start the next attempt and the timer for hedging it; return whether the guard let it go."""
+        """Start the next attempt and the timer for hedging it; return whether the guard allowed it."""
         attempt = self._guard.send(now, request, endpoint)
         if attempt is None:
             return False
@@ -160,30 +162,32 @@
         return True
 
     def _hedge_delay(self, now: int, request: Request, attempt: Attempt) -> float:
-        """Return how long a hedged attempt waits; meanwhile the first mostly gets its response."""
+        """Return the delay of a hedged attempt; most first attempts are answered within it."""
         hedge_latency = attempt.expected_latency
         if request.second_candidate:
             latency = self._latency_model.expected_latency(now, request.second_candidate)
             hedge_latency = request.class_cost * latency
-        left = request.request_class.latency_objective - (now - request.started_at)
-        return max(HEDGE_DELAY_RATIO * attempt.expected_latency, left - HEDGE_TIME_RATIO * hedge_latency)
+        remaining_time = request.request_class.latency_objective - (now - request.started_at)
+        return max(
+            HEDGE_DELAY_RATIO * attempt.expected_latency, remaining_time - HEDGE_RESERVE_RATIO * hedge_latency
+        )
 
     def _hedge(self, now: int, request: Request) -> None:
-        """Start a hedged attempt, if it is worthwhile and paid for."""
+        """Start a hedged attempt, if it is worthwhile and the retry budget covers it."""
         self._try_next(now, request, HEDGE_PRICE)
 
     def _attempt_failed(self, now: int, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Retry a request whose last attempt has failed, or give it up."""
+        """Retry or give up a request after a failed attempt, unless another one is still in flight."""
         self._guard.record_end(request, attempt, outcome)
         if request.in_flight or request.is_waiting:
             return
-        # an attempt that was never executed put no load on any endpoint, so the next one costs no budget
+        # an attempt that was never executed put no load on an endpoint, so its retry is free
         price = 0.0 if outcome in NEVER_EXECUTED else RETRY_PRICE
         if not self._try_next(now, request, price) and not request.in_flight:
             self._give_up(now, request)
 
     def _try_next(self, now: int, request: Request, price: float) -> bool:
-        """Start one more attempt, if there is an endpoint for it, it is worthwhile and it is paid for."""
+        """Start one more attempt if an endpoint is available, it is worthwhile and the budget covers it."""
         endpoint = self._selector.next_endpoint(now, request)
         if endpoint is None:
             return False
@@ -202,7 +206,7 @@
         self._close(now, request, False)
 
     def _close(self, now: int, request: Request, is_served: bool) -> None:
-        """End the request: nothing more is sent for it, and its attempts in flight are cancelled."""
+        """Close the request: send nothing more for it and cancel its attempts in flight where allowed."""
         self._guard.close(request)
         del self.requests[request.request_id]
         self._admission.record_completion(now, request, is_served)
--- a/linetrack/policy/balancer.py
+++ b/linetrack/policy/balancer.py
@@ -1,9 +1,9 @@
-"""The policy of one instance: hands each event to the part that it concerns.
+"""The policy of one instance: dispatches each event to the component that handles it.
 
 The events are in `linetrack/policy/events.py`, the actions in `linetrack/policy/actions.py`, the settings
 in `linetrack/policy/settings.py`; these and `linetrack/policy/protocols.py` are the whole interface.  The
-mechanism, after "Load Balancing in FoundationDB", is in `linetrack/policy/candidate_selection.py` and
-`linetrack/policy/attempts.py`; `docs/design/policy.md` lists each departure and when it acts.
+algorithm, based on "Load Balancing in FoundationDB", is in `linetrack/policy/candidate_selection.py` and
+`linetrack/policy/attempts.py`; `docs/design/policy.md` lists each departure from it and when it applies.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class PolicyState(NamedTuple):
-    """All that an instance has learnt, in a form that another process can take over."""
+    """The learnt state of an instance, in a form that another process can import."""
 
     latency: LatencyState
     load: LoadState
@@ -61,16 +61,16 @@
 
 
 class SharedState(NamedTuple):
-    """What an instance and its successors under other settings use together."""
+    """State that an instance shares with its successors under other settings."""
 
     endpoints: dict[str, Endpoint]  # by name, in list order
     retry_window: RetryWindow
 
 
 class Balancer:
-    """One instance: `handle` takes one event and returns the actions it calls for, in order.
+    """One instance of the policy: `handle` takes one event and returns the resulting actions, in order.
 
-    It reads no clock and does no I/O.  The same events with the same seed give the same actions.
+    It reads no clock and does no I/O.  Equal events with equal seeds yield equal actions.
     """
 
     def __init__(
@@ -81,16 +81,21 @@
         key_store: IdempotencyKeyStore | None = None,
         shared: SharedState | None = None,
     ) -> None:
-        """Start with nothing learnt; the two collaborators are asked where an installation has them.
+        """Initialize without learnt state.
 
-        `shared` is what a predecessor under other settings hands on.
+        Args:
+            settings: the settings of this instance.
+            seed: the seed of all random decisions.
+            overload_controller: limits load and retries; None in deployments without one.
+            key_store: keeps idempotency keys across requests; None in deployments without one.
+            shared: the state shared with a predecessor under other settings; None without one.
         """
         self.settings = settings
-        self.now = 0  # of the latest event
+        self.now = 0  # time of the latest event
         self.random = Random(seed)
         self._overload_controller = overload_controller
         self._key_store = key_store
-        self._actions: list[Action] = []  # of this event, appended to by the parts
+        self._actions: list[Action] = []  # actions of the current event; components append to it
         self._shared = shared or SharedState({}, RetryWindow(settings))
         self.endpoints = self._shared.endpoints
         self.retry_window = self._shared.retry_window
@@ -102,7 +107,7 @@
         self._make_lifecycle()
 
     def _make_selection(self) -> None:
-        """Make the parts that value requests and choose among endpoints."""
+        """Create the components that value requests and select endpoints."""
         settings = self.settings
         self.admission = Admission(
             settings, self.random, self.endpoints, self.models, self._overload_controller
@@ -138,7 +143,7 @@
         )
 
     def _make_lifecycle(self) -> None:
-        """Make the parts that lead requests from their arrival to their final response."""
+        """Create the components that lead requests to their final responses."""
         self.outcomes = OutcomeRecorder(
             self.settings,
             self.models,
@@ -160,9 +165,9 @@
         )
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Take one event in, at this time in microseconds; return the actions it calls for, in order.
+        """Handle one event at `now`, in microseconds; return the resulting actions, in order.
 
-        Health checks and peer messages are passed over: none are sent, so nothing rests on their results.
+        Health check results and peer messages are ignored, as the policy sends neither.
         """
         self.now = now
         self._actions.clear()
@@ -186,45 +191,45 @@
 
     @property
     def open_request_count(self) -> int:
-        """Return how many requests have no final response yet."""
+        """Return the number of requests without a final response."""
         return len(self.lifecycle.requests)
 
     @property
     def has_open_work(self) -> bool:
-        """Return whether some request is open or some attempt in flight."""
+        """Return whether any request is open or any attempt in flight."""
         return bool(self.lifecycle.requests or self.lifecycle.abandoned)
 
     def holds_request(self, request_id: int | None) -> bool:
-        """Return whether the request is open here, or an attempt of it is in flight."""
+        """Return whether this instance has the request open, or an attempt of it in flight."""
         return request_id in self.lifecycle.requests or any(
             request_id == abandoned_id for abandoned_id, _ in self.lifecycle.abandoned
         )
 
     def count_unavailable(self, now: int) -> int:
-        """Return how many listed endpoints are draining, or ejected in every class."""
+        """Return the number of listed endpoints that are draining, or ejected for every class."""
         return sum(self.outlier_detector.is_unavailable(now, each) for each in self.endpoints.values())
 
     def make_successor(self, settings: Settings) -> Balancer:
-        """Return the same instance under other settings; what is open here ends here, under the old ones.
+        """Return a successor under other settings; open requests end here, under the old settings.
 
-        The successor goes on with the endpoints, the retry limits and what was learnt of latencies.  What was
-        learnt of classes, loads and tenants is forgotten, and what still ends here teaches nothing any more.
+        The successor takes over the endpoints, the retry limits and the learnt latencies.  Learnt state by
+        class, load and tenant is dropped, and this instance stops learning from the attempts that end here.
         """
         seed = self.random.getrandbits(SEED_BITS)
-        new = Balancer(settings, seed, self._overload_controller, self._key_store, self._shared)
-        new.retry_window.apply(settings, self.now)
-        new.retry_budget.take_over(self.retry_budget)
-        new.models.take_over(self.models)
-        new.admission.take_over(self.admission)
+        successor = Balancer(settings, seed, self._overload_controller, self._key_store, self._shared)
+        successor.retry_window.apply(settings, self.now)
+        successor.retry_budget.take_over(self.retry_budget)
+        successor.models.take_over(self.models)
+        successor.admission.take_over(self.admission)
         self.outcomes.retire()
         self.weights.stop_caching()
-        self.slow_start.always_check()  # no list updates come here any more
-        if new.endpoint_list.take_over(self.now, self.endpoint_list):
+        self.slow_start.assume_always_warming()  # this instance no longer receives list updates
+        if successor.endpoint_list.take_over(self.now, self.endpoint_list):
             self.weights.clear_cache()
-        return new
+        return successor
 
     def export_state(self) -> PolicyState:
-        """Return what was learnt, for another process."""
+        """Return the learnt state, for another process."""
         return PolicyState(
             latency=self.models.latency.export_state(),
             load=self.models.load_reports.export_state(),
@@ -237,7 +242,7 @@
         )
 
     def import_state(self, now: int, state: PolicyState) -> None:
-        """Take over what another process learnt, at the start, when the endpoints are listed."""
+        """Import the learnt state of another process; call it at the start, once the endpoints are listed."""
         self.models.latency.import_state(state.latency)
         self.models.load_reports.import_state(state.load)
         self.models.success.import_state(state.success)
--- a/linetrack/policy/class_statistics.py
+++ b/linetrack/policy/class_statistics.py
@@ -1,31 +1,31 @@
-"""What is counted by request class: its share of all requests, and how many are served in time."""
+"""Statistics by request class: the share of all requests, and the ratio that is served in time."""
 
 from __future__ import annotations
 
 import math
 from typing import NamedTuple
 
-from linetrack.policy.decaying_average import DECAY_TIME, SLOWEST_EWMA_WEIGHT, decayed
+from linetrack.policy.decaying_average import OBSERVATION_DECAY_TIME, SLOWEST_EWMA_WEIGHT, decayed
 from linetrack.policy.settings import Settings
 from linetrack.policy.time_units import SECOND
 
-FAILING_RATIO = 0.4  # a class with less than this of the best class's on-time ratio fails by itself
-ON_TIME_WEIGHT = 0.5  # weight of a new response in a class's on-time ratio
-LATE_RESPONSES_APART = SECOND // 4  # late responses of a class that come closer together count as one
-FAIRNESS_WIDTH = 0.1  # served ratios within which classes count as equally badly served
+FAILING_RATIO = 0.4  # a class is failing below this fraction of the best class's on-time ratio
+ON_TIME_EWMA_WEIGHT = 0.5  # weight of a new response in a class's on-time ratio
+LATE_RESPONSE_SPACING = SECOND // 4  # late responses of a class at shorter intervals count as one
+FAIRNESS_WIDTH = 0.1  # difference of served ratios within which classes count as about equally served
 
 
 class OnTimeRatio(NamedTuple):
-    """The ratio of responses to a class that met its latency objective."""
+    """The ratio of a class's responses that met the latency objective."""
 
     ratio: float
     updated_at: int
 
 
 class ClassState(NamedTuple):
-    """What was counted, by class, in a form that another process can take over.
+    """The statistics by class, in a form that another process can import.
 
-    The lists are None where the classes mean something else there.
+    The lists are None where the importer has other classes.
     """
 
     request_shares: list[float] | None
@@ -33,15 +33,15 @@
 
 
 class ClassStatistics:
-    """Moving ratios by request class."""
+    """Maintains moving averages by request class."""
 
     def __init__(self, settings: Settings) -> None:
-        """Start with equal shares and everything served."""
+        """Initialize with equal request shares, and served ratios of 1."""
         count = len(settings.classes)
         self._request_shares = [1.0 / count] * count
         self._served_ratios = [1.0] * count
         self._on_time = [OnTimeRatio(1.0, 0)] * count
-        self._is_any_failing = False  # whether one of the on-time ratios is low at all
+        self._is_any_failing = False  # whether any on-time ratio is at most FAILING_RATIO
 
     @property
     def request_shares(self) -> list[float]:
@@ -56,49 +56,58 @@
         ]
 
     def record_completion(self, class_index: int, is_served_in_time: bool) -> None:
-        """Count the end of a request of the class."""
+        """Update the served ratio of the class after the end of a request."""
         ratio = self._served_ratios[class_index]
         self._served_ratios[class_index] += SLOWEST_EWMA_WEIGHT * (is_served_in_time - ratio)
 
     def record_response(self, now: int, class_index: int, in_time: bool, is_late: bool) -> None:
-        """Take in whether a response of the class met its objective; of late ones close together, the first.
+        """Update the class's on-time ratio; of late responses in quick succession, only the first counts.
 
-        Many late responses at one moment may have one cause, such as a standstill of this process.
+        Many late responses at once may have a single cause, such as a pause of this process.
         """
         ratio, updated_at = self._on_time[class_index]
-        if in_time or (is_late and now - updated_at > LATE_RESPONSES_APART):
-            self._on_time[class_index] = OnTimeRatio(ratio + ON_TIME_WEIGHT * (in_time - ratio), now)
+        if in_time or (is_late and now - updated_at > LATE_RESPONSE_SPACING):
+            self._on_time[class_index] = OnTimeRatio(ratio + ON_TIME_EWMA_WEIGHT * (in_time - ratio), now)
             self._is_any_failing = min(self._on_time)[0] <= FAILING_RATIO
 
     def relative_on_time_ratio(self, now: int, class_index: int) -> float:
-        """Return the class's on-time ratio over the best class's; near 0 if it alone is always late.
+        """Return the class's on-time ratio divided by the best class's; near 0 if only this class is late.
 
-        Requests of a class that is late wherever they go hold the capacity that others need, and their
-        latencies look like congestion.  While no class's latest response was in time, load is the cause, and
-        no class is singled out.
+        Requests of a class that is late at every endpoint occupy capacity that others need, and their
+        latencies look like congestion.  While no class has had an in-time response recently, load is assumed
+        to be the cause, and 1 is returned for every class.
         """
         if not self._is_any_failing:
             return 1.0
-        ratios = [decayed(now, ratio, at, 1.0, 4 * DECAY_TIME) for ratio, at in self._on_time]
-        best = max([ratio for ratio, at in self._on_time if at > now - DECAY_TIME], default=0.0)
-        return ratios[class_index] / max(ratios) if best > ON_TIME_WEIGHT else 1.0
+        ratios = [
+            decayed(now, ratio, updated_at, 1.0, 4 * OBSERVATION_DECAY_TIME)
+            for ratio, updated_at in self._on_time
+        ]
+        best = max(
+            [ratio for ratio, updated_at in self._on_time if updated_at > now - OBSERVATION_DECAY_TIME],
+            default=0.0,
+        )
+        return ratios[class_index] / max(ratios) if best > ON_TIME_EWMA_WEIGHT else 1.0
 
     def is_failing(self, now: int, class_index: int) -> bool:
-        """Return whether the class is late although others are not."""
+        """Return whether the class is late while others are not."""
         return self._is_any_failing and self.relative_on_time_ratio(now, class_index) < FAILING_RATIO
 
-    def worst_served_part(self, class_index: int, weight: float) -> float:
-        """Return how much of the weight that the goal gives the worst-served class falls to this one."""
+    def worst_served_weight(self, class_index: int, weight: float) -> float:
+        """Return this class's part of the weight that the goal gives to the worst-served class.
+
+        Classes that are about as badly served as the worst share the weight.
+        """
         worst = min(self._served_ratios)
-        parts = [math.exp((worst - ratio) / FAIRNESS_WIDTH) for ratio in self._served_ratios]
-        return weight * parts[class_index] / sum(parts)
+        weights = [math.exp((worst - ratio) / FAIRNESS_WIDTH) for ratio in self._served_ratios]
+        return weight * weights[class_index] / sum(weights)
 
     def export_state(self) -> ClassState:
-        """Return what was counted."""
+        """Return the statistics."""
         return ClassState(list(self._request_shares), list(self._served_ratios))
 
     def import_state(self, state: ClassState) -> None:
-        """Take over what was counted elsewhere."""
+        """Replace the statistics with those of another process."""
         if state.request_shares is not None:
             self._request_shares = state.request_shares
         if state.served_ratios is not None:
--- a/linetrack/policy/endpoint.py
+++ b/linetrack/policy/endpoint.py
@@ -1,7 +1,7 @@
-"""The record of one endpoint, and of the attempts that are in flight on it.
+"""The records of one endpoint and of the attempts in flight on it.
 
-Records hold state and decide nothing.  Each group of an endpoint's fields is written by one part of the
-policy, named above it; the fields stand in one record, as decisions read most of them for every endpoint.
+Records hold state and make no decisions.  Each group of an endpoint's fields is written by the module named
+above it.  All fields are in one record, as decisions read most of them for every endpoint.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from linetrack.policy.settings import Settings
 from linetrack.policy.time_units import SECOND
 
-ESTIMATE_LIFETIME = SECOND  # for so long an estimate for an idle endpoint is used before it is renewed
-MIN_WARM_FRACTION = 0.01  # one that is listed as up has some capacity, whatever the settings say
-HASH_MULTIPLIER = 0x9E3779B1  # 2^32 over the golden ratio: spreads near values over the range
+ESTIMATE_LIFETIME = SECOND  # time until the estimate for an idle endpoint is recomputed
+MIN_WARM_FRACTION = 0.01  # an endpoint listed as up has some capacity, even if the settings say 0
+HASH_MULTIPLIER = 0x9E3779B1  # 2^32 / golden ratio: spreads close values over the whole range
 HASH_RANGE = 2**32
 
 
@@ -28,7 +28,7 @@
 
 
 class Ejection(NamedTuple):
-    """An endpoint gets no requests of a class until then, and trials until the first success after that."""
+    """Excludes an endpoint for one class: until `until`, then single trials until one succeeds."""
 
     duration: int  # doubles with each ejection in a row
     until: int
@@ -38,7 +38,7 @@
 
 
 class EndpointState(NamedTuple):
-    """What was learnt of one endpoint, in a form that another process can take over."""
+    """The learnt state of one endpoint, in a form that another process can import."""
 
     started_at: int
     reported_load: float
@@ -51,12 +51,12 @@
     send_tokens_at: int
     warmup_sends: list[int]
     latency_factor: DecayingAverage
-    class_errors: dict[int, ClassErrorRatio] | None  # None where the classes mean something else here
+    class_errors: dict[int, ClassErrorRatio] | None  # None where the importer's classes differ
     ejections: dict[int, Ejection] | None
 
 
 class Attempt:
-    """One attempt of a request, from its start until its end is notified."""
+    """One attempt of a request, from its start to the event that reports its end."""
 
     __slots__ = (
         "backlog",
@@ -71,21 +71,21 @@
     )
 
     def __init__(self, number: int, class_index: int, endpoint: Endpoint, is_hedge: bool, now: int) -> None:
-        """Note what the endpoint's connections look like before this attempt is in flight."""
+        """Capture the state of the endpoint's connections before this attempt is in flight."""
         self.number = number
         self.class_index = class_index
         self.endpoint = endpoint
         self.is_hedge = is_hedge
         self.sent_at = now
         self.expected_latency = 0.0
-        self.backlog = 0.0  # requests at the endpoint before this one
+        self.backlog = 0.0  # requests at the endpoint when this one was sent
         is_idle = endpoint.last_used_at and not endpoint.in_flight
         self.idle_time = now - endpoint.last_used_at if is_idle else 0
         self.opens_connection = endpoint.connected_until < now
 
 
 class Endpoint:
-    """What is known of one endpoint: its entry in the list, load reports, and own attempts."""
+    """The state of one endpoint, from its list entry, its load reports and this instance's attempts."""
 
     __slots__ = (
         "capacity", "cell", "class_errors", "connected_until", "ejections", "error_ratio",
@@ -97,60 +97,60 @@
     )  # fmt: skip
 
     def __init__(self, entry: EndpointEntry) -> None:
-        """Make the record of a newly listed endpoint."""
+        """Initialize the record of a newly listed endpoint."""
         self.name = entry.endpoint
         self.name_hash = zlib.crc32(entry.endpoint.encode())
         self.in_flight: dict[tuple[int, int], Attempt] = {}  # by request id and attempt number, oldest first
         self.reset(entry)
 
     def reset(self, entry: EndpointEntry) -> None:
-        """Start over for a new process behind the same name; its attempts in flight stay."""
+        """Reset the state for a new process of the same name, but keep the attempts in flight."""
         # endpoint_list
         self.zone = entry.zone
         self.cell = entry.cell
         self.host_class = entry.host_class
         self.started_at = entry.started_at
         self.is_routable = entry.status is EndpointStatus.UP  # neither draining nor removed
-        self.is_unlisted = False  # removed from the list where that is advisory
+        self.is_unlisted = False  # removed from the list, kept as removals are advisory
         self.capacity = 1.0
-        # latency_model; the factors are relative to the baseline latency, as of the last estimate
-        self.latency_factor = DecayingAverage()  # logarithm, relative to the endpoint's host class
-        self.idle_factor = 1.0  # without other requests at the endpoint
-        self.loaded_factor = 1.0  # with the requests that are there, and as far as it has warmed up
+        # latency_model; factors are relative to the baseline latency, as of the latest estimate
+        self.latency_factor = DecayingAverage()  # logarithm; its prior is the host class's factor
+        self.idle_factor = 1.0  # latency factor without other requests at the endpoint
+        self.loaded_factor = 1.0  # latency factor with its current requests and warm fraction
         self.warm_fraction = 1.0
-        self.selection_weight = 1.0  # 1 / penalty times capacity, but for zone and errors
+        self.selection_weight = 1.0  # capacity / penalty, without the factors for zone and errors
         self.estimate_expires_at = 0
         # load_reports
-        self.reported_load = 0.0  # requests at the endpoint beyond own ones
+        self.reported_load = 0.0  # requests at the endpoint beyond this instance's own
         self.load_reported_at = 0
-        # success_model and outlier_detection, by request class where it is a dict
+        # success_model and outlier_detection; dictionaries are by request class
         self.error_ratio = 0.0
-        self.fault_ratio = 0.0  # errors and resets alone, over some forty responses
+        self.fault_ratio = 0.0  # ratio of errors and resets only, over about 40 responses
         self.class_errors: dict[int, ClassErrorRatio] = {}
         self.ejections: dict[int, Ejection] = {}
         # attempt_outcomes
         self.last_response_at = 0
-        self.last_used_at = 0  # when an attempt on it last ended
-        self.connected_until = 0  # until when there is a connection to it that may be reused
-        self.last_success_sent_at = 0  # when the latest of those attempts was sent that were answered
+        self.last_used_at = 0  # time of the latest end of an attempt
+        self.connected_until = 0  # time until which a connection is kept alive for reuse
+        self.last_success_sent_at = 0  # latest send time among the successful attempts
         # slow_start
-        self.warmup_started_at = entry.started_at  # the stated start, or when it was listed if that lay ahead
-        self.warm_at = 0  # until then it has a part of its capacity only
+        self.warmup_started_at = entry.started_at  # listed start, or time of listing if that is earlier
+        self.warm_at = 0  # time from which it has its full capacity
         self.warmup_sends: list[int] = []
-        self.send_allowance = 0.0  # this instance's attempts in one overload window
+        self.send_allowance = 0.0  # attempts that this instance may send per overload window
         self.send_allowance_expires_at = 0
-        self.send_tokens = 0.0  # what random selection may still give it
+        self.send_tokens = 0.0  # token bucket for randomly selected sends
         self.send_tokens_at = entry.started_at
         self.max_send_tokens = 0.0
 
-    def rendezvous_rank(self, mark: int) -> float:
-        """Return its rank for whatever has this mark, over 0 and at most 1, alike at all instances."""
-        return (((self.name_hash ^ mark) * HASH_MULTIPLIER & 0xFFFFFFFF) + 1) / HASH_RANGE
+    def rendezvous_rank(self, key_hash: int) -> float:
+        """Return the endpoint's rank for this hash: over 0, at most 1, and equal at all instances."""
+        return (((self.name_hash ^ key_hash) * HASH_MULTIPLIER & 0xFFFFFFFF) + 1) / HASH_RANGE
 
     def warm_fraction_at(self, now: int, settings: Settings) -> float:
-        """Return the fraction of its capacity that it can be counted on to have at this time.
+        """Return the fraction of the full capacity that the endpoint has at this time.
 
-        The settings may be earlier ones, under which requests still end and no endpoint warms up.
+        `settings` may be a predecessor's, without slow start, while its last requests end.
         """
         if now >= self.warm_at or not settings.slow_start_duration:
             return 1.0
@@ -159,7 +159,7 @@
         return min(1.0, initial + (1 - initial) * age)
 
     def export_state(self) -> EndpointState:
-        """Return what was learnt of it, for another process."""
+        """Return the learnt state, for another process."""
         return EndpointState(
             started_at=self.started_at,
             reported_load=self.reported_load,
@@ -177,7 +177,7 @@
         )
 
     def import_state(self, state: EndpointState) -> None:
-        """Take over what another process learnt of this endpoint since it started."""
+        """Replace the learnt state with what another process learnt of this endpoint."""
         self.reported_load = state.reported_load
         self.load_reported_at = state.load_reported_at
         self.error_ratio = state.error_ratio
@@ -194,7 +194,7 @@
             self.ejections = state.ejections
 
     def forget_classes_and_load(self) -> None:
-        """Forget what does not hold under other settings: loads, and what is known by class."""
+        """Drop the state that is invalid under other settings: loads, and everything by class."""
         self.class_errors = {}
         self.ejections = {}
         self.load_reported_at = 0
--- a/linetrack/policy/endpoint_weights.py
+++ b/linetrack/policy/endpoint_weights.py
@@ -1,7 +1,7 @@
-"""Selection weights: the odds at which endpoints are drawn, one over their penalty.
+"""Computes selection weights: the odds at which endpoints are drawn, which are 1 / penalty.
 
 The penalty of an endpoint is the ratio of its expected latency to the mean, raised to a power, with errors
-counted as load.  No endpoint's odds are zero.
+counted as load.  No weight is zero.
 """
 
 from __future__ import annotations
@@ -10,32 +10,41 @@
 from typing import NamedTuple
 
 from linetrack.policy.endpoint import ESTIMATE_LIFETIME, Endpoint
-from linetrack.policy.latency_model import SHARPNESS
+from linetrack.policy.latency_model import PENALTY_EXPONENT
 from linetrack.policy.models import Models
 from linetrack.policy.request import Request
 from linetrack.policy.settings import Settings
 
-ERROR_EXPONENT = 4.0  # a success probability p weighs an endpoint's odds by p ** this
-AFFINITY_EXPONENT = 2.0  # the odds of the n-th endpoint in an affinity key's order are divided by n ** this
-PREFERRED_COUNT = 5.0  # endpoints that an instance keeps to where a connection carries many requests
-PREFERENCE_EXPONENT = 6.0  # unconnected, the n-th has its odds divided by 1 + (n / PREFERRED_COUNT) ** this
-INSTANCE_HASH_MULTIPLIER = 0x85EBCA6B  # makes marks of instance numbers that differ in many bits
+# A success probability p multiplies an endpoint's weight by p ** ERROR_EXPONENT.
+ERROR_EXPONENT = 4.0
+
+# The weight of the n-th endpoint in the order of an affinity key is divided by n ** AFFINITY_EXPONENT.
+AFFINITY_EXPONENT = 2.0
+
+# Where a connection carries many requests, each instance prefers about PREFERRED_ENDPOINT_COUNT endpoints.
+# The weight of the n-th endpoint in its order is divided by 1 + (n / PREFERRED_ENDPOINT_COUNT) **
+# PREFERENCE_EXPONENT while there is no connection to it.
+PREFERRED_ENDPOINT_COUNT = 5.0
+PREFERENCE_EXPONENT = 6.0
+
+# Maps instance numbers to hashes that differ in many bits.
+INSTANCE_HASH_MULTIPLIER = 0x85EBCA6B
 
 
 class WeightedEndpoints(NamedTuple):
-    """Endpoints with what is known of each, in lists of the same order."""
+    """Endpoints and their estimates, in parallel lists."""
 
     endpoints: list[Endpoint]
-    latencies: list[float]  # expected for a mean request
+    latencies: list[float]  # expected latency of a mean request
     success_probabilities: list[float]
     weights: list[float]
 
 
 class EndpointWeights:
-    """Works weights out; those of the other zones' endpoints are cached, by request class."""
+    """Computes the weights of endpoints, and caches those of other zones by request class."""
 
     def __init__(self, settings: Settings, models: Models) -> None:
-        """Weigh by these models."""
+        """Initialize with an empty cache; `models` provide latencies and success probabilities."""
         self._settings = settings
         self._latency_model = models.latency
         self._success_model = models.success
@@ -44,13 +53,13 @@
         self._cache_expires_at: dict[int, int] = {}
 
     def weigh(self, now: int, endpoints: list[Endpoint], class_index: int) -> WeightedEndpoints:
-        """Return the endpoints with the weights for a request of the class.
+        """Return the endpoints with their weights for a request of the class.
 
-        One loop with nothing moved out of it but what few endpoints need: it runs over every endpoint for
-        every request and is most of the work.
+        This is one loop with helper calls only for what few endpoints need: it runs over every endpoint for
+        every request and takes most of the time.
         """
         baseline = self._latency_model.baseline_latency()
-        has_few_connections = self._settings.max_streams_per_connection > 1
+        is_multiplexed = self._settings.max_streams_per_connection > 1
         latencies = []
         probabilities = []
         weights = []
@@ -60,7 +69,7 @@
                 zone = endpoint.zone
                 zone_latency = self._latency_model.zone_latency(now, zone)
                 acceptance = self._success_model.zone_acceptance(now, zone)
-                zone_weight = (zone_latency / baseline) ** -SHARPNESS
+                zone_weight = (zone_latency / baseline) ** -PENALTY_EXPONENT
                 if acceptance < 1:
                     zone_weight *= acceptance**ERROR_EXPONENT
             latency = loaded_latency = zone_latency * endpoint.loaded_factor
@@ -70,9 +79,9 @@
                 loaded_latency = zone_latency * endpoint.loaded_factor
             weight = zone_weight * endpoint.selection_weight
             if latency > loaded_latency:
-                weight *= (latency / loaded_latency) ** -SHARPNESS
-            if has_few_connections or endpoint.error_ratio:
-                # an endpoint that fails fast looks idle, so errors count as load
+                weight *= (latency / loaded_latency) ** -PENALTY_EXPONENT
+            if is_multiplexed or endpoint.error_ratio:
+                # count errors as load, as an endpoint that fails fast looks idle
                 probability = self._success_model.success_probability(now, endpoint, class_index)
                 weight *= (probability / acceptance) ** ERROR_EXPONENT
             latencies.append(latency)
@@ -81,50 +90,50 @@
         return WeightedEndpoints(endpoints, latencies, probabilities, weights)
 
     def apply_preferences(self, now: int, request: Request, weighted: WeightedEndpoints) -> list[float]:
-        """Return the weights with this instance's preferences and those of the request's key, none zero.
+        """Return the weights adjusted by the preferences of this instance and the request's affinity key.
 
-        An instance prefers some endpoints to open connections to, each instance others: a connection from
-        each instance to each endpoint would cost capacity and work.  A key prefers the same endpoints at all
-        instances, as what served it lately serves it with less work.
+        Each instance prefers a few endpoints of its own for new connections, as connections from every
+        instance to every endpoint would cost capacity and work.  A key prefers the same endpoints at all
+        instances, as an endpoint that served the key recently serves it with less work.  No weight is zero.
         """
         weights = weighted.weights
         if self._settings.max_streams_per_connection > 1:
-            weights = self._prefer_few_connections(now, weighted)
+            weights = self._prefer_connected(now, weighted)
         if self._settings.has_affinity_keys and request.received.affinity_key:
-            mark = zlib.crc32(request.received.affinity_key.encode())
+            key_hash = zlib.crc32(request.received.affinity_key.encode())
             weights = [
-                weight * endpoint.rendezvous_rank(mark) ** -AFFINITY_EXPONENT
+                weight * endpoint.rendezvous_rank(key_hash) ** -AFFINITY_EXPONENT
                 for weight, endpoint in zip(weights, weighted.endpoints, strict=True)
             ]
         return weights
 
-    def _prefer_few_connections(self, now: int, weighted: WeightedEndpoints) -> list[float]:
+    def _prefer_connected(self, now: int, weighted: WeightedEndpoints) -> list[float]:
         weights = weighted.weights.copy()
-        mark = self._settings.instance * INSTANCE_HASH_MULTIPLIER
+        instance_hash = self._settings.instance * INSTANCE_HASH_MULTIPLIER
         count = len(weighted.endpoints)
         for index, endpoint in enumerate(weighted.endpoints):
             if endpoint.connected_until < now:
-                position = endpoint.rendezvous_rank(mark) * count / PREFERRED_COUNT
+                position = endpoint.rendezvous_rank(instance_hash) * count / PREFERRED_ENDPOINT_COUNT
                 weights[index] = weights[index] / (1 + position**PREFERENCE_EXPONENT)
         return weights
 
     @property
     def is_caching(self) -> bool:
-        """Return whether weights may be cached at all."""
+        """Return whether weights may be cached."""
         return self._is_caching
 
     def cached(self, now: int, class_index: int) -> WeightedEndpoints | None:
-        """Return the cached weights of the other zones' endpoints, while they are fresh."""
+        """Return the cached weights of the endpoints in other zones, or None if they have expired."""
         is_fresh = now < self._cache_expires_at.get(class_index, 0)
         return self._cache.get(class_index) if is_fresh else None
 
     def cache(self, now: int, class_index: int, weighted: WeightedEndpoints) -> None:
-        """Keep these weights of the other zones' endpoints for a while."""
+        """Cache the weights of the endpoints in other zones for `ESTIMATE_LIFETIME`."""
         self._cache[class_index] = weighted
         self._cache_expires_at[class_index] = now + ESTIMATE_LIFETIME
 
     def refresh(self, now: int, endpoint: Endpoint, keep_others: bool) -> None:
-        """Renew the cached weight of an endpoint after a send or response; drop the others unless kept."""
+        """Update an endpoint's cached weight after a send or response; drop the others unless kept."""
         if endpoint.zone == self._settings.zone:
             return
         is_known = all(endpoint in weighted.endpoints for weighted in self._cache.values())
@@ -138,10 +147,10 @@
             weighted.weights[index] = renewed.weights[0]
 
     def clear_cache(self) -> None:
-        """Forget the cached weights, as the list of endpoints has changed."""
+        """Clear the cache after a change of the endpoint list."""
         self._cache.clear()
         self._cache_expires_at.clear()
 
     def stop_caching(self) -> None:
-        """Cache nothing any more, where list updates no longer come."""
+        """Stop caching, as this instance no longer receives list updates."""
         self._is_caching = False
--- a/linetrack/policy/events.py
+++ b/linetrack/policy/events.py
@@ -1,8 +1,9 @@
-"""What the policy is notified of.
+"""Events: what a host notifies the policy of.
 
-The events are protocol-neutral: a host translates what it sees into them.  All times are integer
-microseconds.  Endpoint names are opaque text, request ids opaque numbers.  The events that come with each
-request are not frozen, as constructing a frozen one takes three times as long; nothing changes them either.
+The events are protocol-neutral: each host translates its protocol into them.  All times are integer
+microseconds.  Endpoint names are opaque strings, request ids opaque numbers.  The event classes that are used
+for every request are not frozen, as constructing a frozen dataclass takes three times as long; instances of
+these are never modified either.
 """
 
 from __future__ import annotations
@@ -12,16 +13,16 @@
 
 
 class Outcome(Enum):
-    """How an attempt (or a health check) ended."""
+    """The outcome of an attempt or a health check."""
 
     SUCCESS = auto()
     ERROR = auto()
-    OVERLOADED = auto()  # rejected by an endpoint whose queue is full
+    OVERLOADED = auto()  # the endpoint rejected it, as its queue is full
     TIMEOUT = auto()
     CONNECT_FAILED = auto()
     RESET = auto()
     CANCELLED = auto()
-    NOT_SENT = auto()  # the host never wrote it, as it had become pointless
+    NOT_SENT = auto()  # the host wrote none of it, as it was no longer useful
 
 
 #: Outcomes that prove that the attempt was not executed.
@@ -29,7 +30,7 @@
 
 
 class EndpointStatus(Enum):
-    """What discovery says of an endpoint."""
+    """The status of an endpoint in discovery."""
 
     UP = auto()
     DRAINING = auto()
@@ -37,11 +38,11 @@
 
 
 class ListForm(Enum):
-    """What an endpoint list update holds."""
+    """What the entries of an endpoint list update are."""
 
     DELTA = auto()  # the entries that changed
     SNAPSHOT = auto()  # all entries
-    CACHED = auto()  # all entries, as known before this instance started
+    CACHED = auto()  # all entries, from before this instance started
     REJECTED = auto()  # none: discovery rejected the subscription
 
 
@@ -55,7 +56,7 @@
     cell: int = 0
     status: EndpointStatus = EndpointStatus.UP
     capacity: float = 1.0
-    started_at: int = 0  # 0 where it is not known
+    started_at: int = 0  # 0: unknown
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,7 +69,7 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request has arrived; it is owed one final response within `timeout`."""
+    """A client's request has arrived; it must get one final response within `timeout`."""
 
     request_id: int
     class_index: int
@@ -76,15 +77,15 @@
     tenant: int = 0
     affinity_key: str = ""
     work: int = 0
-    is_retry: bool = False  # the client's own
+    is_retry: bool = False  # whether it is a client's retry
     is_write: bool = False
-    idempotency_key: int = 0  # stands for the key, alike for equal keys; 0 where it has none
-    is_replayable: bool = True  # its body can be sent again; one that is forwarded as it comes cannot
+    idempotency_key: int = 0  # a number that identifies the key; 0: none
+    is_replayable: bool = True  # whether its body can be sent again; a streamed body cannot
 
 
 @dataclass(slots=True, frozen=True)
 class RequestBodySent:
-    """The last byte of an attempt's long body is written: from here on the attempt takes its time."""
+    """The last byte of an attempt's long body was sent; its latency is measured from here."""
 
     request_id: int
     attempt: int
@@ -108,28 +109,28 @@
     attempt: int
     endpoint: str
     outcome: Outcome
-    latency: int  # until the response was complete or, where it is streamed, until it began
+    latency: int  # until the end of the response, or until its start if it is streamed
     request_completed: bool = False  # the request has its final response
     load_report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client of a request has disconnected: nothing more is to be sent for it."""
+    """The client of a request has disconnected: nothing more must be sent for it."""
 
     request_id: int
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that the policy set is due."""
+    """A timer set by the policy has expired."""
 
     token: str
 
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckEnded:
-    """A health check has ended; the policy sends none so far."""
+    """A health check has ended.  The policy does not send any yet."""
 
     endpoint: str
     outcome: Outcome
@@ -139,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessageReceived:
-    """Another instance has sent a message; the policy sends none and passes over those it gets."""
+    """Another instance has sent a message.  The policy neither sends nor evaluates any."""
 
     sender: int
     body: bytes
--- a/linetrack/policy/idle_connections.py
+++ b/linetrack/policy/idle_connections.py
@@ -1,7 +1,7 @@
-"""How long a connection may be idle before it is better closed than used again.
+"""Learns how long a connection may be idle before it should be closed instead of reused.
 
-An endpoint, or something on the way to it, may drop idle connections without a word.  A request that is
-written to such a connection is reset at once, and may count as executed although nobody read it.
+An endpoint, or a device on the network path, may silently drop idle connections.  A request that is written
+to such a connection is reset at once, and may count as executed although the endpoint never read it.
 """
 
 from __future__ import annotations
@@ -9,48 +9,48 @@
 import math
 from typing import NamedTuple
 
-from linetrack.policy.decaying_average import DECAY_TIME
+from linetrack.policy.decaying_average import OBSERVATION_DECAY_TIME
 from linetrack.policy.endpoint import Attempt
 
-MAX_IDLE_RATIO = 0.7  # of the idle time after which a connection was reset at once
+MAX_IDLE_RATIO = 0.7  # the limit, as a fraction of the idle time after which a connection was reset
 
 
 class IdleConnectionState(NamedTuple):
-    """What was learnt, in a form that another process can take over."""
+    """The learnt state, in a form that another process can import."""
 
     max_idle: float
     learnt_at: int
 
 
 class IdleConnections:
-    """The longest idle time of connections that is still safe, as learnt from resets."""
+    """Maintains the longest idle time after which connections are reused, learnt from resets."""
 
     def __init__(self) -> None:
-        """Start without a limit."""
+        """Initialize without a limit."""
         self._max_idle = math.inf  # microseconds
         self._learnt_at = 0
 
     def is_expired(self, now: int, attempt: Attempt) -> bool:
-        """Return whether the connections that the attempt could use were idle for too long.
+        """Return whether the connections available to the attempt have been idle for too long.
 
-        What was learnt fades, so that longer idle times are tried again.
+        The limit rises with its age, so that longer idle times are tried again.
         """
-        return attempt.idle_time * math.exp((self._learnt_at - now) / DECAY_TIME) > self._max_idle
+        return attempt.idle_time * math.exp((self._learnt_at - now) / OBSERVATION_DECAY_TIME) > self._max_idle
 
     def is_idle_reset(self, attempt: Attempt, latency: int) -> bool:
-        """Return whether a reset after this latency is an idle connection's end, not an error."""
+        """Return whether a reset after this latency shows a dropped idle connection rather than an error."""
         return attempt.idle_time > 0 and 4 * latency < attempt.expected_latency
 
     def record_reset(self, now: int, attempt: Attempt) -> None:
-        """Take in that an idle connection was reset at once."""
+        """Lower the limit after a reset of an idle connection."""
         self._max_idle = MAX_IDLE_RATIO * attempt.idle_time
         self._learnt_at = now
 
     def export_state(self) -> IdleConnectionState:
-        """Return what was learnt."""
+        """Return the learnt state."""
         return IdleConnectionState(self._max_idle, self._learnt_at)
 
     def import_state(self, state: IdleConnectionState) -> None:
-        """Take over what was learnt elsewhere."""
+        """Replace the learnt state with that of another process."""
         self._max_idle = state.max_idle
         self._learnt_at = state.learnt_at
--- a/linetrack/policy/models.py
+++ b/linetrack/policy/models.py
@@ -1,4 +1,4 @@
-"""The parts of the policy that learn about endpoints, connections and request classes, together."""
+"""Groups the models that learn about endpoints, connections and request classes."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class Models:
-    """What one instance learns from; each model owns its state."""
+    """The models of one instance.  Each model owns its state."""
 
     def __init__(self, settings: Settings, endpoints: Mapping[str, Endpoint]) -> None:
-        """Start with nothing learnt; `endpoints` are the listed ones, by name."""
+        """Initialize without learnt state; `endpoints` are the listed ones, by name."""
         self.classes = ClassStatistics(settings)
         self.load_reports = LoadReports(settings)
         self.latency = LatencyModel(settings, self.load_reports, self.classes)
@@ -25,18 +25,18 @@
         self.idle_connections = IdleConnections()
 
     def start_event(self) -> None:
-        """Drop what was worked out for the event before."""
+        """Clear the values cached for the previous event."""
         self.latency.start_event()
         self.success.start_event()
 
     def keep_only(self, zones: set[int], host_classes: set[int]) -> None:
-        """Forget zones and host classes that no listed endpoint has."""
+        """Drop the state of zones and host classes that no listed endpoint has."""
         self.latency.keep_only(zones, host_classes)
         self.load_reports.keep_only(zones, host_classes)
         self.success.keep_only(zones)
 
     def take_over(self, predecessor: Models) -> None:
-        """Go on after an instance under other settings; what it learnt of classes and loads is dropped."""
+        """Take over what an instance under other settings learnt, except for classes and loads."""
         self.latency.take_over(predecessor.latency)
         self.load_reports.take_over(predecessor.load_reports)
         self.success.take_over(predecessor.success)
--- a/linetrack/policy/outlier_detection.py
+++ b/linetrack/policy/outlier_detection.py
@@ -1,8 +1,8 @@
-"""Ejects endpoints that fail, and lets them back by trials.
+"""Ejects failing endpoints, and readmits them after a successful trial.
 
-As Envoy's outlier detection, with these differences: an endpoint is ejected by request class, as it may fail
-one class alone; a rejection or a refused connection ejects it at once, for all classes; and after an ejection
-it gets single trials until one succeeds.  All times are integer microseconds.
+This works like Envoy's outlier detection, with these differences: an endpoint is ejected by request class, as
+it may fail for one class only; a rejection or a failed connection ejects it at once, for all classes; and
+after an ejection it gets single trials until one succeeds.  All times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -14,30 +14,31 @@
 from linetrack.policy.success_model import SuccessModel
 from linetrack.policy.time_units import SECOND
 
-BASE_EJECTION_TIME = 1 * SECOND  # doubles while trials fail
-MAX_EJECTION_TIME = 8 * SECOND  # so that a recovered endpoint is not kept out for long
-ERROR_THRESHOLD = 0.3  # error ratio, over what is usual, from which an endpoint is ejected
-RECOVERY_THRESHOLD = ERROR_THRESHOLD / 3  # a success under this ratio ends the series of ejections
-IMMEDIATE_OUTCOMES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED)  # these hold for every class at once
+BASE_EJECTION_TIME = 1 * SECOND  # doubles with each failed trial
+MAX_EJECTION_TIME = 8 * SECOND  # a recovered endpoint must not stay ejected for long
+ERROR_THRESHOLD = 0.3  # error ratio in excess of the usual one from which an endpoint is ejected
+RECOVERY_THRESHOLD = ERROR_THRESHOLD / 3  # excess ratio below which a success ends the ejection
+# Outcomes that eject an endpoint at once, for every class.
+IMMEDIATE_EJECTION_OUTCOMES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED)
 
 
 class OutlierDetector:
-    """Starts, prolongs and ends ejections, and says who may be tried."""
+    """Starts, extends and ends ejections, and decides which endpoints may get a trial."""
 
     def __init__(self, settings: Settings, success_model: SuccessModel) -> None:
-        """Judge by these settings and error ratios."""
+        """Initialize with the model that provides the error ratios."""
         self._settings = settings
         self._success_model = success_model
 
     def record_outcome(self, now: int, endpoint: Endpoint, class_index: int, outcome: Outcome) -> bool:
-        """Take in an outcome that the success model knows; return whether it ejects the endpoint."""
+        """Process an outcome after the success model has; return whether it ejects the endpoint."""
         excess = self._success_model.excess_error_ratio(now, endpoint, class_index)
         if outcome is Outcome.SUCCESS:
-            # one success by luck must not bring a flaky endpoint back: its ratio has to fall first
+            # one success must not readmit a flaky endpoint: its error ratio has to fall first
             if excess < RECOVERY_THRESHOLD:
                 endpoint.ejections.pop(class_index, None)
             return False
-        is_immediate = outcome in IMMEDIATE_OUTCOMES
+        is_immediate = outcome in IMMEDIATE_EJECTION_OUTCOMES
         if not is_immediate and class_index not in endpoint.ejections and excess < ERROR_THRESHOLD:
             return False
         for each in range(len(self._settings.classes)) if is_immediate else (class_index,):
@@ -45,21 +46,21 @@
         return True
 
     def eject_unlisted(self, now: int, endpoint: Endpoint) -> None:
-        """Leave an endpoint that discovery no longer lists to trials, in every class."""
+        """Restrict an endpoint that discovery no longer lists to trials, for every class."""
         for class_index in range(len(self._settings.classes)):
             endpoint.ejections.setdefault(class_index, Ejection(BASE_EJECTION_TIME, now + BASE_EJECTION_TIME))
 
-    def is_lost(self, endpoint: Endpoint, class_index: int) -> bool:
-        """Return whether an endpoint that is no longer listed has failed its trials for long."""
+    def is_unlisted_and_failing(self, endpoint: Endpoint, class_index: int) -> bool:
+        """Return whether an unlisted endpoint has failed trials up to the maximum ejection time."""
         if not endpoint.is_unlisted or not endpoint.is_routable:
             return False
         return endpoint.ejections[class_index].duration >= MAX_EJECTION_TIME
 
     def admits(self, now: int, endpoint: Endpoint, request: Request) -> bool:
-        """Return whether the request may go there: no ejection, or it is the one trial after it.
+        """Return whether the endpoint may get the request: it is not ejected, or this is its one trial.
 
-        A trial may cost its request, so non-idempotent requests are none: they go where another class was
-        served since the ejection.
+        A trial may fail its request.  A non-idempotent request is therefore admitted only where a request of
+        another class has succeeded since the ejection.
         """
         until = endpoint.ejections.get(request.class_index, NO_EJECTION).until
         if not until or until > now:
@@ -71,7 +72,7 @@
         )
 
     def is_unavailable(self, now: int, endpoint: Endpoint) -> bool:
-        """Return whether the endpoint gets nothing while others may: draining, or ejected in every class."""
+        """Return whether the endpoint is draining, or ejected for every class."""
         classes = range(len(self._settings.classes))
         return not endpoint.is_routable or all(
             endpoint.ejections.get(class_index, NO_EJECTION).until > now for class_index in classes
--- a/linetrack/policy/protocols.py
+++ b/linetrack/policy/protocols.py
@@ -1,6 +1,6 @@
-"""What a host sees of a policy, and what the policy asks of the collaborators that a host may give it.
+"""The interface of a policy to its host, and those of the collaborators that a host may provide.
 
-The collaborators stand in `linetrack/control/`, which the policy does not import.
+The collaborators are implemented in `linetrack/control/`, which the policy does not import.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PossibleExecution:
-    """Where and when an attempt was sent that may have been executed."""
+    """The destination and send time of an attempt that may have been executed."""
 
     zone: int
     cell: int
@@ -22,36 +22,36 @@
 
 
 class Policy(Protocol):
-    """What decides about every request: `linetrack.policy.balancer.Balancer` in the program."""
+    """Decides about every request; implemented by `linetrack.policy.balancer.Balancer`."""
 
     def handle(self, now: int, event: Event, /) -> list[Action]:
-        """Take one event in and return the actions it calls for, in order."""
+        """Handle one event and return the resulting actions, in order."""
 
 
 class OverloadController(Protocol):
-    """How much load the endpoints can take, as `linetrack.control.overload_control` estimates it."""
+    """Limits load to what the endpoints can take; implemented in `linetrack.control.overload_control`."""
 
     def admit(self, now: int, arrival: RequestReceived, priority_weight: float) -> bool:
-        """Whether a new request is to be served; it is rejected otherwise."""
+        """Return whether to serve a new request; it is rejected otherwise."""
 
     def allow_retry(self, now: int) -> bool:
-        """Whether there is capacity for a retry or a hedged attempt."""
+        """Return whether there is capacity for a retry or a hedged attempt."""
 
     def record_response(self, now: int, in_time: bool, is_fast: bool) -> None:
-        """Take in whether an attempt met its latency objective, and in half of that time."""
+        """Record whether an attempt met its latency objective, and whether it took at most half of it."""
 
     def retry_after(self, now: int, default: int, maximum: int) -> int:
-        """When a rejected client should return, in microseconds from now."""
+        """Return the time after which a rejected client should retry, in microseconds from now."""
 
 
 class IdempotencyKeyStore(Protocol):
-    """What may have been executed under each key, as `linetrack.control.idempotency_keys` keeps it."""
+    """Stores possible executions by key; implemented in `linetrack.control.idempotency_keys`."""
 
     def add(self, key: int, execution: PossibleExecution) -> None:
-        """Note that an attempt under the key may have been executed, or may yet be."""
+        """Record an attempt under the key that may have been executed, or may be in the future."""
 
     def discard(self, key: int, execution: PossibleExecution) -> None:
-        """Note that this attempt proved not to have been executed."""
+        """Remove an attempt that turned out not to have been executed."""
 
     def executions(self, now: int, key: int) -> list[PossibleExecution]:
-        """All that may have been executed under the key, the earliest first."""
+        """Return all possible executions under the key, the earliest first."""
--- a/linetrack/policy/retry_limits.py
+++ b/linetrack/policy/retry_limits.py
@@ -1,8 +1,8 @@
-"""Limits on attempts beyond the first: a retry budget, and the limit over a sliding window.
+"""Limits on attempts beyond the first: a retry budget, and a limit over a sliding window.
 
-The budget is a token bucket, as in Finagle and Linkerd: each request adds a part of a token, each retry
-takes one.  The window is a rule of the deployment and counts every attempt beyond the first, also those
-that cost no budget.  All times are integer microseconds.
+The budget is a token bucket, as in Finagle and Linkerd: each request adds a fraction of a token, each retry
+takes one.  The sliding window enforces a rule of the deployment and counts every attempt beyond the first,
+including those that are free in the budget.  All times are integer microseconds.
 """
 
 from __future__ import annotations
@@ -14,43 +14,46 @@
 from linetrack.policy.settings import Settings
 from linetrack.policy.time_units import FOREVER
 
-TOKENS_PER_REQUEST = 0.15  # hedged attempts and retries per request, over time
+TOKENS_PER_REQUEST = 0.15  # long-term ratio of retries and hedged attempts to requests
 MAX_TOKENS = 8.0
-INITIAL_TOKENS = 1.0  # the least that lets one retry go: many instances may start together
+INITIAL_TOKENS = 1.0  # enough for one retry only, as many instances may start together
+
+# Prices in tokens.  That of a hedged attempt is refunded if the attempt serves the request; it is high, so
+# that heavy requests do not run twice.
 RETRY_PRICE = 1.0
-HEDGE_PRICE = 5.0  # given back if the hedged attempt serves the request: heavy ones are not to run twice
+HEDGE_PRICE = 5.0
 
 
 class RetryBudget:
-    """Tokens of one instance for retries and hedged attempts."""
+    """The token bucket of one instance for retries and hedged attempts."""
 
     def __init__(self, tokens: float = INITIAL_TOKENS) -> None:
-        """Start with these tokens."""
+        """Initialize with this number of tokens."""
         self.tokens = tokens
 
     def take_over(self, predecessor: RetryBudget) -> None:
-        """Go on with the tokens of an instance under other settings."""
+        """Take over the tokens of an instance under other settings."""
         self.tokens = predecessor.tokens
 
     def record_request(self) -> None:
-        """Add what one request earns."""
+        """Add the tokens of one request."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKENS_PER_REQUEST)
 
     def can_pay(self, price: float) -> bool:
-        """Return whether there are as many tokens."""
+        """Return whether there are enough tokens for the price."""
         return self.tokens >= price
 
     def pay(self, price: float) -> None:
-        """Take the tokens for an attempt that was started."""
+        """Remove the tokens for an attempt that was started."""
         self.tokens -= price
 
     def refund(self, price: float) -> None:
-        """Give the tokens back of an attempt that served its request."""
+        """Return the tokens of an attempt that served its request."""
         self.tokens = min(MAX_TOKENS, self.tokens + price)
 
 
 class RetryWindowState(NamedTuple):
-    """What was counted, in a form that another process can take over."""
+    """The recorded times, in a form that another process can import."""
 
     window: int
     retries: list[int]
@@ -58,45 +61,45 @@
 
 
 class RetryWindow:
-    """The stated limit: in any window, at most an allowance plus a ratio of the requests received in it.
+    """Limits retries in any window to an allowance plus a ratio of the requests received in that window.
 
-    An instance and its successor under other settings count together, on one object.
+    An instance and its successors under other settings share one object.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Start without anything counted."""
+        """Initialize without recorded requests or retries."""
         self._settings = settings
         self._retries: deque[int] = deque()
         self._requests: deque[int] = deque()
         self._blocked_until = 0
 
     def apply(self, settings: Settings, now: int) -> None:
-        """Limit by other settings from here on."""
+        """Enforce other settings from now on."""
         if settings.retry_window > self._settings.retry_window:
-            # more retries than were counted may lie in the longer window
+            # the longer window may contain retries that were not recorded
             self._blocked_until = now + settings.retry_window
         self._settings = settings
 
     def block(self, now: int) -> None:
-        """Allow no retries for one window, as some may have been made that were not counted here."""
+        """Allow no retries for one window, as there may have been retries that were not recorded here."""
         self._blocked_until = now + self._settings.retry_window
 
     def block_forever(self) -> None:
-        """Allow no retries any more: another process goes on counting."""
+        """Allow no more retries, as another process has taken over the window."""
         self._blocked_until = FOREVER
 
     def record_request(self, now: int) -> None:
-        """Count a request."""
+        """Record a request."""
         self._record(self._requests, now)
 
     def record_retry(self, now: int) -> None:
-        """Count an attempt beyond a request's first."""
+        """Record an attempt beyond a request's first one."""
         self._record(self._retries, now)
 
     def is_exhausted(self, now: int) -> bool:
         """Return whether one more retry would exceed the limit."""
         since = now - self._settings.retry_window
-        # at the very edge a retry counts and a request does not, which is strict however the rule is read
+        # exactly at the edge, a retry counts and a request does not: the strict reading of the rule
         while self._retries and self._retries[0] < since:
             self._retries.popleft()
         while self._requests and self._requests[0] <= since:
@@ -108,11 +111,11 @@
         return is_limited and (now < self._blocked_until or len(self._retries) + 1 > limit)
 
     def export_state(self) -> RetryWindowState:
-        """Return what was counted, for another process."""
+        """Return the recorded times, for another process."""
         return RetryWindowState(self._settings.retry_window, list(self._retries), list(self._requests))
 
     def import_state(self, now: int, state: RetryWindowState) -> None:
-        """Go on with what another process counted."""
+        """Continue with the times recorded by another process."""
         if self._settings.retry_window > state.window:
             self.block(now)
         self._retries = deque(state.retries)
@@ -121,35 +124,35 @@
     def _record(self, times: deque[int], now: int) -> None:
         if self._settings.retry_window:
             times.append(now)
-            self.is_exhausted(now)  # drops what has left the window
+            self.is_exhausted(now)  # removes times outside the window
 
 
 class RetryLimits:
-    """All that has to allow a retry or hedged attempt, but for the rules that the guard holds."""
+    """Decides whether a retry or hedged attempt is allowed, apart from the rules of the send guard."""
 
     def __init__(
         self, budget: RetryBudget, window: RetryWindow, overload_controller: OverloadController | None
     ) -> None:
-        """Pay from this budget; the window only counts requests here, the guard asks it."""
+        """Initialize with the budget to pay from; the window is updated here and checked by the guard."""
         self._budget = budget
         self._window = window
         self._overload_controller = overload_controller
 
     def record_request(self, now: int) -> None:
-        """Count a new request."""
+        """Record a new request."""
         self._budget.record_request()
         self._window.record_request(now)
 
     def allows(self, now: int, price: float) -> bool:
-        """Return whether an attempt at this price is paid for, and there is capacity unless it is free."""
+        """Return whether the budget covers the price and, unless it is 0, there is capacity for a retry."""
         if not self._budget.can_pay(price):
             return False
         return not price or not self._overload_controller or self._overload_controller.allow_retry(now)
 
     def record_retry(self, price: float) -> None:
-        """Take the price of an attempt that was started."""
+        """Pay the price of an attempt that was started."""
         self._budget.pay(price)
 
     def record_hedge_served(self) -> None:
-        """Give the price back of a hedged attempt that served its request."""
+        """Refund the price of a hedged attempt that served its request."""
         self._budget.refund(HEDGE_PRICE)
--- a/linetrack/policy/send_guard.py
+++ b/linetrack/policy/send_guard.py
@@ -1,13 +1,11 @@
-"""The one gate that each attempt and each final response passes, whatever the rest of the policy decides.
-
-It holds four rules:
+"""Checks every attempt and every final response against four rules that no other component may override.
 
 1. Each request gets exactly one final response, and no attempt after it.
-2. No effect happens twice: a non-idempotent request is not sent again once it may have been executed, and one
-   with an idempotency key only to endpoints that recognise the key, while they remember it.  Attempts keep to
-   their allowed number and, beyond the first, to the limit over a sliding window.
-3. A draining or removed endpoint is sent nothing new.
-4. An endpoint that warms up is sent no more than it bears from all instances together.
+2. No effect happens twice: a non-idempotent request is not sent again once it may have been executed.  A
+   request with an idempotency key is then sent only to endpoints that recognise the key, and only while they
+   remember it.  The number of attempts is limited, and attempts beyond the first also by a sliding window.
+3. A draining or removed endpoint gets no new attempts.
+4. A warming endpoint gets no more than it can bear from all instances together.
 """
 
 from __future__ import annotations
@@ -26,7 +24,7 @@
 
 
 class Scope(NamedTuple):
-    """The endpoints that a request's next attempt must keep to; None stands for all."""
+    """The zone and cell to which a request's next attempt is restricted; None: unrestricted."""
 
     zone: int | None
     cell: int | None
@@ -48,7 +46,7 @@
         key_store: IdempotencyKeyStore | None,
         actions: list[Action],
     ) -> None:
-        """Append to `actions` what is to be done."""
+        """Initialize with the components that the rules depend on; actions are appended to `actions`."""
         self._settings = settings
         self._retry_window = retry_window
         self._slow_start = slow_start
@@ -59,9 +57,9 @@
         self._actions = actions
 
     def scope(self, now: int, request: Request) -> Scope | None:
-        """Return which endpoints the request's next attempt must keep to; None where there may be none.
+        """Return the scope of the request's next attempt; None if there must not be another attempt.
 
-        It is `EVERYWHERE` itself where nothing binds the attempt.
+        An unrestricted scope is the object `EVERYWHERE` itself, so that callers can compare by identity.
         """
         settings = self._settings
         max_attempts = settings.max_attempts if request.received.is_replayable else 1
@@ -84,7 +82,7 @@
         return EVERYWHERE
 
     def permits(self, now: int, request: Request, scope: Scope, endpoint: Endpoint) -> bool:
-        """Return whether the request's next attempt may go to this endpoint, in this scope."""
+        """Return whether the request's next attempt, in this scope, may go to the endpoint."""
         if not endpoint.is_routable or (scope.zone is not None and endpoint.zone != scope.zone):
             return False
         if scope.cell is not None and endpoint.cell != scope.cell:
@@ -92,13 +90,13 @@
         return now >= endpoint.warm_at or self._slow_start.permits(now, request, endpoint)
 
     def send(self, now: int, request: Request, endpoint: Endpoint) -> Attempt | None:
-        """Start the request's next attempt at the endpoint; None where a rule forbids it."""
+        """Start the request's next attempt at the endpoint; return None if a rule forbids it."""
         scope = self.scope(now, request) if request.is_open else None
         if scope is None or not self.permits(now, request, scope, endpoint):
             return None
         attempt = Attempt(request.attempt_count, request.class_index, endpoint, bool(request.in_flight), now)
         if self._idle_connections.is_expired(now, attempt):
-            # what is sent on a connection that was dropped is lost, and yet may have been executed
+            # a request sent on a dropped connection is lost, but has to count as possibly executed
             self._actions.append(CloseIdleConnections(endpoint.name))
             attempt.idle_time = 0
         is_key_known = request.attempt_count or self._key_store
@@ -109,7 +107,7 @@
         return attempt
 
     def record_end(self, request: Request, attempt: Attempt, outcome: Outcome) -> None:
-        """Take in how an attempt ended: it may have been executed unless that is disproved."""
+        """Record the end of an attempt: it may have been executed unless the outcome rules that out."""
         execution = PossibleExecution(attempt.endpoint.zone, attempt.endpoint.cell, attempt.sent_at)
         if outcome not in NEVER_EXECUTED:
             request.possible_executions.append(execution)
@@ -117,7 +115,7 @@
             self._key_store.discard(request.received.idempotency_key, execution)
 
     def respond(self, now: int, request: Request) -> None:
-        """Give the final response of a request that is given up: a rejection where a retry is harmless."""
+        """Give the final response to an abandoned request: a rejection if a client retry is harmless."""
         if not request.is_open:
             return
         request.is_open = False
@@ -127,26 +125,32 @@
         is_retry_harmless = request_class.idempotency is Idempotency.IDEMPOTENT or (
             has_key and is_key_known_to_all
         )
-        maximum = self._settings.max_retry_after
-        advice = min(maximum, request_class.latency_objective) if self._settings.may_send_retry_after else 0
+        max_retry_after = self._settings.max_retry_after
+        retry_after = (
+            min(max_retry_after, request_class.latency_objective)
+            if self._settings.may_send_retry_after
+            else 0
+        )
         may_be_executed = bool(self._executions(now, request))
         if self._key_store and may_be_executed and has_key:
-            # a retry is not harmless that comes when its key is forgotten
-            latest_retry = now + (maximum if self._overload_controller else advice)
+            # a client retry is not harmless after endpoints have forgotten the key
+            latest_retry = now + (max_retry_after if self._overload_controller else retry_after)
             is_retry_harmless = is_retry_harmless and latest_retry < self.key_expires_at(now, request)
         if may_be_executed and not is_retry_harmless:
             self._actions.append(FailRequest(request.request_id))
             return
-        if advice and self._overload_controller:
-            advice = self._overload_controller.retry_after(now, request_class.latency_objective, maximum)
-        self._actions.append(RejectRequest(request.request_id, advice))
+        if retry_after and self._overload_controller:
+            retry_after = self._overload_controller.retry_after(
+                now, request_class.latency_objective, max_retry_after
+            )
+        self._actions.append(RejectRequest(request.request_id, retry_after))
 
     def close(self, request: Request) -> None:
-        """Allow the request nothing more: its client has a response from an endpoint, or has disconnected."""
+        """Forbid further attempts and responses: the client has a response, or has disconnected."""
         request.is_open = False
 
     def key_expires_at(self, now: int, request: Request) -> int:
-        """Return when endpoints begin to forget the request's key; 0 if none can know it, or it has none."""
+        """Return when endpoints begin to forget the request's key; 0 if it has none or none can know it."""
         if request.request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return 0
         executions = self._executions(now, request)
@@ -155,11 +159,11 @@
         return min(each.sent_at for each in executions) + request.request_class.deduplication_window
 
     def stored_key_expires_at(self, now: int, request: Request) -> int:
-        """Return the same where keys are stored across requests, else 0."""
+        """Return `key_expires_at` if keys are stored across requests, and 0 otherwise."""
         return self.key_expires_at(now, request) if self._key_store else 0
 
     def _executions(self, now: int, request: Request) -> list[PossibleExecution]:
-        """Return all that may have been executed, or may yet be; under its key, where stored."""
+        """Return the executions that are possible now or later, of all requests with its key if stored."""
         if self._key_store and self._has_stored_key(request):
             return self._key_store.executions(now, request.received.idempotency_key)
         in_flight = [
@@ -173,11 +177,11 @@
         return bool(request.received.idempotency_key) and has_key
 
     def _record(self, now: int, request: Request, attempt: Attempt) -> None:
-        """Count the attempt everywhere before it starts."""
+        """Record the attempt in all state that counts attempts, before it starts."""
         endpoint = attempt.endpoint
         request.in_flight[attempt.number] = attempt
         if request.received.is_replayable:
-            # the time of a body that is forwarded as it comes runs from its last byte
+            # a streamed body counts as load only after its last byte was sent
             endpoint.in_flight[(request.request_id, attempt.number)] = attempt
         if self._key_store and self._has_stored_key(request):
             execution = PossibleExecution(endpoint.zone, endpoint.cell, now)
@@ -190,7 +194,7 @@
 
 
 def _deduplication_scope(request: Request, execution: PossibleExecution) -> Scope:
-    """Return the endpoints that know the request's key if this attempt was executed."""
+    """Return the scope that knows the request's key if this attempt was executed."""
     match request.request_class.deduplication_scope:
         case DeduplicationScope.ALL:
             return EVERYWHERE
--- a/linetrack/policy/success_model.py
+++ b/linetrack/policy/success_model.py
@@ -1,4 +1,4 @@
-"""The probability that an attempt finds capacity and ends without an error."""
+"""Estimates the probability that an attempt is accepted and ends without an error."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import NamedTuple
 
 from linetrack.policy.decaying_average import (
-    DECAY_TIME,
     EWMA_WEIGHT,
+    OBSERVATION_DECAY_TIME,
     SLOWEST_EWMA_WEIGHT,
     DecayingAverage,
     decayed,
@@ -18,36 +18,36 @@
 from linetrack.policy.events import Outcome
 from linetrack.policy.settings import Settings
 
-MAX_FAILURE_PROBABILITY = 0.9  # of one kind of failure: no endpoint is without any chance
+MAX_FAILURE_PROBABILITY = 0.9  # maximum per kind of failure, so that every endpoint can be selected
 
 
 class SuccessState(NamedTuple):
-    """What was learnt, in a form that another process can take over."""
+    """The learnt state, in a form that another process can import."""
 
     usual_error_ratio: float
     connect_failures: DecayingAverage
 
 
 class SuccessModel:
-    """Learns which attempts are rejected or fail, by endpoint, zone and request class."""
+    """Learns the ratios of rejected and failed attempts, by endpoint, zone and request class."""
 
     def __init__(self, settings: Settings, endpoints: Mapping[str, Endpoint]) -> None:
-        """Start without failures; `endpoints` are the listed ones, by name."""
+        """Initialize without failures; `endpoints` are the listed ones, by name."""
         self._settings = settings
         self._endpoints = endpoints
         self._connect_failures = DecayingAverage()  # ratio of connection attempts that failed
-        self._rejections: defaultdict[int, DecayingAverage] = defaultdict(DecayingAverage)  # ratio, by zone
+        self._rejections: defaultdict[int, DecayingAverage] = defaultdict(DecayingAverage)  # ratio by zone
         self._usual_error_ratio = 0.0
-        self._zone_acceptance: dict[int, float] = {}  # of this event
+        self._zone_acceptance: dict[int, float] = {}  # cache for the current event
 
     def start_event(self) -> None:
-        """Drop what was worked out for the event before."""
+        """Clear the values cached for the previous event."""
         self._zone_acceptance.clear()
 
     def zone_acceptance(self, now: int, zone: int) -> float:
-        """Return the probability that an endpoint of the zone has room for an attempt.
+        """Return the probability that an endpoint of the zone accepts an attempt.
 
-        Queues may be full at many endpoints of a zone at once, so rejections count for the zone.
+        Rejections count for the whole zone, as queues are often full at many of its endpoints at once.
         """
         if zone not in self._zone_acceptance:
             rejections = self._rejections.get(zone)
@@ -56,10 +56,11 @@
         return self._zone_acceptance[zone]
 
     def success_probability(self, now: int, endpoint: Endpoint, class_index: int) -> float:
-        """Return the probability that an attempt of the class finds room at the endpoint and no error.
+        """Return the probability that the endpoint accepts an attempt of the class and serves it.
 
-        Errors that are usual are left out: while any response may fail by chance, the ratio of few responses
-        strays by up to its root, and healthy endpoints would be avoided one after the other.
+        The usual error ratio is excluded: if any response may fail by chance, an error ratio measured over
+        few responses deviates by up to the square root of the usual one, and healthy endpoints would be
+        avoided one after the other.
         """
         probability = self.zone_acceptance(now, endpoint.zone)
         if self._settings.max_streams_per_connection > 1 and endpoint.connected_until < now:
@@ -72,33 +73,33 @@
         return probability
 
     def excess_error_ratio(self, now: int, endpoint: Endpoint, class_index: int) -> float:
-        """Return the endpoint's error ratio for a class over what is usual; may be negative.
+        """Return the endpoint's error ratio for a class in excess of the usual one; it may be negative.
 
-        The class's own ratio counts while it is fresh, then that of all classes.
+        The ratio of the class decays to that of all classes.
         """
         own = endpoint.class_errors.get(class_index)
         ratio = endpoint.error_ratio
         if own:
-            ratio = decayed(now, own.ratio, own.updated_at, endpoint.error_ratio, DECAY_TIME)
+            ratio = decayed(now, own.ratio, own.updated_at, endpoint.error_ratio, OBSERVATION_DECAY_TIME)
         return ratio - math.sqrt(self._usual_error_ratio)
 
     def record_connect(self, now: int, is_failed: bool) -> None:
-        """Take in whether a connection could be opened."""
+        """Record whether a connection could be opened."""
         self._connect_failures.add(now, float(is_failed))
 
     def record_acceptance(self, now: int, zone: int, is_rejected: bool) -> None:
-        """Take in whether an endpoint of the zone had room for an attempt."""
+        """Record whether an endpoint of the zone accepted an attempt."""
         self._rejections[zone].add(now, float(is_rejected))
 
     def record_outcome(self, now: int, endpoint: Endpoint, class_index: int, outcome: Outcome) -> None:
-        """Take in whether an attempt failed; a rejection is no failure."""
+        """Record whether an attempt failed; a rejection is not a failure."""
         is_failed = outcome not in (Outcome.SUCCESS, Outcome.OVERLOADED)
         own = endpoint.class_errors.get(class_index)
         ratio = own.ratio if own else endpoint.error_ratio
         endpoint.class_errors[class_index] = ClassErrorRatio(ratio + EWMA_WEIGHT * (is_failed - ratio), now)
         endpoint.error_ratio += EWMA_WEIGHT * (is_failed - endpoint.error_ratio)
-        # refused connections and silence are left out: half of the endpoints may be unreachable at
-        # once, which is not to be taken for usual
+        # failed connections and timeouts are excluded, as half of the endpoints may be unreachable at once,
+        # which must not count as usual
         is_fault = outcome in (Outcome.ERROR, Outcome.RESET)
         endpoint.fault_ratio += SLOWEST_EWMA_WEIGHT * (is_fault - endpoint.fault_ratio)
         if is_failed:
@@ -106,20 +107,20 @@
             self._usual_error_ratio = ratios[(len(ratios) - 1) // 2] if ratios else 0.0
 
     def keep_only(self, zones: set[int]) -> None:
-        """Forget zones that no listed endpoint has."""
+        """Drop the state of zones that no listed endpoint has."""
         for zone in self._rejections.keys() - zones:
             del self._rejections[zone]
 
     def take_over(self, predecessor: SuccessModel) -> None:
-        """Go on with what an instance under other settings learnt."""
+        """Take over what an instance under other settings learnt."""
         self._connect_failures = predecessor._connect_failures
         self._rejections = predecessor._rejections
 
     def export_state(self) -> SuccessState:
-        """Return what was learnt."""
+        """Return the learnt state."""
         return SuccessState(self._usual_error_ratio, self._connect_failures)
 
     def import_state(self, state: SuccessState) -> None:
-        """Take over what was learnt elsewhere."""
+        """Replace the learnt state with that of another process."""
         self._usual_error_ratio = state.usual_error_ratio
         self._connect_failures = state.connect_failures
--- a/linetrack/policy/tenant_quotas.py
+++ b/linetrack/policy/tenant_quotas.py
@@ -1,6 +1,6 @@
-"""How much of a request's value its tenant's quota leaves it.
+"""Reduces the value of requests beyond their tenant's quota.
 
-Requests beyond the quota have less value, so that the burst of one tenant does not displace all others.
+This keeps a burst of one tenant from displacing the requests of all others.
 """
 
 from __future__ import annotations
@@ -12,27 +12,28 @@
 from linetrack.policy.settings import Settings
 from linetrack.policy.time_units import SECOND
 
-RATE_DECAY_TIME = 5 * SECOND  # a tenant's own rate is counted over about this time
-CHANCE_DEVIATIONS = 2.5  # standard deviations of chance that a tenant's requests may exceed its quota by
+RATE_DECAY_TIME = 5 * SECOND  # time constant of the request counts
+# Standard deviations by which the requests of a tenant may randomly exceed its quota.
+QUOTA_MARGIN_DEVIATIONS = 2.5
 
 
 class RequestCount(NamedTuple):
-    """Requests of one tenant, fading with time."""
+    """The exponentially decayed number of requests of one tenant."""
 
     requests: float
     updated_at: int
 
 
 class TenantQuotas:
-    """Counts the requests of each tenant, retries by its clients aside."""
+    """Counts the requests of each tenant, without client retries."""
 
     def __init__(self, settings: Settings) -> None:
-        """Judge by the quotas of these settings."""
+        """Initialize with the quotas of these settings."""
         self._settings = settings
         self._counts: dict[int, RequestCount] = {}
 
     def record_request(self, now: int, request: RequestReceived) -> float:
-        """Count a request; return the share of its value that the quota leaves it."""
+        """Count a request; return the factor that the quota applies to its value."""
         settings = self._settings
         if request.tenant >= len(settings.tenant_quotas):
             return 1.0
@@ -40,5 +41,5 @@
         count = count * math.exp((updated_at - now) / RATE_DECAY_TIME) + (not request.is_retry)
         self._counts[request.tenant] = RequestCount(count, now)
         quota = settings.tenant_quotas[request.tenant] * RATE_DECAY_TIME / SECOND / settings.instance_count
-        excess = max(0.0, 1 - (quota + CHANCE_DEVIATIONS * math.sqrt(quota)) / max(count, 1e-9))
+        excess = max(0.0, 1 - (quota + QUOTA_MARGIN_DEVIATIONS * math.sqrt(quota)) / max(count, 1e-9))
         return 1 - excess * (1 - settings.over_quota_weight)
--- a/linetrack/policy/traffic_share.py
+++ b/linetrack/policy/traffic_share.py
@@ -1,8 +1,8 @@
-"""Estimates which share of the fleet's traffic one instance carries.
+"""Estimates the share of the fleet's traffic that one instance carries.
 
-Instances share nothing, but the load report of an endpoint holds the rate of requests that it serves for all
-instances together.  The own sends, divided by the sum of these rates over all warm endpoints, are the own
-share.  Warming endpoints are left out of both, as their rates are rarely reported.  Rates are in requests a
+Instances share no state, but the load report of an endpoint contains its request rate from all instances
+together.  The share is this instance's send rate divided by the sum of these rates over all warm endpoints.
+Warming endpoints are excluded from both, as their rates are rarely reported.  Rates are in requests per
 microsecond, times in microseconds.
 """
 
@@ -12,39 +12,39 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from linetrack.policy.decaying_average import DECAY_TIME, DecayingAverage
+from linetrack.policy.decaying_average import OBSERVATION_DECAY_TIME, DecayingAverage
 from linetrack.policy.endpoint import Endpoint
 from linetrack.policy.time_units import SECOND
 
-SEND_DECAY_TIME = 5 * SECOND  # time constant of the count of own sends
-SHARE_LIFETIME = SECOND  # an estimate stands for so long, as it takes a look at every endpoint
-EVEN_WEIGHT = 0.25  # weight of the even share in each estimate, so that no instance ends up without any
+SEND_DECAY_TIME = 5 * SECOND  # time constant of the count of this instance's sends
+SHARE_LIFETIME = SECOND  # time for which an estimate is cached, as it iterates over every endpoint
+EVEN_SHARE_WEIGHT = 0.25  # weight of the even share in an estimate, so that each instance gets some
 
 
 class TrafficShare:
-    """The estimate of one instance.  The estimates of all instances add up to about one."""
+    """Maintains the estimate of one instance.  The estimates of all instances add up to about 1."""
 
     def __init__(self, instance_count: int) -> None:
-        """Start with the even share."""
-        self._even = 1.0 / instance_count
+        """Initialize with the even share."""
+        self._even_share = 1.0 / instance_count
         self._sends = 0.0
         self._sends_at = 0
         self._fleet_rate = 0.0
         self._fleet_rate_at = 0
-        self._share = self._even
+        self._share = self._even_share
         self._expires_at = 0
 
     def record_send(self, now: int) -> None:
-        """Count one send to a warm endpoint."""
+        """Record a send to a warm endpoint."""
         self._sends = 1.0 + self._recent_sends(now)
         self._sends_at = now
 
     def estimate(
         self, now: int, endpoints: Iterable[Endpoint], rates: Mapping[int, DecayingAverage]
     ) -> float:
-        """Return the share, over 0 and at most 1; the even share while some host class has not reported.
+        """Return the share, over 0 and at most 1; the even share until every host class has reported.
 
-        `rates` holds the reported rate of a warm endpoint by host class.
+        `rates` holds the mean reported request rate of warm endpoints by host class.
         """
         if now >= self._expires_at:
             self._share = self._measure(now, endpoints, rates)
@@ -54,18 +54,22 @@
     def _measure(
         self, now: int, endpoints: Iterable[Endpoint], rates: Mapping[int, DecayingAverage]
     ) -> float:
-        warm = Counter(each.host_class for each in endpoints if each.is_routable and now >= each.warm_at)
-        if not warm or not all(host_class in rates and rates[host_class].weight for host_class in warm):
-            return self._even
-        rate = sum(count * rates[host_class].value for host_class, count in warm.items())
-        # When instances fail, those that are left serve most of the rate while those that start again claim
-        # the even share.  The highest rate is therefore remembered for a while, or shares would exceed one.
-        remembered = self._fleet_rate * math.exp((self._fleet_rate_at - now) / DECAY_TIME)
-        self._fleet_rate = max(rate, remembered)
+        warm_counts = Counter(
+            each.host_class for each in endpoints if each.is_routable and now >= each.warm_at
+        )
+        if not warm_counts or not all(
+            host_class in rates and rates[host_class].weight for host_class in warm_counts
+        ):
+            return self._even_share
+        rate = sum(count * rates[host_class].value for host_class, count in warm_counts.items())
+        # When instances fail, the remaining ones carry most of the current rate, while restarted ones assume
+        # the even share: the shares would add up to more than 1.  The highest rate therefore decays slowly.
+        decayed_rate = self._fleet_rate * math.exp((self._fleet_rate_at - now) / OBSERVATION_DECAY_TIME)
+        self._fleet_rate = max(rate, decayed_rate)
         self._fleet_rate_at = now
-        sends = self._fleet_rate * SEND_DECAY_TIME
-        measured = min(1.0, self._recent_sends(now) / max(1.0, sends))
-        return EVEN_WEIGHT * self._even + (1.0 - EVEN_WEIGHT) * measured
+        expected_fleet_sends = self._fleet_rate * SEND_DECAY_TIME
+        measured = min(1.0, self._recent_sends(now) / max(1.0, expected_fleet_sends))
+        return EVEN_SHARE_WEIGHT * self._even_share + (1.0 - EVEN_SHARE_WEIGHT) * measured
 
     def _recent_sends(self, now: int) -> float:
         return self._sends * math.exp((self._sends_at - now) / SEND_DECAY_TIME)
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -131,7 +131,7 @@
         return WeightedEndpoints(part, latencies, [1.0] * len(part), [1.0] * len(part))
 
     monkeypatch.setattr(balancer.weights, "weigh", weigh)
-    monkeypatch.setattr(candidate_selection, "SPILLOVER_WIDTH", 0.0)
+    monkeypatch.setattr(candidate_selection, "FULL_SPILLOVER_GAIN", 0.0)
     went = {sends(driver.ask()[1])[0] for _ in range(40)}
     assert went == {"a0"} if away else "a0" not in went
 
--- a/tests/policy/test_class_statistics.py
+++ b/tests/policy/test_class_statistics.py
@@ -23,7 +23,7 @@
     classes = ClassStatistics(settings())
     for class_index, is_served in ends:
         classes.record_completion(class_index, is_served)
-    parts = [classes.worst_served_part(class_index, 3.0) for class_index in range(len(CLASSES))]
+    parts = [classes.worst_served_weight(class_index, 3.0) for class_index in range(len(CLASSES))]
     assert sum(parts) == pytest.approx(3.0)
 
 
--- a/tests/policy/test_endpoint.py
+++ b/tests/policy/test_endpoint.py
@@ -10,10 +10,10 @@
 
 
 @given(strategies.text(min_size=1), strategies.integers(0, 2**32 - 1))
-def test_a_rendezvous_rank_is_over_zero_and_at_most_one(name: str, mark: int) -> None:
-    rank = Endpoint(EndpointEntry(name)).rendezvous_rank(mark)
+def test_a_rendezvous_rank_is_over_zero_and_at_most_one(name: str, key_hash: int) -> None:
+    rank = Endpoint(EndpointEntry(name)).rendezvous_rank(key_hash)
     assert 0 < rank <= 1
-    assert rank == Endpoint(EndpointEntry(name, zone=3)).rendezvous_rank(mark)
+    assert rank == Endpoint(EndpointEntry(name, zone=3)).rendezvous_rank(key_hash)
 
 
 def test_an_endpoint_warms_up_evenly_from_its_initial_fraction() -> None:
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -125,10 +125,12 @@
         reports.record_report(second * SECOND, busy, (8.0,))
         reports.record_report(second * SECOND, idle, (0.0,))
     now = 59 * SECOND
-    assert reports.load_beyond_own(now, busy) == pytest.approx(8.0, rel=0.01)
+    assert reports.load_from_other_instances(now, busy) == pytest.approx(8.0, rel=0.01)
     later = now + 30 * SECOND
-    assert reports.load_beyond_own(later, busy) == pytest.approx(reports.load_beyond_own(later, idle))
-    assert 2.0 < reports.load_beyond_own(later, busy) < 6.0
+    assert reports.load_from_other_instances(later, busy) == pytest.approx(
+        reports.load_from_other_instances(later, idle)
+    )
+    assert 2.0 < reports.load_from_other_instances(later, busy) < 6.0
 
 
 @pytest.mark.parametrize("value", [1e300, 1e-300, float("inf"), float("nan"), -1.0])
--- a/tests/policy/test_traffic_share.py
+++ b/tests/policy/test_traffic_share.py
@@ -18,7 +18,7 @@
 )
 from linetrack.policy.settings import LoadField
 from linetrack.policy.time_units import SECOND
-from linetrack.policy.traffic_share import EVEN_WEIGHT, SEND_DECAY_TIME, SHARE_LIFETIME, TrafficShare
+from linetrack.policy.traffic_share import EVEN_SHARE_WEIGHT, SEND_DECAY_TIME, SHARE_LIFETIME, TrafficShare
 from tests.helpers import IDEMPOTENT, MS, settings
 
 BEGIN = 1000 * SECOND
@@ -45,7 +45,7 @@
     even, measured = 1 / 40, 0.2
     # a fifth of the 100 requests a second that ten endpoints report together, for 20 s
     assert estimate_after(40, 400, 10.0) == pytest.approx(
-        EVEN_WEIGHT * even + (1 - EVEN_WEIGHT) * measured, rel=0.1
+        EVEN_SHARE_WEIGHT * even + (1 - EVEN_SHARE_WEIGHT) * measured, rel=0.1
     )
 
 
