--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Value against cost, load shedding, quotas, and classes that are late wherever they go."""
+"""Admission control: values against costs, load shedding, tenant quotas, and failing classes."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 from tests.helpers import IDEMPOTENT, KEYED_EVERYWHERE, MS, SECOND, Driver, listed_entries, sends
 
 
-def test_overload_is_shed_at_once_and_shedding_does_not_last() -> None:
-    """Shed requests have no outcomes, so an estimate that sheds everything must fade by itself."""
+def test_load_is_shed_under_overload_and_admitted_again_after_it() -> None:
+    """Shed requests have no outcomes, so estimates that shed every request must decay with time."""
     driver = Driver(entries=listed_entries(2, 0))
     rejected = 0
     for _ in range(90):
@@ -40,8 +40,8 @@
     assert sends(driver.ask()[1])
 
 
-def one_received() -> tuple[Balancer, Request, Endpoint]:
-    """Return a balancer used to 100 ms, a request that it has just received, and one of its endpoints."""
+def balancer_with_open_request() -> tuple[Balancer, Request, Endpoint]:
+    """Return a balancer that has learnt latencies of 100 ms, an open request, and one of its endpoints."""
     driver = Driver()
     for _ in range(30):
         driver.serve(latency=100 * MS)
@@ -50,15 +50,15 @@
 
 
 def test_congestion_raises_the_cost_of_work() -> None:
-    """One more request delays the others the more, the longer requests take than without congestion."""
+    """The delay that one more request causes grows with the ratio of latencies to uncongested ones."""
     net_values = []
     latencies = []
     for congestion in (0.0, 1.0):
-        balancer, request, endpoint = one_received()
+        balancer, request, endpoint = balancer_with_open_request()
         model = balancer.models.latency
         endpoint.in_flight.clear()
         endpoint.latency_factor = DecayingAverage()
-        # the same latency is expected both times, once as baseline and once as congestion
+        # the expected latency is the same in both runs; in the second, part of it is due to congestion
         state = model.export_state()._replace(
             baseline=math.log(200.0 * MS) - congestion,
             mean_endpoint_factor=0.0,
@@ -74,13 +74,13 @@
     assert net_values[1] < net_values[0]
 
 
-def test_many_late_responses_make_work_dearer() -> None:
-    """A jam can look like slow endpoints; that responses are late raises the cost of work all the same."""
+def test_many_late_responses_raise_the_cost_of_work() -> None:
+    """The model may mistake congestion for slow endpoints, so late responses raise the cost as well."""
     net_values = []
-    for late in (0.05, 0.5):
-        balancer, request, endpoint = one_received()
+    for late_ratio_value in (0.05, 0.5):
+        balancer, request, endpoint = balancer_with_open_request()
         admission = balancer.admission
-        late_ratio = DecayingAverage(late, 1.0, balancer.now)
+        late_ratio = DecayingAverage(late_ratio_value, 1.0, balancer.now)
         admission.import_state(admission.export_state()._replace(late_ratio=late_ratio))
         admission.assess(balancer.now, request)
         weighted = WeightedEndpoints([endpoint], [400.0 * MS], [1.0], [])
@@ -88,7 +88,7 @@
     assert net_values[1] < net_values[0]
 
 
-def test_a_tenant_beyond_its_quota_loses_value_and_one_within_keeps_it() -> None:
+def test_requests_of_a_tenant_lose_value_only_beyond_its_quota() -> None:
     driver = Driver(
         tenant_quotas=(30.0, 30.0), over_quota_weight=0.1, instance_count=3, slow_start_duration=0
     )
@@ -102,7 +102,7 @@
     assert 0.1 < quota_factors[0] < 0.4
 
 
-def test_client_retries_do_not_count_as_a_tenants_traffic() -> None:
+def test_client_retries_do_not_count_towards_a_tenants_quota() -> None:
     quotas = TenantQuotas(helpers.settings(tenant_quotas=(30.0,), over_quota_weight=0.1, instance_count=3))
     for number in range(300):
         received = RequestReceived(number, IDEMPOTENT, SECOND, 0, is_retry=number % 10 != 0)
@@ -110,18 +110,24 @@
     assert quotas.record_request(1003 * SECOND, RequestReceived(999, IDEMPOTENT, SECOND, 0)) == 1.0
 
 
-def test_a_client_retry_with_less_time_is_judged_by_what_the_first_request_used() -> None:
+def test_a_client_retry_with_a_shorter_timeout_counts_the_time_used_before_it() -> None:
     driver = Driver(slow_start_duration=0)
     driver.ask(timeout=SECOND)
     driver.feed(RequestReceived(7, IDEMPOTENT, 800 * MS, is_retry=True), 10 * MS)
     driver.feed(RequestReceived(8, IDEMPOTENT, SECOND, is_retry=True), 10 * MS)
     driver.feed(RequestReceived(9, IDEMPOTENT, 800 * MS), 10 * MS)
-    at = {n: driver.now - driver.balancer.lifecycle.requests[n].started_at for n in (7, 8, 9)}
-    assert at == {7: 1200 * MS + 20 * MS, 8: 10 * MS, 9: 0}
+    ages = {
+        request_id: driver.now - driver.balancer.lifecycle.requests[request_id].started_at
+        for request_id in (7, 8, 9)
+    }
+    assert ages == {7: 1200 * MS + 20 * MS, 8: 10 * MS, 9: 0}
 
 
-def admitted(driver: Driver, class_index: int, latency: int, count: int = 40) -> int:
-    """Of so many requests of each of two classes, how many of this one were sent; the other's are quick."""
+def count_admitted(driver: Driver, class_index: int, latency: int, count: int = 40) -> int:
+    """Serve `count` requests of each of two classes; return how many of this class were sent.
+
+    Responses to the other class are fast.
+    """
     sent = 0
     for _ in range(count):
         driver.now += 20 * MS
@@ -129,31 +135,33 @@
         request, actions = driver.ask(class_index)
         if endpoints := sends(actions):
             sent += 1
-            driver.now -= latency  # both are in flight at once; their latencies alone matter here
+            driver.now -= latency  # move the clock back: only the latency matters, not the order
             driver.end(request, endpoints[0], latency=latency)
     return sent
 
 
-def test_a_class_that_alone_is_late_everywhere_is_sampled_only() -> None:
-    """Its requests take capacity from all others, which would be shed as in an overload."""
+def test_only_a_sample_is_admitted_of_a_class_that_alone_is_late() -> None:
+    """Its requests would take capacity from other classes, which would be shed as in an overload."""
     driver = Driver(max_attempts=1)
-    assert admitted(driver, KEYED_EVERYWHERE, 50 * MS) == 40
-    admitted(driver, KEYED_EVERYWHERE, 900 * MS, 20)
-    assert 0 < admitted(driver, KEYED_EVERYWHERE, 900 * MS, 200) < 30
-    assert sends(driver.ask(IDEMPOTENT)[1]), "the others go on"
-    admitted(driver, KEYED_EVERYWHERE, 50 * MS, 200)
-    assert admitted(driver, KEYED_EVERYWHERE, 50 * MS, 20) == 20, "and the few that are sampled bring it back"
+    assert count_admitted(driver, KEYED_EVERYWHERE, 50 * MS) == 40
+    count_admitted(driver, KEYED_EVERYWHERE, 900 * MS, 20)
+    assert 0 < count_admitted(driver, KEYED_EVERYWHERE, 900 * MS, 200) < 30
+    assert sends(driver.ask(IDEMPOTENT)[1]), "the other class is still admitted"
+    count_admitted(driver, KEYED_EVERYWHERE, 50 * MS, 200)
+    assert count_admitted(driver, KEYED_EVERYWHERE, 50 * MS, 20) == 20, (
+        "responses to the sample readmit the class"
+    )
 
 
 def test_classes_that_are_late_together_are_not_failing() -> None:
     driver = Driver()
-    late = 0
+    late_count = 0
     for class_index in (IDEMPOTENT, KEYED_EVERYWHERE) * 20:
         request, actions = driver.ask(class_index, after=6 * SECOND)
         if endpoints := sends(actions):
-            late += 1
+            late_count += 1
             driver.end(request, endpoints[0], latency=900 * MS)
-    assert late > 20
+    assert late_count > 20
     classes = driver.balancer.models.classes
     assert classes.relative_on_time_ratio(driver.now, IDEMPOTENT) > 0.5
     assert classes.relative_on_time_ratio(driver.now, KEYED_EVERYWHERE) > 0.5
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -1,4 +1,4 @@
-"""A request's life: waiting, hedging, retries and final responses."""
+"""The lifecycle of requests: waiting, hedging, retries and final responses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.helpers import MS, SECOND, Driver, listed_entries, sends
 
 
-def test_empty_list_is_answered_promptly() -> None:
+def test_a_request_is_rejected_promptly_if_the_endpoint_list_is_empty() -> None:
     driver = Driver(entries=())
     request, actions = driver.ask()
     waited = 0
@@ -29,7 +29,7 @@
     assert waited <= 250 * MS
 
 
-def test_waiting_request_is_sent_once_an_endpoint_appears() -> None:
+def test_a_waiting_request_is_sent_once_an_endpoint_is_listed() -> None:
     driver = Driver(entries=())
     request, actions = driver.ask()
     driver.feed(EndpointListUpdate(ListForm.DELTA, listed_entries(1, 0)))
@@ -38,7 +38,7 @@
     assert isinstance(actions[0], SetTimer)
 
 
-def test_hedged_attempt_goes_to_the_second_candidate_after_the_timer() -> None:
+def test_a_hedged_attempt_goes_to_the_second_candidate_after_the_timer() -> None:
     driver = Driver()
     for _ in range(60):
         driver.serve()
@@ -52,22 +52,22 @@
     assert hedged == [second.name]
 
 
-def test_a_hedged_attempt_waits_while_it_would_still_be_in_time_itself() -> None:
-    # the first attempt mostly answers by itself before a hedged one would gain anything
+def test_a_hedged_attempt_is_delayed_while_it_can_still_meet_the_objective() -> None:
+    # most first attempts are answered before a hedged attempt would gain anything
     driver = Driver()
     for _ in range(50):
         driver.serve(latency=20 * MS)
     _, actions = driver.ask()
-    (wait,) = [a.delay for a in actions if isinstance(a, SetTimer)]
-    assert 250 * MS < wait < 450 * MS  # of 500 ms; three expected latencies are some 60 ms
+    (delay,) = [a.delay for a in actions if isinstance(a, SetTimer)]
+    assert 250 * MS < delay < 450 * MS  # of a 500 ms objective; three expected latencies are about 60 ms
     for _ in range(50):
         driver.serve(latency=150 * MS)
     _, actions = driver.ask()
-    (wait,) = [a.delay for a in actions if isinstance(a, SetTimer)]
-    assert wait > 300 * MS  # three expected latencies
+    (delay,) = [a.delay for a in actions if isinstance(a, SetTimer)]
+    assert delay > 300 * MS  # three expected latencies
 
 
-def test_losing_attempt_is_cancelled_only_where_allowed() -> None:
+def test_the_slower_attempt_is_cancelled_only_where_allowed() -> None:
     for allowed in (True, False):
         driver = Driver(may_cancel=allowed)
         for _ in range(60):
@@ -78,15 +78,15 @@
         assert actions == ([CancelAttempt(request, 1)] if allowed else [])
 
 
-def test_what_was_never_executed_is_retried_without_budget() -> None:
-    # what one endpoint rejects must not be given up while the others have room
+def test_an_attempt_that_was_never_executed_is_retried_without_budget() -> None:
+    # a request that one endpoint rejects must not be given up while others have capacity
     driver = Driver()
     driver.balancer.retry_budget.tokens = 0.0
     for _ in range(30):
-        went = driver.finish(
-            lambda u: (Outcome.OVERLOADED, 1 * MS) if u == "h0" else (Outcome.SUCCESS, 5 * MS)
+        attempted = driver.finish(
+            lambda endpoint: (Outcome.OVERLOADED, 1 * MS) if endpoint == "h0" else (Outcome.SUCCESS, 5 * MS)
         )
-        assert went[-1] != "h0"
+        assert attempted[-1] != "h0"
         driver.balancer.retry_budget.tokens = 0.0
         driver.balancer.endpoints["h0"].ejections.clear()
 
@@ -95,44 +95,44 @@
     return [a for a in actions if isinstance(a, SetTimer) and a.token.startswith("copy:")]
 
 
-def count_hedged(driver: Driver, count: int) -> int:
-    """Return how many hedged attempts are started for so many requests without a response."""
-    out = 0
+def count_hedged_attempts(driver: Driver, count: int) -> int:
+    """Return how many hedged attempts are started for `count` requests that get no response."""
+    hedged = 0
     for _ in range(count):
         _, actions = driver.ask()
         for timer in hedge_timers(list(actions)):
-            out += len(sends(driver.feed(TimerFired(timer.token))))
-    return out
+            hedged += len(sends(driver.feed(TimerFired(timer.token))))
+    return hedged
 
 
 def test_an_instance_starts_without_a_burst_of_hedged_attempts() -> None:
-    # hundreds of instances may start together
-    assert count_hedged(Driver(slow_start_duration=0), 6) == 0
+    # hundreds of instances may start at the same time
+    assert count_hedged_attempts(Driver(slow_start_duration=0), 6) == 0
 
 
-def test_hedged_attempts_that_gain_nothing_are_few_and_those_that_serve_pay_for_the_next() -> None:
-    idle, serving = Driver(slow_start_duration=0), Driver(slow_start_duration=0)
+def test_hedged_attempts_are_few_unless_they_serve_their_requests_and_are_refunded() -> None:
+    unrefunded, refunded = Driver(slow_start_duration=0), Driver(slow_start_duration=0)
     served = 0
-    for driver in (idle, serving):
+    for driver in (unrefunded, refunded):
         for _ in range(40):
             driver.serve()
     for _ in range(30):
-        request, actions = serving.ask()
+        request, actions = refunded.ask()
         first = sends(actions)[0]
-        out = sends(serving.feed(TimerFired(hedge_timers(list(actions))[0].token), 20 * MS))
-        if out:
+        hedged = sends(refunded.feed(TimerFired(hedge_timers(list(actions))[0].token), 20 * MS))
+        if hedged:
             served += 1
-            serving.end(request, out[0], attempt=1)
-            serving.end(request, first, Outcome.CANCELLED)
+            refunded.end(request, hedged[0], attempt=1)
+            refunded.end(request, first, Outcome.CANCELLED)
         else:
-            serving.end(request, first)
-    assert count_hedged(idle, 30) <= 3
+            refunded.end(request, first)
+    assert count_hedged_attempts(unrefunded, 30) <= 3
     assert served > 20
 
 
 @pytest.mark.parametrize("streams", [1, 100])
-def test_what_is_given_up_is_answered_at_once(streams: int) -> None:
-    """Nothing is held back for the client's sake: the answer stands among the actions of the same event."""
+def test_an_abandoned_request_is_rejected_within_the_same_event(streams: int) -> None:
+    """Rejections must not be delayed to slow down clients."""
     driver = Driver(
         entries=listed_entries(2, 0),
         max_streams_per_connection=streams,
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""The policy as a whole: one seed gives one run, and events that come late do no harm."""
+"""The policy as a whole: it is deterministic for a seed, and ignores late and unknown events."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_decaying_average.py
+++ b/tests/policy/test_decaying_average.py
@@ -1,4 +1,4 @@
-"""Averages that forget."""
+"""Moving averages that decay over time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tests.helpers import SECOND
 
 
-def test_observations_count_by_number_and_freshness() -> None:
-    figure = DecayingAverage()
-    assert figure.estimate(0, 1.0) == 1.0
-    figure.add(0, 5.0)
-    one = figure.estimate(0, 1.0)
-    figure.add(0, 5.0)
-    assert 1.0 < one < figure.estimate(0, 1.0) < 5.0
-    assert figure.estimate(120 * SECOND, 1.0) == pytest.approx(1.0, abs=0.01)
+def test_an_estimate_depends_on_the_number_and_age_of_observations() -> None:
+    average = DecayingAverage()
+    assert average.estimate(0, 1.0) == 1.0
+    average.add(0, 5.0)
+    first_estimate = average.estimate(0, 1.0)
+    average.add(0, 5.0)
+    assert 1.0 < first_estimate < average.estimate(0, 1.0) < 5.0
+    assert average.estimate(120 * SECOND, 1.0) == pytest.approx(1.0, abs=0.01)
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Lists, drains, removals that are advisory, and the subscription."""
+"""Endpoint lists: draining, removal, advisory removal, and the subscription."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     return Counter(driver.serve() for _ in range(count))
 
 
-def test_draining_and_missing_endpoints_get_nothing() -> None:
+def test_draining_and_removed_endpoints_get_no_attempts() -> None:
     driver = Driver()
     driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
     driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),)))
@@ -39,19 +39,19 @@
 
 def test_discovery_is_polled_again_with_backoff_and_jitter() -> None:
     driver = Driver(must_subscribe=True, poll_interval=8 * SECOND, entries=())
-    waits = []
+    delays = []
     for _ in range(6):
         timers = driver.feed(EndpointListUpdate(ListForm.REJECTED))
         assert isinstance(timers[0], SetTimer)
-        waits.append(timers[0].delay)
+        delays.append(timers[0].delay)
         assert driver.feed(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
-    assert waits[0] <= 1.5 * SECOND < 2 * SECOND <= waits[-1] <= 6 * SECOND
+    assert delays[0] <= 1.5 * SECOND < 2 * SECOND <= delays[-1] <= 6 * SECOND
 
 
 @pytest.mark.parametrize("instances", [2, 500])
 def test_first_polls_are_spread_by_the_number_of_instances(instances: int) -> None:
-    """Hundreds that start together must not poll at one moment, and few must not wait for it."""
-    waits = []
+    """Hundreds of instances that start together must not poll at once, and a few must not wait long."""
+    delays = []
     for seed in range(60):
         driver = Driver(
             seed=seed, must_subscribe=True, poll_interval=10 * SECOND, instance_count=instances, entries=()
@@ -61,30 +61,30 @@
         )
         assert isinstance(timers[0], SetTimer)
         assert timers[0].token == "ask"
-        waits.append(timers[0].delay)
-    assert max(waits) <= min(5 * SECOND, instances * 10 * MS)
-    assert max(waits) > 0.4 * min(5 * SECOND, instances * 10 * MS)
+        delays.append(timers[0].delay)
+    assert max(delays) <= min(5 * SECOND, instances * 10 * MS)
+    assert max(delays) > 0.4 * min(5 * SECOND, instances * 10 * MS)
 
 
-def test_what_is_removed_is_forgotten_while_its_attempts_are_in_flight() -> None:
-    # records must not grow with every endpoint, zone and host class that ever was
+def test_records_of_removed_endpoints_are_dropped_while_their_attempts_are_in_flight() -> None:
+    # memory must not grow with every endpoint, zone and host class that was ever listed
     driver = Driver()
     request, actions = driver.ask()
-    old = sends(actions)[0]
+    first = sends(actions)[0]
     for n in range(300):
         entry = EndpointEntry(f"n{n}", zone=n % 7, host_class=n % 11, started_at=driver.now)
         gone = [EndpointEntry(f"n{n - 1}", status=EndpointStatus.REMOVED)] if n else []
         driver.feed(
             EndpointListUpdate(
-                ListForm.DELTA, (entry, *gone, EndpointEntry(old, status=EndpointStatus.REMOVED))
+                ListForm.DELTA, (entry, *gone, EndpointEntry(first, status=EndpointStatus.REMOVED))
             ),
             20 * MS,
         )
     balancer = driver.balancer
-    assert old not in balancer.endpoints
+    assert first not in balancer.endpoints
     assert len(balancer.endpoints) == 7
-    # the rotation goes on although what was attempted last is no longer listed
-    assert sends(driver.end(request, old, Outcome.RESET)) != [old]
+    # the rotation continues although the endpoint attempted last is no longer listed
+    assert sends(driver.end(request, first, Outcome.RESET)) != [first]
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(2, 0)))
     assert set(balancer.endpoints) == {"h0", "h1"}
     for _ in range(20):
@@ -96,63 +96,65 @@
     assert not balancer.lifecycle.abandoned
 
 
-def list_status(driver: Driver, health: EndpointStatus, name: str = "h0", started: int = 0) -> None:
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=health, started_at=started),)))
+def list_status(driver: Driver, status: EndpointStatus, name: str = "h0", started_at: int = 0) -> None:
+    driver.feed(
+        EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=status, started_at=started_at),))
+    )
 
 
-def count_sends_to(driver: Driver, name: str, down: bool = False) -> int:
-    """Return how many of 100 requests went there; it answers, or is down."""
-    went = 0
+def count_sends_to(driver: Driver, name: str, is_down: bool = False) -> int:
+    """Return how many attempts of 100 requests went to the endpoint, which answers or is down."""
+    sent_count = 0
     for _ in range(100):
         driver.now += 50 * MS
         request, actions = driver.ask()
         attempt = 0
         while endpoints := sends(actions):
-            went += endpoints[0] == name
-            fails = down and endpoints[0] == name
-            how = Outcome.CONNECT_FAILED if fails else Outcome.SUCCESS
-            actions = driver.end(request, endpoints[0], how, 50 * MS, attempt)
+            sent_count += endpoints[0] == name
+            fails = is_down and endpoints[0] == name
+            outcome = Outcome.CONNECT_FAILED if fails else Outcome.SUCCESS
+            actions = driver.end(request, endpoints[0], outcome, 50 * MS, attempt)
             attempt += 1
-    return went
+    return sent_count
 
 
-@pytest.mark.parametrize("left_out", [False, True])
-def test_removal_is_advisory_where_the_settings_say_so(left_out: bool) -> None:
-    for advice in (False, True):
-        driver = Driver(removal_is_advisory=advice)
-        if left_out:
+@pytest.mark.parametrize("is_omitted", [False, True])
+def test_removal_is_advisory_if_configured(is_omitted: bool) -> None:
+    for is_advisory in (False, True):
+        driver = Driver(removal_is_advisory=is_advisory)
+        if is_omitted:
             driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
         else:
             list_status(driver, EndpointStatus.REMOVED)
-        assert (count_sends_to(driver, "h0") > 10) is advice
+        assert (count_sends_to(driver, "h0") > 10) is is_advisory
 
 
-def test_an_endpoint_that_is_removed_indeed_costs_few_trials_and_is_forgotten() -> None:
+def test_a_removed_endpoint_that_is_down_gets_few_trials_and_is_dropped() -> None:
     driver = Driver(removal_is_advisory=True, entries=helpers.listed_entries(2, 0), max_attempts=1)
     list_status(driver, EndpointStatus.REMOVED)
-    went = 0
+    sent_count = 0
     for _ in range(100):
-        went += count_sends_to(driver, "h0", down=True)
+        sent_count += count_sends_to(driver, "h0", is_down=True)
         if "h0" not in driver.balancer.endpoints:
             break
-    assert 0 < went <= 5
+    assert 0 < sent_count <= 5
     assert "h0" not in driver.balancer.endpoints
 
 
-def test_an_endpoint_that_drained_gets_nothing_until_it_has_started_again() -> None:
+def test_an_endpoint_that_drained_gets_no_attempts_until_it_has_restarted() -> None:
     driver = Driver(removal_is_advisory=True, slow_start_duration=0)
     list_status(driver, EndpointStatus.DRAINING)
     list_status(driver, EndpointStatus.REMOVED)
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
     assert not count_sends_to(driver, "h0")
     list_status(driver, EndpointStatus.UP)
-    assert not count_sends_to(driver, "h0"), "the same process"
-    list_status(driver, EndpointStatus.UP, started=driver.now - 60 * SECOND)
+    assert not count_sends_to(driver, "h0"), "it is still the same process"
+    list_status(driver, EndpointStatus.UP, started_at=driver.now - 60 * SECOND)
     assert count_sends_to(driver, "h0") > 10
 
 
-def test_records_of_unlisted_endpoints_are_bounded_and_hold_a_fleet_of_1024() -> None:
-    """Records must not be kept for ever, and the bound must not forget half of a large fleet at once."""
+def test_records_of_unlisted_endpoints_are_limited_but_fit_a_fleet_of_1024() -> None:
+    """Records must not accumulate, and the limit must not drop half of a large fleet at once."""
     driver = Driver(removal_is_advisory=True, entries=())
     for generation in range(4):
         fleet = tuple(EndpointEntry(f"{generation}-{n}") for n in range(1024))
@@ -163,22 +165,22 @@
     assert 2 * 1024 <= len(driver.balancer.endpoints) <= 3 * 1024
 
 
-def test_removal_that_binds_again_binds_from_the_settings_switch_on() -> None:
+def test_unlisted_endpoints_are_removed_by_a_settings_switch_that_makes_removal_binding() -> None:
     driver = Driver(removal_is_advisory=True)
     list_status(driver, EndpointStatus.REMOVED)
     driver.switch_settings()
     assert not count_sends_to(driver, "h0")
 
 
-def test_what_is_open_at_a_settings_switch_sees_drains_that_its_successor_was_notified_of() -> None:
-    """With a list of its own, the old instance would choose one that drains, and give up."""
+def test_requests_open_at_a_settings_switch_see_drains_that_the_successor_was_notified_of() -> None:
+    """With a list of its own, the predecessor would select a draining endpoint, and give up."""
     driver = Driver(slow_start_duration=0)
     request, actions = driver.ask()
-    first, old = sends(actions)[0], driver.balancer
+    first, predecessor = sends(actions)[0], driver.balancer
     driver.switch_settings(slow_start_duration=0)
-    left = next(name for name in old.endpoints if name != first)
-    listed = tuple(entry for entry in helpers.listed_entries() if entry.endpoint in (first, left))
+    remaining = next(name for name in predecessor.endpoints if name != first)
+    listed = tuple(entry for entry in helpers.listed_entries() if entry.endpoint in (first, remaining))
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed))
     list_status(driver, EndpointStatus.DRAINING, first)
     ended = AttemptEnded(request, 0, first, Outcome.CONNECT_FAILED, MS)
-    assert sends(old.handle(driver.now, ended)) == [left]
+    assert sends(predecessor.handle(driver.now, ended)) == [remaining]
--- a/tests/policy/test_endpoint_weights.py
+++ b/tests/policy/test_endpoint_weights.py
@@ -1,4 +1,4 @@
-"""What weights are worked out, what is cached, and whom an instance or a key prefers."""
+"""Selection weights: their computation, the cache, and the preferences of instances and keys."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from tests.helpers import IDEMPOTENT, MS, SECOND, Driver, listed_entries, sends
 
 
-def test_each_expected_latency_is_worked_out_once_a_decision(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Weighing a large fleet several times for one request takes too long."""
+def test_each_expected_latency_is_computed_once_per_decision(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Weighing a large fleet several times per request takes too long."""
     driver = Driver(entries=listed_entries(60, 40))
     for _ in range(30):
         driver.serve()
-    worked: Counter[str] = Counter()
+    computed: Counter[str] = Counter()
     expected_latency = LatencyModel.expected_latency
 
     def counted(model: LatencyModel, now: int, endpoint: Endpoint) -> float:
-        worked.update([endpoint.name])
+        computed.update([endpoint.name])
         return expected_latency(model, now, endpoint)
 
     monkeypatch.setattr(LatencyModel, "expected_latency", counted)
     assert sends(driver.ask()[1])
-    assert sum(worked.values()) <= 100 + 2  # and the one sent to once more at each of its steps
+    assert sum(computed.values()) <= 100 + 2  # two more for the selected endpoint
 
 
-def test_while_endpoints_warm_up_the_other_zones_are_not_weighed_for_each_request(
+def test_weights_of_other_zones_are_cached_while_endpoints_warm_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The work for a request must not grow with the fleet for the whole time of a release."""
+    """During a release, the work per request must not grow with the size of the fleet."""
     weighed = 0
     weigh = EndpointWeights.weigh
 
@@ -57,11 +57,11 @@
     for _ in range(50):
         driver.serve(latency=10 * MS)
     assert driver.balancer.slow_start.is_any_warming(driver.now)
-    assert weighed <= 2 * 40 + 50, "over half a second, in which their cached weights stand"
+    assert weighed <= 2 * 40 + 50, "the requests take half a second, for which the weights are cached"
 
 
-def test_failure_in_another_zone_is_seen_at_the_next_request() -> None:
-    """The other zones are weighed once in a while only; a failure there must not wait for the next time."""
+def test_a_failure_in_another_zone_affects_the_next_request() -> None:
+    """The weights of other zones are cached; a failure there must not wait for the cache to expire."""
     driver = Driver(entries=listed_entries(0, 4))
     request, actions = driver.ask()
     broken = sends(actions)[0]
@@ -72,24 +72,24 @@
     assert {driver.serve() for _ in range(15)} == {"a0"}
 
 
-def test_affinity_key_prefers_the_same_endpoints_at_all_instances_and_excludes_none() -> None:
-    went = []
+def test_an_affinity_key_prefers_the_same_endpoints_at_all_instances_and_excludes_none() -> None:
+    counts_by_instance = []
     for seed in (1, 2):
         driver = Driver(seed=seed, has_affinity_keys=True, entries=listed_entries(20, 0))
-        got: Counter[str] = Counter()
+        counts: Counter[str] = Counter()
         for number in range(300):
             actions = driver.feed(RequestReceived(number, IDEMPOTENT, 2 * SECOND, affinity_key="k:1"))
-            got[sends(actions)[0]] += 1
+            counts[sends(actions)[0]] += 1
             driver.end(number, sends(actions)[0])
-        went.append(got)
-    first, second = ({name for name, _ in got.most_common(3)} for got in went)
+        counts_by_instance.append(counts)
+    first, second = ({name for name, _ in counts.most_common(3)} for counts in counts_by_instance)
     assert first == second
-    assert all(len(got) > 6 for got in went)
+    assert all(len(counts) > 6 for counts in counts_by_instance)
 
 
-@pytest.mark.parametrize("warm", [True, False])
-def test_without_affinity_keys_no_endpoint_is_preferred(warm: bool) -> None:
-    driver = Driver(has_affinity_keys=warm, entries=listed_entries(4, 0))
+@pytest.mark.parametrize("has_affinity_keys", [True, False])
+def test_no_endpoint_is_preferred_for_a_request_without_an_affinity_key(has_affinity_keys: bool) -> None:
+    driver = Driver(has_affinity_keys=has_affinity_keys, entries=listed_entries(4, 0))
     request, _ = driver.ask()
     balancer = driver.balancer
     weighted = WeightedEndpoints(list(balancer.endpoints.values()), [], [], [1.0] * 4)
@@ -97,8 +97,8 @@
     assert balancer.weights.apply_preferences(driver.now, received, weighted) == [1.0] * 4
 
 
-def endpoints_reached(instance: int, refusing: frozenset[str] = frozenset()) -> Counter[str]:
-    """Return where an instance's attempts go, also those to endpoints that refuse its connections."""
+def attempts_by_endpoint(instance: int, refusing_endpoints: frozenset[str] = frozenset()) -> Counter[str]:
+    """Return the attempts of an instance by endpoint, including those that are refused a connection."""
     driver = Driver(
         seed=instance,
         entries=listed_entries(24, 0),
@@ -107,31 +107,31 @@
         instance=instance,
         slow_start_duration=0,
     )
-    got: Counter[str] = Counter()
+    counts: Counter[str] = Counter()
 
     def answer(name: str) -> tuple[Outcome, int]:
-        got[name] += 1
-        return (Outcome.CONNECT_FAILED, MS) if name in refusing else (Outcome.SUCCESS, 20 * MS)
+        counts[name] += 1
+        return (Outcome.CONNECT_FAILED, MS) if name in refusing_endpoints else (Outcome.SUCCESS, 20 * MS)
 
     for _ in range(150):
         driver.finish(answer)
-    return got
+    return counts
 
 
-def test_an_instance_keeps_to_some_endpoints_where_a_connection_carries_many_requests() -> None:
-    sets = [set(endpoints_reached(instance)) for instance in range(12)]
-    assert max(map(len, sets)) <= 14
-    assert set.union(*sets) == {f"h{n}" for n in range(24)}, "some endpoint is nobody's"
-    assert len(set(map(frozenset, sets))) > 6, "instances keep to the same ones"
+def test_an_instance_prefers_a_subset_of_endpoints_if_connections_are_multiplexed() -> None:
+    preferred = [set(attempts_by_endpoint(instance)) for instance in range(12)]
+    assert max(map(len, preferred)) <= 14
+    assert set.union(*preferred) == {f"h{n}" for n in range(24)}, "no instance prefers some endpoint"
+    assert len(set(map(frozenset, preferred))) > 6, "instances prefer the same endpoints"
 
 
-def test_where_a_connection_carries_one_request_all_are_used() -> None:
+def test_all_endpoints_are_used_if_connections_are_not_multiplexed() -> None:
     driver = Driver(entries=listed_entries(24, 0), slow_start_duration=0)
     assert len({driver.serve() for _ in range(400)}) == 24
 
 
-def test_endpoints_that_refuse_connections_are_tried_less_and_less() -> None:
-    full = frozenset(f"h{n}" for n in range(0, 24, 2))
-    got = [endpoints_reached(instance, full) for instance in range(8)]
-    tried = sum(count for one in got for name, count in one.items() if name in full)
-    assert tried < 0.12 * sum(sum(one.values()) for one in got), tried
+def test_endpoints_that_refuse_connections_get_fewer_attempts() -> None:
+    refusing = frozenset(f"h{n}" for n in range(0, 24, 2))
+    counts = [attempts_by_endpoint(instance, refusing) for instance in range(8)]
+    refused_count = sum(count for one in counts for name, count in one.items() if name in refusing)
+    assert refused_count < 0.12 * sum(sum(one.values()) for one in counts), refused_count
--- a/tests/policy/test_four_rules.py
+++ b/tests/policy/test_four_rules.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal event orders against an independent checker of the four rules."""
+"""Arbitrary valid sequences of events, checked by an independent model of the four rules."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 from tests import helpers
 from tests.helpers import CLASSES, MS, SECOND
 
-SLACK = 20 * MS
+TOLERANCE_US = 20 * MS
 NAMES = [f"u{n}" for n in range(6)]
 FAILURES = [o for o in Outcome if o is not Outcome.SUCCESS]
 
 
-class Received:
-    """What the checker knows of one request."""
+class TrackedRequest:
+    """The state of one request in the model."""
 
     def __init__(self, settings: Settings, class_index: int, deadline: int) -> None:
         self.settings = settings
@@ -42,148 +42,172 @@
         self.deadline = deadline
         self.sent: list[tuple[str, int]] = []
         self.in_flight: set[int] = set()
-        self.possible: list[int] = []
-        self.over = False
+        self.possibly_executed: list[int] = []
+        self.is_over = False
 
 
 class FourRules(RuleBasedStateMachine):
-    """Plays the world; every action is judged from outside, by the wording of the rules alone."""
+    """Simulates host, clients and endpoints, and checks every action against the text of the rules alone."""
 
     @initialize(
-        parallel=strategies.booleans(), seed=strategies.integers(0, 99), advisory=strategies.booleans()
+        parallel=strategies.booleans(), seed=strategies.integers(0, 99), is_advisory=strategies.booleans()
     )
-    def start(self, parallel: bool, seed: int, advisory: bool) -> None:
-        self.removal_is_advisory = advisory  # only what was listed as draining binds, and for good
+    def start(self, parallel: bool, seed: int, is_advisory: bool) -> None:
+        # if removal is advisory, only endpoints listed as draining are excluded, and permanently
+        self.removal_is_advisory = is_advisory
         self.settings = helpers.settings(
-            may_run_parallel_attempts=parallel, slow_start_duration=0, removal_is_advisory=advisory
+            may_run_parallel_attempts=parallel, slow_start_duration=0, removal_is_advisory=is_advisory
         )
         self.policy = SettingsSwitch(Balancer(self.settings, seed))
         self.now = 1000 * SECOND
-        self.received: dict[int, Received] = {}
+        self.received: dict[int, TrackedRequest] = {}
         self.timers: list[tuple[int, str]] = []
         self.unroutable: dict[str, int] = {}
-        self.entries = {n: EndpointEntry(n, zone=k % 2, cell=k // 2) for k, n in enumerate(NAMES)}
-        self.play(EndpointListUpdate(ListForm.CACHED, tuple(self.entries.values())))
+        self.entries = {
+            name: EndpointEntry(name, zone=index % 2, cell=index // 2) for index, name in enumerate(NAMES)
+        }
+        self.handle_event(EndpointListUpdate(ListForm.CACHED, tuple(self.entries.values())))
 
     @rule(
         parallel=strategies.booleans(),
-        attempts=strategies.integers(1, 4),
-        live=strategies.booleans(),
-        streams=strategies.sampled_from([1, 100]),
-        fewer=strategies.booleans(),
+        max_attempts=strategies.integers(1, 4),
+        capacity_varies=strategies.booleans(),
+        max_streams=strategies.sampled_from([1, 100]),
+        has_fewer_classes=strategies.booleans(),
     )
-    def other_settings(self, parallel: bool, attempts: int, live: bool, streams: int, fewer: bool) -> None:
-        """A switch at any point: what is open keeps the class and the limits with which it was taken."""
+    def switch_settings(
+        self,
+        parallel: bool,
+        max_attempts: int,
+        capacity_varies: bool,
+        max_streams: int,
+        has_fewer_classes: bool,
+    ) -> None:
+        """Switch settings at any time; open requests keep the class and limits that they arrived with."""
         self.settings = helpers.settings(
-            classes=CLASSES[: 3 if fewer else None],
+            classes=CLASSES[: 3 if has_fewer_classes else None],
             may_run_parallel_attempts=parallel,
-            max_attempts=attempts,
-            capacity_varies_with_load=live,
-            max_streams_per_connection=streams,
+            max_attempts=max_attempts,
+            capacity_varies_with_load=capacity_varies,
+            max_streams_per_connection=max_streams,
             slow_start_duration=0,
             removal_is_advisory=self.removal_is_advisory,
         )
         self.policy.switch(self.settings)
 
-    def play(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         for action in self.policy.handle(self.now, event):
-            self.judge(action)
+            self.check_action(action)
 
-    def judge(self, action: Action) -> None:
+    def check_action(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.timers.append((self.now + action.delay, action.token))
         elif isinstance(action, StartAttempt):
-            self.judge_send(self.received[action.request_id], action)
+            self.check_send(self.received[action.request_id], action)
         elif isinstance(action, RejectRequest | FailRequest):
-            one = self.received[action.request_id]
-            assert not one.over, "a second final answer"
-            assert self.now <= one.deadline + SLACK, "answered too late"
-            may_be_executed = bool(one.in_flight or one.possible)
+            request = self.received[action.request_id]
+            assert not request.is_over, "a second final response"
+            assert self.now <= request.deadline + TOLERANCE_US, "the final response is too late"
+            may_be_executed = bool(request.in_flight or request.possibly_executed)
             if isinstance(action, RejectRequest) and may_be_executed:
-                assert one.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
+                assert request.request_class.idempotency is not Idempotency.NON_IDEMPOTENT
                 assert (
-                    one.request_class.idempotency is Idempotency.IDEMPOTENT
-                    or one.request_class.deduplication_scope is DeduplicationScope.ALL
+                    request.request_class.idempotency is Idempotency.IDEMPOTENT
+                    or request.request_class.deduplication_scope is DeduplicationScope.ALL
                 )
-            one.over = True
+            request.is_over = True
         elif isinstance(action, CancelAttempt):
             assert action.attempt < len(self.received[action.request_id].sent)
 
-    def judge_send(self, one: Received, action: StartAttempt) -> None:
-        assert not one.over, "sent after the end"
+    def check_send(self, request: TrackedRequest, action: StartAttempt) -> None:
+        assert not request.is_over, "an attempt after the final response"
         assert action.endpoint not in self.unroutable, "sent to an endpoint listed as draining or removed"
-        assert len(one.sent) < one.settings.max_attempts
-        assert one.settings.may_run_parallel_attempts or not one.in_flight, "two at once"
-        before = sorted(one.in_flight | set(one.possible))
-        if before and one.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            raise AssertionError("a non-idempotent request sent again")
-        if before and one.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
-            endpoint, at = one.sent[before[0]]
-            here, there = self.entries[endpoint], self.entries[action.endpoint]
-            assert self.now < at + one.request_class.deduplication_window, "outside the window"
+        assert len(request.sent) < request.settings.max_attempts
+        assert request.settings.may_run_parallel_attempts or not request.in_flight, (
+            "parallel attempts are not allowed"
+        )
+        earlier_attempts = sorted(request.in_flight | set(request.possibly_executed))
+        if earlier_attempts and request.request_class.idempotency is Idempotency.NON_IDEMPOTENT:
+            raise AssertionError("a non-idempotent request was sent again")
+        if earlier_attempts and request.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY:
+            endpoint, sent_at = request.sent[earlier_attempts[0]]
+            first, next_ = self.entries[endpoint], self.entries[action.endpoint]
+            assert self.now < sent_at + request.request_class.deduplication_window, (
+                "outside the deduplication window"
+            )
             assert (
-                one.request_class.deduplication_scope is not DeduplicationScope.ZONE
-                or here.zone == there.zone
+                request.request_class.deduplication_scope is not DeduplicationScope.ZONE
+                or first.zone == next_.zone
             )
-            assert one.request_class.deduplication_scope is not DeduplicationScope.CELL or (
-                here.zone,
-                here.cell,
-            ) == (there.zone, there.cell)
-        one.in_flight.add(len(one.sent))
-        one.sent.append((action.endpoint, self.now))
+            assert request.request_class.deduplication_scope is not DeduplicationScope.CELL or (
+                first.zone,
+                first.cell,
+            ) == (next_.zone, next_.cell)
+        request.in_flight.add(len(request.sent))
+        request.sent.append((action.endpoint, self.now))
 
     @rule(
         class_index=strategies.integers(0, len(CLASSES) - 1), timeout=strategies.integers(50 * MS, 2 * SECOND)
     )
-    def request(self, class_index: int, timeout: int) -> None:
+    def receive_request(self, class_index: int, timeout: int) -> None:
         number = len(self.received)
         class_index %= len(self.settings.classes)
-        self.received[number] = Received(self.settings, class_index, self.now + timeout)
-        self.play(RequestReceived(number, class_index, timeout))
-
-    @rule(pick=strategies.randoms(use_true_random=False), outcome=strategies.sampled_from(list(Outcome)))
-    def outcome(self, pick: Random, outcome: Outcome) -> None:
-        out = [(n, a) for n, one in self.received.items() for a in sorted(one.in_flight)]
-        if out:
-            number, attempt = pick.choice(out)
+        self.received[number] = TrackedRequest(self.settings, class_index, self.now + timeout)
+        self.handle_event(RequestReceived(number, class_index, timeout))
+
+    @rule(random=strategies.randoms(use_true_random=False), outcome=strategies.sampled_from(list(Outcome)))
+    def end_random_attempt(self, random: Random, outcome: Outcome) -> None:
+        in_flight = [
+            (number, attempt)
+            for number, request in self.received.items()
+            for attempt in sorted(request.in_flight)
+        ]
+        if in_flight:
+            number, attempt = random.choice(in_flight)
             self.finish(number, attempt, outcome)
 
     def finish(self, number: int, attempt: int, outcome: Outcome) -> None:
-        one = self.received[number]
-        one.in_flight.discard(attempt)
+        request = self.received[number]
+        request.in_flight.discard(attempt)
         if outcome not in NEVER_EXECUTED:
-            one.possible.append(attempt)
-        endpoint, at = one.sent[attempt]
+            request.possibly_executed.append(attempt)
+        endpoint, sent_at = request.sent[attempt]
         if outcome is Outcome.SUCCESS:
-            one.over = True
-        self.play(AttemptEnded(number, attempt, endpoint, outcome, self.now - at, one.over, (1.0,)))
+            request.is_over = True
+        self.handle_event(
+            AttemptEnded(number, attempt, endpoint, outcome, self.now - sent_at, request.is_over, (1.0,))
+        )
 
     @rule(step=strategies.integers(MS, 300 * MS))
-    def time_passes(self, step: int) -> None:
-        """Timers come as asked; attempts of a request time out at its deadline."""
+    def advance_time(self, step: int) -> None:
+        """Advance the clock; timers fire when due, and attempts time out at their request's deadline."""
         target = self.now + step
         while True:
-            due = min(self.timers, default=(target + 1, ""))
-            ends = [(o.deadline, n) for n, o in self.received.items() if o.in_flight and not o.over]
-            end = min(ends, default=(target + 1, 0))
-            if min(due[0], end[0]) > target:
+            next_timer = min(self.timers, default=(target + 1, ""))
+            timeouts = [
+                (request.deadline, number)
+                for number, request in self.received.items()
+                if request.in_flight and not request.is_over
+            ]
+            next_timeout = min(timeouts, default=(target + 1, 0))
+            if min(next_timer[0], next_timeout[0]) > target:
                 break
-            if due[0] <= end[0]:
-                self.timers.remove(due)
-                self.now = max(self.now, due[0])
-                self.play(TimerFired(due[1]))
+            if next_timer[0] <= next_timeout[0]:
+                self.timers.remove(next_timer)
+                self.now = max(self.now, next_timer[0])
+                self.handle_event(TimerFired(next_timer[1]))
             else:
-                self.now = max(self.now, end[0])
-                for attempt in sorted(self.received[end[1]].in_flight):
-                    self.finish(end[1], attempt, Outcome.TIMEOUT)
+                self.now = max(self.now, next_timeout[0])
+                for attempt in sorted(self.received[next_timeout[1]].in_flight):
+                    self.finish(next_timeout[1], attempt, Outcome.TIMEOUT)
         self.now = target
 
     @rule(name=strategies.sampled_from(NAMES), status=strategies.sampled_from(list(EndpointStatus)))
-    def list_changes(self, name: str, status: EndpointStatus) -> None:
-        self.note_status(name, status)
-        self.play(EndpointListUpdate(ListForm.DELTA, (replace(self.entries[name], status=status),)))
+    def update_endpoint(self, name: str, status: EndpointStatus) -> None:
+        self.record_status(name, status)
+        self.handle_event(EndpointListUpdate(ListForm.DELTA, (replace(self.entries[name], status=status),)))
 
-    def note_status(self, name: str, status: EndpointStatus) -> None:
+    def record_status(self, name: str, status: EndpointStatus) -> None:
         if self.removal_is_advisory and status is not EndpointStatus.DRAINING:
             return
         if status is EndpointStatus.UP:
@@ -192,22 +216,28 @@
             self.unroutable[name] = self.now
 
     @rule(listed=strategies.sets(strategies.sampled_from(NAMES)))
-    def list_snapshot(self, listed: set[str]) -> None:
+    def replace_list(self, listed: set[str]) -> None:
         for name in NAMES:
-            self.note_status(name, EndpointStatus.UP if name in listed else EndpointStatus.REMOVED)
-        self.play(EndpointListUpdate(ListForm.SNAPSHOT, tuple(self.entries[n] for n in NAMES if n in listed)))
+            self.record_status(name, EndpointStatus.UP if name in listed else EndpointStatus.REMOVED)
+        self.handle_event(
+            EndpointListUpdate(
+                ListForm.SNAPSHOT, tuple(self.entries[name] for name in NAMES if name in listed)
+            )
+        )
 
-    @precondition(lambda self: any(not one.over for one in self.received.values()))
+    @precondition(lambda self: any(not request.is_over for request in self.received.values()))
     @rule()
-    def client_leaves(self) -> None:
-        number = next(n for n, one in self.received.items() if not one.over)
-        self.received[number].over = True
-        self.play(ClientDisconnected(number))
+    def client_disconnects(self) -> None:
+        number = next(number for number, request in self.received.items() if not request.is_over)
+        self.received[number].is_over = True
+        self.handle_event(ClientDisconnected(number))
 
     @invariant()
-    def none_is_lost(self) -> None:
-        for one in getattr(self, "received", {}).values():
-            assert one.over or self.now <= one.deadline + SLACK, "a request without its answer"
+    def every_request_is_answered_in_time(self) -> None:
+        for request in getattr(self, "received", {}).values():
+            assert request.is_over or self.now <= request.deadline + TOLERANCE_US, (
+                "a request without a final response"
+            )
 
 
 TestFourRules = FourRules.TestCase
@@ -223,15 +253,15 @@
 
 @settings(max_examples=40, deadline=None, derandomize=True, database=None)
 @given(outcomes=strategies.lists(strategies.sampled_from(FAILURES), min_size=8, max_size=8))
-def test_any_run_of_failures_ends_once(outcomes: list[Outcome]) -> None:
+def test_any_sequence_of_failures_ends_with_one_final_response(outcomes: list[Outcome]) -> None:
     for class_index in range(len(CLASSES)):
         driver = helpers.Driver()
         request, actions = driver.ask(class_index)
-        finals = 0
+        final_response_count = 0
         for attempt, outcome in enumerate(outcomes):
-            finals += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
+            final_response_count += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
             endpoints = helpers.sends(actions)
             if not endpoints:
                 break
             actions = driver.end(request, endpoints[0], outcome, MS, attempt)
-        assert finals == 1
+        assert final_response_count == 1
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -1,4 +1,4 @@
-"""What attempts are expected to take."""
+"""The latency model."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.helpers import MS, SECOND, Driver, listed_entries, sends
 
 
-def test_a_latency_of_zero_is_taken_in() -> None:
+def test_a_latency_of_zero_is_recorded() -> None:
     """A latency of zero microseconds has no logarithm."""
     driver = Driver()
     for _ in range(20):
@@ -25,22 +25,22 @@
 
 
 def test_host_classes_are_opaque_groups() -> None:
-    """Endpoints of one host class are judged together; which number the class has changes nothing."""
+    """Endpoints of one host class share estimates; the number of the class has no meaning."""
     runs = []
     for numbers in ((0, 1), (7, 3)):
         entries = tuple(EndpointEntry(f"h{n}", host_class=numbers[n % 2]) for n in range(8))
         driver = Driver(entries=entries)
         runs.append(
             [
-                driver.finish(lambda u: (Outcome.SUCCESS, 40 * MS + 60 * MS * (int(u[1]) % 2)))
+                driver.finish(lambda endpoint: (Outcome.SUCCESS, 40 * MS + 60 * MS * (int(endpoint[1]) % 2)))
                 for _ in range(60)
             ]
         )
     assert runs[0] == runs[1]
 
 
-def test_an_endpoint_that_is_rarely_observed_is_judged_by_its_host_class() -> None:
-    """With few requests an endpoint hardly ever responds itself; its host class speaks for it."""
+def test_the_estimate_for_a_rarely_observed_endpoint_comes_from_its_host_class() -> None:
+    """With few requests per endpoint, the responses of its host class are the better estimate."""
     entries = (
         *(EndpointEntry(f"f{n}", host_class=0) for n in range(20)),
         *(EndpointEntry(f"s{n}", host_class=1) for n in range(20)),
@@ -51,40 +51,42 @@
         name = sends(actions)[0]
         driver.end(request, name, latency=200 * MS if name[0] == "s" else 40 * MS)
     unobserved = {
-        u.host_class: driver.balancer.models.latency.expected_latency(driver.now, u)
-        for u in driver.balancer.endpoints.values()
-        if not u.latency_factor.weight
+        endpoint.host_class: driver.balancer.models.latency.expected_latency(driver.now, endpoint)
+        for endpoint in driver.balancer.endpoints.values()
+        if not endpoint.latency_factor.weight
     }
     assert unobserved[1] > 1.5 * unobserved[0]
 
 
-def test_a_lost_response_is_neither_load_nor_silence_of_its_endpoint() -> None:
-    # each endpoint may owe a few responses that will never come, and half of the work would be shed for it
+def test_a_lost_response_counts_neither_as_load_nor_as_a_hung_endpoint() -> None:
+    # a few lost responses at each endpoint would otherwise cause half of the requests to be shed
     driver = Driver(entries=listed_entries(1, 0))
     for _ in range(30):
         driver.serve()
     endpoint = driver.balancer.endpoints["h0"]
     model = driver.balancer.models.latency
     before = model.expected_latency(driver.now, endpoint)
-    (lost, _), (other, _) = driver.ask(), driver.ask(after=1 * MS)
+    (lost_request, _), (answered_request, _) = driver.ask(), driver.ask(after=1 * MS)
     driver.feed(TimerFired("none"), 400 * MS)
-    assert model.expected_latency(driver.now, endpoint) > 4 * before  # silent, as far as is known
-    driver.end(other, "h0", latency=50 * MS)
-    # it responds, so the response to what it was sent earlier is lost
+    assert model.expected_latency(driver.now, endpoint) > 4 * before  # no response since, so it may be hung
+    driver.end(answered_request, "h0", latency=50 * MS)
+    # a later request was answered, so the response to the earlier one is lost
     assert model.expected_latency(driver.now, endpoint) < 1.5 * before
     factor = endpoint.latency_factor.value
-    driver.feed(AttemptEnded(lost, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
+    driver.feed(AttemptEnded(lost_request, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
     assert endpoint.latency_factor.value == factor
 
 
 def test_the_baseline_does_not_sink_below_true_latencies() -> None:
-    # as the parts beside it rose, the baseline would fall for ever, and congestion be rated far too high
+    # if factors and costs were not centered, they would rise, the baseline would sink, and congestion would
+    # be overestimated by far
     driver, random = Driver(), Random(2)
     for n in range(4000):
         driver.serve(class_index=n % 2, latency=round(40 * MS * math.exp(random.gauss(0, 0.7))))
     balancer = driver.balancer
     assert 15 * MS < balancer.models.latency.baseline_latency() < 50 * MS
-    scales = [balancer.models.latency.class_cost(driver.now, n) for n in range(2)]
+    class_costs = [balancer.models.latency.class_cost(driver.now, n) for n in range(2)]
     assert sum(
-        share * math.log(s) for share, s in zip(balancer.models.classes.request_shares, scales, strict=False)
+        share * math.log(s)
+        for share, s in zip(balancer.models.classes.request_shares, class_costs, strict=False)
     ) == pytest.approx(0.0, abs=0.1)
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports, and capacities that vary with load."""
+"""Load reports, and listed capacities that vary with load."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from tests.helpers import IDEMPOTENT, MS, SECOND, Driver, listed_entries, sends
 
 
-def home_weights(driver: Driver) -> list[float]:
+def own_zone_weights(driver: Driver) -> list[float]:
     balancer = driver.balancer
-    home = [u for u in balancer.endpoints.values() if u.zone == 0]
-    return balancer.weights.weigh(driver.now, home, IDEMPOTENT).weights
+    own_zone = [endpoint for endpoint in balancer.endpoints.values() if endpoint.zone == 0]
+    return balancer.weights.weigh(driver.now, own_zone, IDEMPOTENT).weights
 
 
-def test_reported_queue_depth_moves_the_odds() -> None:
+def test_a_reported_queue_depth_lowers_the_weight() -> None:
     driver = Driver()
     for _ in range(30):
         driver.serve()
@@ -34,12 +34,12 @@
         driver.balancer.models.load_reports.record_report(
             driver.now, record, (30.0 if name == "h2" else 0.0,)
         )
-    odds = home_weights(driver)
-    assert odds[2] == min(odds)
+    weights = own_zone_weights(driver)
+    assert weights[2] == min(weights)
 
 
 @pytest.mark.parametrize("report", [(), (float("nan"),), (-3.0,), (float("inf"),), (1.0, 2.0, 3.0)])
-def test_absurd_reports_do_no_harm(report: tuple[float, ...]) -> None:
+def test_invalid_reports_are_ignored(report: tuple[float, ...]) -> None:
     driver = Driver()
     for _ in range(30):
         driver.serve(report=report)
@@ -47,68 +47,76 @@
 
 
 @pytest.mark.parametrize("field", list(LoadField))
-def test_any_reported_field_serves(field: LoadField) -> None:
+def test_every_load_report_field_is_accepted(field: LoadField) -> None:
     driver = Driver(load_report_fields=(field,))
     for _ in range(30):
         driver.serve(report=(0.5,))
     assert sends(driver.ask()[1])
 
 
-def list_update(sizes: dict[str, float], kinds: dict[str, int] | None = None) -> EndpointListUpdate:
-    kinds = kinds or {}
+def list_update(
+    capacities: dict[str, float], host_classes: dict[str, int] | None = None
+) -> EndpointListUpdate:
+    host_classes = host_classes or {}
     entries = (
-        EndpointEntry(name, host_class=kinds.get(name, 0), capacity=size) for name, size in sizes.items()
+        EndpointEntry(name, host_class=host_classes.get(name, 0), capacity=capacity)
+        for name, capacity in capacities.items()
     )
     return EndpointListUpdate(ListForm.DELTA, tuple(entries))
 
 
-def driver_with_varying_capacities(sizes: dict[str, float], kinds: dict[str, int] | None = None) -> Driver:
+def driver_with_varying_capacities(
+    capacities: dict[str, float], host_classes: dict[str, int] | None = None
+) -> Driver:
     driver = Driver(
         entries=(),
         capacity_varies_with_load=True,
         load_report_fields=(LoadField.UTILIZATION, LoadField.IN_FLIGHT),
         slow_start_duration=0,
     )
-    driver.feed(list_update(sizes, kinds))
+    driver.feed(list_update(capacities, host_classes))
     return driver
 
 
-def test_a_capacity_that_varies_with_load_is_parted_into_capacity_and_load() -> None:
-    kinds = {"a": 0, "b": 1}
-    driver = driver_with_varying_capacities({"a": 2.0, "b": 0.5}, kinds)
-    driver.feed(list_update({"a": 0.5, "b": 0.5}, kinds), SECOND)
-    a, b = (driver.balancer.endpoints[name] for name in "ab")
-    assert (a.capacity, b.capacity) == (2.0, 0.5)
-    assert 0 < a.reported_load <= 3.0
-    assert b.reported_load == 0.0
+def test_a_capacity_that_varies_with_load_is_split_into_capacity_and_load() -> None:
+    host_classes = {"a": 0, "b": 1}
+    driver = driver_with_varying_capacities({"a": 2.0, "b": 0.5}, host_classes)
+    driver.feed(list_update({"a": 0.5, "b": 0.5}, host_classes), SECOND)
+    first, second = (driver.balancer.endpoints[name] for name in "ab")
+    assert (first.capacity, second.capacity) == (2.0, 0.5)
+    assert 0 < first.reported_load <= 3.0
+    assert second.reported_load == 0.0
 
 
-def test_one_late_list_does_not_turn_all_traffic() -> None:
-    # every instance follows the same list: a load that was listed once moves shares by less than it says
+def test_a_single_list_update_does_not_move_all_traffic() -> None:
+    # all instances react to the same list, so the load of a single update is smoothed
     driver = driver_with_varying_capacities(dict.fromkeys("abcd", 1.0))
     driver.feed(list_update({"a": 1 / 7, "b": 1.0, "c": 1.0, "d": 1.0}), SECOND)
-    got = Counter(driver.serve(latency=1) for _ in range(400))
-    assert got["a"] > 15, got
-    assert got["a"] < min(got[name] for name in "bcd")
+    counts = Counter(driver.serve(latency=1) for _ in range(400))
+    assert counts["a"] > 15, counts
+    assert counts["a"] < min(counts[name] for name in "bcd")
 
 
-def test_a_load_that_stays_moves_most_traffic_away() -> None:
+def test_a_persistent_load_moves_most_traffic_away() -> None:
     driver = driver_with_varying_capacities(dict.fromkeys("ab", 1.0))
     for _ in range(20):
         driver.serve(latency=40 * MS)
     for _ in range(12):
         driver.feed(list_update({"a": 1 / 9, "b": 1.0}), SECOND)
-    got = Counter(driver.serve(latency=1) for _ in range(200))
-    assert got["a"] < 10, got
+    counts = Counter(driver.serve(latency=1) for _ in range(200))
+    assert counts["a"] < 10, counts
 
 
-def test_a_capacity_that_is_no_positive_number_tells_no_load() -> None:
+def test_a_capacity_that_is_not_a_positive_number_implies_no_load() -> None:
     driver = driver_with_varying_capacities({"a": 1.0, "b": 1.0})
     driver.feed(list_update({"a": 0.0, "b": float("nan")}), SECOND)
-    assert all(u.reported_load == 0.0 and u.capacity == 1.0 for u in driver.balancer.endpoints.values())
+    assert all(
+        endpoint.reported_load == 0.0 and endpoint.capacity == 1.0
+        for endpoint in driver.balancer.endpoints.values()
+    )
 
 
-def test_endpoints_of_a_changed_list_keep_their_attempts_in_flight() -> None:
+def test_endpoints_keep_their_attempts_in_flight_when_the_list_changes() -> None:
     driver = driver_with_varying_capacities({"a": 1.0})
     request, _ = driver.ask()
     (entry,) = list_update({"a": 0.5}).entries
@@ -118,7 +126,7 @@
     assert not driver.balancer.endpoints["a"].in_flight
 
 
-def test_a_report_that_is_not_renewed_fades_to_the_mean_of_its_zone() -> None:
+def test_a_report_decays_to_the_mean_of_its_zone() -> None:
     reports = LoadReports(helpers.settings())
     busy, idle = Endpoint(EndpointEntry("busy")), Endpoint(EndpointEntry("idle"))
     for second in range(1, 60):
@@ -134,8 +142,8 @@
 
 
 @pytest.mark.parametrize("value", [1e300, 1e-300, float("inf"), float("nan"), -1.0])
-def test_a_report_or_capacity_beyond_all_measure_is_passed_over(value: float) -> None:
-    """Guards against one garbled number of one endpoint that overflowed and ended the process."""
+def test_a_report_or_capacity_out_of_range_is_ignored(value: float) -> None:
+    """A single corrupt value from one endpoint once overflowed and terminated the process."""
     driver = Driver(entries=listed_entries(2, 0), load_report_fields=(LoadField.QUEUE_DEPTH,))
     for _ in range(20):
         driver.serve(report=(value,))
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejections, trials, and errors that are usual."""
+"""Ejections, trials, and the usual error ratio."""
 
 from __future__ import annotations
 
@@ -32,26 +32,26 @@
 )
 
 
-def test_a_fleet_that_is_ejected_as_a_whole_still_serves() -> None:
+def test_requests_are_still_sent_if_all_endpoints_are_ejected() -> None:
     driver = Driver(entries=listed_entries(3, 0))
     for _ in range(12):
         driver.finish(lambda _: (Outcome.CONNECT_FAILED, MS))
     assert sends(driver.ask()[1])
 
 
-def test_timeout_under_load_is_not_taken_for_failure() -> None:
-    """An endpoint that responded since the attempt was sent is slow, not silent."""
+def test_a_timeout_under_load_is_not_a_failure() -> None:
+    """An endpoint that has responded since the attempt was sent is slow, not hung."""
     driver = Driver(entries=listed_entries(1, 0))
-    one, actions = driver.ask()
-    two, _ = driver.ask()
-    driver.end(two, "h0", latency=900 * MS)
-    driver.end(one, "h0", Outcome.TIMEOUT, 100 * MS)
+    first, actions = driver.ask()
+    second, _ = driver.ask()
+    driver.end(second, "h0", latency=900 * MS)
+    driver.end(first, "h0", Outcome.TIMEOUT, 100 * MS)
     assert driver.balancer.endpoints["h0"].error_ratio == 0
     assert sends(actions) == ["h0"]
 
 
-def test_errors_of_all_alike_eject_nobody_and_a_failing_endpoint_is_seen() -> None:
-    # sound endpoints would be left one after the other for what any of them does
+def test_errors_common_to_all_endpoints_eject_few_and_a_failing_endpoint_is_still_detected() -> None:
+    # healthy endpoints would otherwise be ejected one after the other for errors that all of them have
     driver, random = Driver(), Random(4)
     ejections = 0
 
@@ -62,23 +62,26 @@
         driver.finish(answer)
         ejections += sum(
             until > driver.now
-            for u in driver.balancer.endpoints.values()
-            for _, until in u.ejections.values()
+            for endpoint in driver.balancer.endpoints.values()
+            for _, until in endpoint.ejections.values()
         )
-    assert ejections < 0.3 * 1500  # of seven endpoints; over two are ejected where chance counts as failure
-    seen = Counter(
+    # of seven endpoints; without the usual error ratio, more than two are ejected
+    assert ejections < 0.3 * 1500
+    sends_by_endpoint = Counter(
         endpoint
         for _ in range(300)
-        for endpoint in driver.finish(lambda u: (Outcome.ERROR, 2 * MS) if u == "h0" else answer(u))
+        for endpoint in driver.finish(
+            lambda endpoint: (Outcome.ERROR, 2 * MS) if endpoint == "h0" else answer(endpoint)
+        )
     )
-    assert seen["h0"] < 30
-    assert seen["h1"] > 60
+    assert sends_by_endpoint["h0"] < 30
+    assert sends_by_endpoint["h1"] > 60
 
 
 def test_an_endpoint_that_fails_one_class_still_serves_the_others() -> None:
-    # a fast endpoint's capacity must not be lost for every class because one class fails there
+    # the capacity of a fast endpoint must not be lost to every class because one class fails there
     driver = Driver()
-    went: Counter[tuple[int, str]] = Counter()
+    attempted: Counter[tuple[int, str]] = Counter()
 
     def fail_idempotent(endpoint: str) -> tuple[Outcome, int]:
         return (Outcome.ERROR if endpoint == "h0" else Outcome.SUCCESS), 5 * MS
@@ -87,14 +90,16 @@
         return Outcome.SUCCESS, 5 * MS
 
     for _ in range(300):
-        went.update((KEYED_EVERYWHERE, endpoint) for endpoint in driver.finish(succeed, KEYED_EVERYWHERE))
-        went.update((IDEMPOTENT, endpoint) for endpoint in driver.finish(fail_idempotent, IDEMPOTENT))
-    assert went[IDEMPOTENT, "h0"] < 30
-    assert went[KEYED_EVERYWHERE, "h0"] > 50
+        attempted.update(
+            (KEYED_EVERYWHERE, endpoint) for endpoint in driver.finish(succeed, KEYED_EVERYWHERE)
+        )
+        attempted.update((IDEMPOTENT, endpoint) for endpoint in driver.finish(fail_idempotent, IDEMPOTENT))
+    assert attempted[IDEMPOTENT, "h0"] < 30
+    assert attempted[KEYED_EVERYWHERE, "h0"] > 50
 
 
-def test_an_endpoint_that_was_full_once_is_not_lost_to_non_idempotent_requests() -> None:
-    """Only an own success ends a class's ejection, and non-idempotent requests are no trials."""
+def test_an_endpoint_that_was_overloaded_once_is_used_again_by_non_idempotent_requests() -> None:
+    """Only a success of a class ends its ejection, and non-idempotent requests are not trials."""
     driver = Driver(entries=listed_entries(3, 0))
     request, actions = driver.ask()
     full = sends(actions)[0]
@@ -104,71 +109,75 @@
         assert full in {driver.serve(class_index) for _ in range(60)}
 
 
-def test_a_full_zone_counts_against_attempts_there() -> None:
-    """Requests must not try all endpoints of a full zone one by one, and then cross into another."""
+def test_rejections_count_for_the_whole_zone() -> None:
+    """Requests must not try each endpoint of a full zone before they go to another zone."""
     driver = Driver(cross_zone_cost=0.01, max_attempts=1)
     for _ in range(60):
-        driver.finish(lambda u: (Outcome.OVERLOADED, MS) if u[0] == "h" else (Outcome.SUCCESS, 50 * MS))
-    homes = sum(driver.serve()[0] == "h" for _ in range(40))
-    assert homes < 10
+        driver.finish(
+            lambda endpoint: (Outcome.OVERLOADED, MS) if endpoint[0] == "h" else (Outcome.SUCCESS, 50 * MS)
+        )
+    own_zone_count = sum(driver.serve()[0] == "h" for _ in range(40))
+    assert own_zone_count < 10
 
 
-def test_a_success_ends_an_ejection_also_in_a_full_zone() -> None:
-    # ejections would double for ever if full queues of the zone were taken for the endpoint's errors
+def test_a_success_ends_an_ejection_even_in_a_full_zone() -> None:
+    # if the zone's full queues counted as the endpoint's errors, no success would end its ejections
     driver = Driver(entries=listed_entries(4, 0), max_attempts=1)
     for _ in range(6):
         driver.finish(lambda _: (Outcome.OVERLOADED, MS))
     driver.now += 2 * SECOND
     assert driver.balancer.models.success.zone_acceptance(driver.now, 0) < 0.55
-    there = driver.serve()
-    assert IDEMPOTENT not in driver.balancer.endpoints[there].ejections
+    endpoint = driver.serve()
+    assert IDEMPOTENT not in driver.balancer.endpoints[endpoint].ejections
 
 
-def test_more_than_half_unreachable_is_not_taken_for_usual() -> None:
-    """Errors that most endpoints have are forgiven; a refused connection is no such error."""
+def test_failed_connections_of_most_endpoints_do_not_count_as_usual_errors() -> None:
+    """Errors that most endpoints have are tolerated, but failed connections are not."""
     driver = Driver(entries=listed_entries(9, 0), max_attempts=2)
     refused = []
     for _ in range(400):
         driver.now += 50 * MS
-        went = driver.finish(
-            lambda u: (Outcome.CONNECT_FAILED, MS) if u < "h5" else (Outcome.SUCCESS, 20 * MS)
+        attempted = driver.finish(
+            lambda endpoint: (Outcome.CONNECT_FAILED, MS) if endpoint < "h5" else (Outcome.SUCCESS, 20 * MS)
         )
-        refused.append(sum(u < "h5" for u in went))
+        refused.append(sum(endpoint < "h5" for endpoint in attempted))
     assert driver.balancer.models.success.export_state().usual_error_ratio == 0.0
-    assert sum(refused[100:]) < 60, "trials alone"
+    assert sum(refused[100:]) < 60, "more than the trials"
 
 
-def test_an_unreachable_zone_is_left_to_trials_while_another_can_be_reached_and_comes_back() -> None:
-    # a zone whose endpoints are all ejected must not cost a connection attempt for every request
+def test_an_unreachable_zone_gets_only_trials_while_another_is_reachable_and_recovers() -> None:
+    # a zone whose endpoints are all ejected must not cost each request a connection attempt
     driver = Driver(
         entries=listed_entries(4, 4), cross_zone_cost=0.9, max_attempts=3, keep_alive_timeout=30 * SECOND
     )
     for _ in range(3):
-        driver.finish(lambda u: (Outcome.OVERLOADED if u[0] == "h" else Outcome.SUCCESS, MS))
+        driver.finish(lambda endpoint: (Outcome.OVERLOADED if endpoint[0] == "h" else Outcome.SUCCESS, MS))
         driver.now += 50 * MS
     for _ in range(40):
         driver.finish(lambda _: (Outcome.SUCCESS, MS))
         driver.now += 50 * MS
 
-    def play(lost: str, count: int = 150) -> float:
-        went: list[str] = []
+    def own_zone_ratio(unreachable: str, count: int = 150) -> float:
+        attempted: list[str] = []
         for _ in range(count):
             driver.now += 20 * MS
-            went += driver.finish(
-                lambda u: (Outcome.CONNECT_FAILED, MS) if u[0] in lost else (Outcome.SUCCESS, MS)
+            attempted += driver.finish(
+                lambda endpoint: (
+                    (Outcome.CONNECT_FAILED, MS) if endpoint[0] in unreachable else (Outcome.SUCCESS, MS)
+                )
             )
-        return sum(u[0] == "h" for u in went) / count
+        return sum(endpoint[0] == "h" for endpoint in attempted) / count
 
-    assert play("h") < 0.3
-    play("ha", 40)  # none can be reached: every request may try
-    assert play("ha", 40) > 0.2
+    assert own_zone_ratio("h") < 0.3
+    own_zone_ratio("ha", 40)  # nothing is reachable, so every request may try
+    assert own_zone_ratio("ha", 40) > 0.2
     driver.now += 10 * SECOND
-    play("", 60)
-    assert play("") > 0.7, "trials found it again"
+    own_zone_ratio("", 60)
+    assert own_zone_ratio("") > 0.7, "trials did not detect the recovery"
 
 
 @pytest.mark.parametrize("outcome", [Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
-def test_an_attempt_that_ends_after_its_zone_has_left_the_list_is_taken_in(outcome: Outcome) -> None:
+def test_the_end_of_an_attempt_is_recorded_after_its_zone_was_removed_from_the_list(outcome: Outcome) -> None:
     driver = Driver(entries=listed_entries(0, 3))
     request, actions = driver.ask()
     endpoint = sends(actions)[0]
@@ -178,7 +187,7 @@
     driver.ask()
 
 
-def test_ejections_in_a_row_double_up_to_the_maximum_and_one_success_ends_them() -> None:
+def test_consecutive_ejections_double_up_to_the_maximum_and_a_success_ends_them() -> None:
     success_model = SuccessModel(helpers.settings(), {})
     detector = OutlierDetector(helpers.settings(), success_model)
     endpoint = Endpoint(EndpointEntry("a"))
@@ -188,9 +197,11 @@
         durations.append(endpoint.ejections[IDEMPOTENT].duration // SECOND)
         assert detector.is_unavailable(now, endpoint)
         assert detector.record_outcome(now, endpoint, IDEMPOTENT, Outcome.CONNECT_FAILED)
-        assert endpoint.ejections[IDEMPOTENT].duration // SECOND == durations[-1], "not while it is ejected"
+        assert endpoint.ejections[IDEMPOTENT].duration // SECOND == durations[-1], (
+            "failures during an ejection do not extend it"
+        )
         now = endpoint.ejections[IDEMPOTENT].until
     assert durations == [1, 2, 4, 8, 8, 8]
     assert not detector.record_outcome(now, endpoint, IDEMPOTENT, Outcome.SUCCESS)
     assert IDEMPOTENT not in endpoint.ejections
-    assert NON_IDEMPOTENT in endpoint.ejections, "by class"
+    assert NON_IDEMPOTENT in endpoint.ejections, "a success ends the ejection of its class only"
--- a/tests/policy/test_send_guard.py
+++ b/tests/policy/test_send_guard.py
@@ -1,4 +1,4 @@
-"""What no decision may do."""
+"""The rules that the send guard enforces against every decision."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 
-def test_non_idempotent_request_is_never_hedged_and_fails_after_a_timeout() -> None:
+def test_a_non_idempotent_request_is_never_hedged_and_fails_after_a_timeout() -> None:
     driver = Driver()
     for _ in range(30):
         driver.serve()
@@ -35,32 +35,32 @@
     assert driver.end(request, sends(actions)[0], Outcome.TIMEOUT) == [FailRequest(request)]
 
 
-def test_non_idempotent_request_is_retried_after_proof_that_it_was_never_executed() -> None:
+def test_a_non_idempotent_request_is_retried_if_it_was_certainly_not_executed() -> None:
     driver = Driver()
     request, actions = driver.ask(NON_IDEMPOTENT)
     assert sends(driver.end(request, sends(actions)[0], Outcome.OVERLOADED, MS))
 
 
 @pytest.mark.parametrize(
-    ("class_index", "outside"), [(KEYED_IN_ZONE, "zone"), (KEYED_IN_CELL, "cell"), (KEYED_EVERYWHERE, "")]
+    ("class_index", "bound_to"), [(KEYED_IN_ZONE, "zone"), (KEYED_IN_CELL, "cell"), (KEYED_EVERYWHERE, "")]
 )
-def test_request_with_a_key_stays_in_its_deduplication_scope_and_window(
-    class_index: int, outside: str
+def test_a_request_with_a_key_stays_in_its_deduplication_scope_and_window(
+    class_index: int, bound_to: str
 ) -> None:
     for seed in range(20):
         driver = Driver(seed=seed)
         request, actions = driver.ask(class_index)
         first = driver.balancer.endpoints[sends(actions)[0]]
         for name in sends(driver.end(request, first.name, Outcome.RESET, MS)):
-            record = driver.balancer.endpoints[name]
-            assert outside != "zone" or record.zone == first.zone
-            assert outside != "cell" or (record.zone, record.cell) == (first.zone, first.cell)
+            endpoint = driver.balancer.endpoints[name]
+            assert bound_to != "zone" or endpoint.zone == first.zone
+            assert bound_to != "cell" or (endpoint.zone, endpoint.cell) == (first.zone, first.cell)
         driver = Driver(seed=seed)
         request, actions = driver.ask(class_index)
         assert not sends(driver.end(request, sends(actions)[0], Outcome.RESET, SECOND))
 
 
-def test_never_two_at_once_where_not_allowed() -> None:
+def test_no_parallel_attempts_where_not_allowed() -> None:
     driver = Driver(may_run_parallel_attempts=False)
     for _ in range(30):
         driver.serve()
@@ -68,14 +68,14 @@
     assert sends(driver.feed(TimerFired(f"copy:{request}"), SECOND)) == []
 
 
-def test_attempts_never_exceed_the_allowed_number() -> None:
+def test_attempts_never_exceed_the_maximum() -> None:
     driver = Driver(max_attempts=2)
     request, actions = driver.ask()
-    tries = 0
+    attempt_count = 0
     while endpoints := sends(actions):
-        actions = driver.end(request, endpoints[0], Outcome.OVERLOADED, MS, tries)
-        tries += 1
-    assert tries == 2
+        actions = driver.end(request, endpoints[0], Outcome.OVERLOADED, MS, attempt_count)
+        attempt_count += 1
+    assert attempt_count == 2
     assert isinstance(actions[0], RejectRequest)
 
 
@@ -91,7 +91,7 @@
     assert balancer.guard.send(driver.now, request, endpoint) is None
 
 
-def test_the_guard_sends_nothing_to_an_endpoint_that_drains_whoever_asks() -> None:
+def test_the_guard_sends_no_attempt_to_a_draining_endpoint() -> None:
     driver = Driver()
     request_id, _ = driver.ask()
     balancer = driver.balancer
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What a warming endpoint is sent; `test_slow_start_fleet.py` plays whole fleets."""
+"""Slow start at one or more instances; `test_slow_start_fleet.py` simulates whole fleets."""
 
 from __future__ import annotations
 
@@ -18,13 +18,15 @@
 
 
 @pytest.mark.parametrize("instances", [1, 3, 9])
-def test_warming_endpoint_is_not_overloaded_by_all_instances_together(instances: int) -> None:
-    start, service = 1000 * SECOND, 50 * MS
+def test_a_warming_endpoint_is_not_overloaded_by_all_instances_together(instances: int) -> None:
+    start, service_time = 1000 * SECOND, 50 * MS
     drivers = []
-    for n in range(instances):
-        driver = Driver(seed=n, instance=n, instance_count=instances, entries=listed_entries(2, 0))
+    for instance in range(instances):
+        driver = Driver(
+            seed=instance, instance=instance, instance_count=instances, entries=listed_entries(2, 0)
+        )
         for _ in range(20):
-            driver.serve(latency=service)
+            driver.serve(latency=service_time)
         driver.now = start + 10 * SECOND
         driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),)))
         drivers.append(driver)
@@ -35,15 +37,15 @@
             request, actions = driver.ask()
             if sends(actions):
                 sent.append(driver.now)
-                driver.feed(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service, True))
+                driver.feed(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service_time, True))
     assert sent
-    for at in sent:
-        share = 0.2 + 0.8 * (at - start - 10 * SECOND) / (10 * SECOND)
-        work = service * sum(1 for t in sent if at <= t < at + SECOND)
-        assert work <= 3.0 * share * SECOND
+    for sent_at in sent:
+        warm_fraction = 0.2 + 0.8 * (sent_at - start - 10 * SECOND) / (10 * SECOND)
+        work = service_time * sum(1 for other_sent_at in sent if sent_at <= other_sent_at < sent_at + SECOND)
+        assert work <= 3.0 * warm_fraction * SECOND
 
 
-def test_restarted_endpoint_warms_up_again_and_nothing_learnt_holds() -> None:
+def test_a_restarted_endpoint_warms_up_again_and_its_learnt_state_is_dropped() -> None:
     driver = Driver(entries=listed_entries(2, 0))
     for _ in range(20):
         driver.serve()
@@ -53,8 +55,8 @@
     assert record.warm_fraction_at(driver.now, driver.balancer.settings) == pytest.approx(0.2)
 
 
-def test_warm_and_warming_endpoints_side_by_side() -> None:
-    """A warm endpoint with a stated start beside a warming one: the warm one has no limit."""
+def test_a_warm_endpoint_is_not_limited_while_another_one_warms_up() -> None:
+    """The warm endpoint has a listed start, too."""
     driver = Driver(entries=listed_entries(2, 0))
     driver.now += 30 * SECOND
     old, new = (
@@ -66,28 +68,31 @@
 
 
 def test_hundreds_of_instances_use_a_warming_endpoint_and_do_not_overload_it() -> None:
-    """Each one's part is far under a send: turns would leave it unused, so sends are chosen at random."""
-    count, service, start = 300, 50 * MS, 1010 * SECOND
+    """Each instance's share is far below one send; turns would be too rare, so sends are random."""
+    count, service_time, start = 300, 50 * MS, 1010 * SECOND
     drivers = []
-    for n in range(count):
-        driver = Driver(seed=n, instance=n, instance_count=count, entries=listed_entries(4, 0))
+    for instance in range(count):
+        driver = Driver(seed=instance, instance=instance, instance_count=count, entries=listed_entries(4, 0))
         for _ in range(5):
-            driver.serve(latency=service)
+            driver.serve(latency=service_time)
         driver.now = start
         driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
         drivers.append(driver)
     sent: list[int] = []
     for step in range(20):
-        for n, driver in enumerate(drivers):
-            driver.now = start + step * 500 * MS + n * MS
+        for instance, driver in enumerate(drivers):
+            driver.now = start + step * 500 * MS + instance * MS
             request, actions = driver.ask()
             sent += [driver.now for name in sends(actions) if name == "cold"]
             for name in sends(actions):
-                driver.feed(AttemptEnded(request, 0, name, Outcome.SUCCESS, service, True))
+                driver.feed(AttemptEnded(request, 0, name, Outcome.SUCCESS, service_time, True))
     assert len(sent) > 10
-    for at in sent:
-        share = 0.2 + 0.8 * (at - start) / (10 * SECOND)
-        assert service * sum(1 for t in sent if at <= t < at + SECOND) <= 3.0 * share * SECOND
+    for sent_at in sent:
+        warm_fraction = 0.2 + 0.8 * (sent_at - start) / (10 * SECOND)
+        assert (
+            service_time * sum(1 for other_sent_at in sent if sent_at <= other_sent_at < sent_at + SECOND)
+            <= 3.0 * warm_fraction * SECOND
+        )
 
 
 @given(
@@ -97,41 +102,45 @@
         max_size=8,
     )
 )
-def test_shares_of_warming_endpoints_keep_to_their_tokens_and_warm_ones_have_the_rest(
+def test_shares_of_warming_endpoints_are_limited_to_their_tokens_and_warm_ones_get_the_rest(
     parts: list[tuple[float, float | None]],
 ) -> None:
     entries = tuple(
-        EndpointEntry(f"h{n}", started_at=0 if tokens is None else 1000 * SECOND)
-        for n, (_, tokens) in enumerate(parts)
+        EndpointEntry(f"h{index}", started_at=0 if tokens is None else 1000 * SECOND)
+        for index, (_, tokens) in enumerate(parts)
     )
     driver = Driver(entries=entries, instance_count=10_000)
-    balancer, odds = driver.balancer, [share for share, _ in parts]
+    balancer, weights = driver.balancer, [weight for weight, _ in parts]
     endpoints = list(balancer.endpoints.values())
     for endpoint, (_, tokens) in zip(endpoints, parts, strict=True):
         endpoint.send_tokens = tokens or 0.0
         endpoint.send_tokens_at = driver.now
-    clipped = balancer.slow_start.clip_weights(driver.now, endpoints, odds)
-    total, whole = sum(clipped) or 1.0, sum(odds) or 1.0
-    caps = [0.0 if c is None else min(o / whole, c) for o, c in parts]
-    warm = [o if c is None else 0.0 for o, c in parts]
-    if sum(caps) >= 1 - 1e-9 or 0 < sum(warm) <= 1e-6 * whole:
+    clipped = balancer.slow_start.clip_weights(driver.now, endpoints, weights)
+    clipped_total, total = sum(clipped) or 1.0, sum(weights) or 1.0
+    caps = [0.0 if tokens is None else min(weight / total, tokens) for weight, tokens in parts]
+    warm_weights = [weight if tokens is None else 0.0 for weight, tokens in parts]
+    if sum(caps) >= 1 - 1e-9 or 0 < sum(warm_weights) <= 1e-6 * total:
         return
-    for at, (_, tokens) in enumerate(parts):
-        wanted = caps[at] if tokens is not None else (1 - sum(caps)) * warm[at] / (sum(warm) or 1.0)
-        assert clipped[at] / total == pytest.approx(wanted, abs=1e-6)
-
-
-@pytest.mark.parametrize("ahead", [1, 3 * SECOND, 300 * SECOND])
-def test_without_a_warm_up_an_endpoint_is_warm_although_its_start_lies_ahead(ahead: int) -> None:
-    """Guards against a division by 0 that ended the process at its first request."""
+    for index, (_, tokens) in enumerate(parts):
+        expected = (
+            caps[index]
+            if tokens is not None
+            else (1 - sum(caps)) * warm_weights[index] / (sum(warm_weights) or 1.0)
+        )
+        assert clipped[index] / clipped_total == pytest.approx(expected, abs=1e-6)
+
+
+@pytest.mark.parametrize("start_offset", [1, 3 * SECOND, 300 * SECOND])
+def test_without_slow_start_an_endpoint_whose_start_is_in_the_future_is_warm(start_offset: int) -> None:
+    """A division by 0 once terminated the process at its first request."""
     driver = Driver(entries=(), slow_start_duration=0)
-    entry = EndpointEntry("new", started_at=driver.now + ahead)
+    entry = EndpointEntry("new", started_at=driver.now + start_offset)
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)))
     assert [driver.serve(latency=MS) for _ in range(20)] == ["new"] * 20
 
 
-def test_a_start_that_lies_ahead_counts_as_the_moment_at_which_it_was_listed() -> None:
-    """Guards against a warm-up that lasts longer by what two clocks differ, or begins anew with each list."""
+def test_a_start_in_the_future_counts_as_the_time_of_listing() -> None:
+    """Otherwise, the difference of two clocks would prolong the warm-up, or each list would restart it."""
     driver = Driver(entries=())
     listed_at = driver.now
     entry = EndpointEntry("new", started_at=listed_at + 300 * SECOND)
@@ -147,19 +156,19 @@
 @pytest.mark.parametrize(
     ("overload_multiple", "overload_window"), [(0.0, 0), (0.0, SECOND), (3.0, 0)], ids=str
 )
-def test_without_an_overload_rule_a_warming_endpoint_gets_its_graded_odds_and_no_more(
+def test_without_an_overload_rule_a_warming_endpoint_gets_reduced_odds(
     overload_multiple: float, overload_window: int
 ) -> None:
-    """Guards against a division by 0 or an overflow that ended the process at its first request."""
+    """A division by 0 or an overflow once terminated the process at its first request."""
     entries = (EndpointEntry("warm"), EndpointEntry("new", started_at=999 * SECOND))
     driver = Driver(entries=entries, overload_multiple=overload_multiple, overload_window=overload_window)
     served = Counter(driver.serve(latency=MS) for _ in range(500))
-    # a fraction w of the capacity weighs the odds by w ** 1.5: 0.28 ** 1.5 is 0.15 of the warm one's
+    # with a fraction w of its capacity, an endpoint's odds are multiplied by w ** 1.5: 0.28 ** 1.5 is 0.15
     assert 0.05 < served["new"] / served["warm"] < 0.30
 
 
-def test_requests_under_earlier_settings_without_a_warm_up_end_beside_a_warming_endpoint() -> None:
-    """Guards against a division by 0 in the instance that still ends them after a switch of settings."""
+def test_open_requests_end_under_earlier_settings_without_slow_start_beside_a_warming_endpoint() -> None:
+    """A division by 0 once occurred in the predecessor that ends them after a settings switch."""
     driver = Driver(entries=(EndpointEntry("new", started_at=990 * SECOND),), slow_start_duration=0)
     request, actions = driver.ask()
     earlier = driver.balancer
@@ -169,8 +178,8 @@
 
 
 @pytest.mark.parametrize("overload_multiple", [0.0, 3.0])
-def test_an_endpoint_that_starts_with_no_capacity_is_used_as_it_warms_up(overload_multiple: float) -> None:
-    """Guards against a division by 0 at the moment of its start."""
+def test_an_endpoint_that_starts_without_capacity_is_used_as_it_warms_up(overload_multiple: float) -> None:
+    """A division by 0 once occurred at the time of its start."""
     driver = Driver(
         entries=(EndpointEntry("new", started_at=1000 * SECOND),),
         slow_start_initial_fraction=0.0,
@@ -186,7 +195,7 @@
 
 
 def test_instances_under_settings_with_and_without_an_overload_rule_share_a_warming_endpoint() -> None:
-    """Guards against a division by 0 in the earlier one, and a bound that it lifts for the later one."""
+    """The predecessor must neither divide by 0 nor lift the limit for its successor."""
     entries = (EndpointEntry("warm"), EndpointEntry("new", started_at=995 * SECOND))
     driver = Driver(entries=entries, overload_window=0, instance_count=3)
     request, actions = driver.ask()
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,7 +1,6 @@
-"""One endpoint that warms up, and what all instances of a fleet send it together, in simulated time.
+"""Simulates how a fleet's instances together send to one warming endpoint.
 
-In any overload window, what is sent beyond the budget N of a warming endpoint may be 2 x root of N + 2, which
-is put down to chance.
+In any overload window, the sends may exceed the endpoint's budget N by 2 x sqrt(N) + 2, as random variation.
 """
 
 from __future__ import annotations
@@ -31,20 +30,20 @@
 from linetrack.policy.slow_start import SlowStart
 from tests.helpers import IDEMPOTENT, KEYED_EVERYWHERE, KEYED_IN_CELL, MS, NON_IDEMPOTENT, SECOND, settings
 
-BEGIN = 1000 * SECOND
-START = BEGIN + 8 * SECOND  # of the warming endpoint
+BEGIN_US = 1000 * SECOND
+WARMUP_START_US = BEGIN_US + 8 * SECOND  # start of the warming endpoint
 WARMING = "warming"
 
 
 @dataclass
 class Fleet:
-    """A fleet of instances, its endpoints and their load."""
+    """A fleet of instances, its endpoints and its load."""
 
     instances: int
-    warm: int  # endpoints beside the warming one
+    warm: int  # number of warm endpoints
     cores: int
-    work: int  # of a mean request
-    load: float  # share of what the warm ones can do; of one core's where there is none
+    work: int  # mean work of a request, in microseconds
+    load: float  # as a ratio of the warm endpoints' capacity, or of one endpoint's if there are none
     overload_window: int
     overload_multiple: float
     reports: bool
@@ -53,7 +52,7 @@
 
 
 class Simulation:
-    """Every instance's events in order of time; requests arrive at random, unevenly and in bursts."""
+    """Processes the events of every instance in time order; requests arrive randomly, unevenly, in bursts."""
 
     def __init__(self, fleet: Fleet, seed: int) -> None:
         self.fleet = fleet
@@ -64,56 +63,58 @@
             Balancer(
                 settings(
                     instance_count=fleet.instances,
-                    instance=n,
+                    instance=instance,
                     load_report_fields=fields,
                     slow_start_initial_fraction=fleet.initial_fraction,
                     slow_start_duration=fleet.slow_start_duration,
                     overload_multiple=fleet.overload_multiple,
                     overload_window=fleet.overload_window,
                 ),
-                seed * 1000 + n,
+                seed * 1000 + instance,
             )
-            for n in range(fleet.instances)
+            for instance in range(fleet.instances)
         ]
-        self.queue: list[tuple[int, int, int, Any]] = []
-        self.free: dict[str, list[int]] = defaultdict(lambda: [0] * fleet.cores)
-        self.served: dict[str, list[int]] = defaultdict(list)
-        self.attempts: dict[tuple[int, int], int] = {}
-        self.ended: set[tuple[int, int, int]] = set()
-        self.over: set[tuple[int, int]] = set()
-        self.sent: list[int] = []  # when the warming endpoint was sent to, by whomever
-        self.retries = 0  # of those, retries and hedged attempts
+        self.event_queue: list[tuple[int, int, int, Any]] = []
+        self.core_free_at: dict[str, list[int]] = defaultdict(lambda: [0] * fleet.cores)
+        self.serve_times: dict[str, list[int]] = defaultdict(list)
+        self.attempt_counts: dict[tuple[int, int], int] = {}
+        self.ended_attempts: set[tuple[int, int, int]] = set()
+        self.completed: set[tuple[int, int]] = set()
+        self.warming_sends: list[int] = []  # times of all sends to the warming endpoint
+        self.retries = 0  # number of retries and hedged attempts among them
         self._plan()
 
-    def put(self, at: int, instance: int, what: Any) -> None:
+    def schedule(self, time: int, instance: int, item: Any) -> None:
         self.count += 1
-        heapq.heappush(self.queue, (at, self.count, instance, what))
+        heapq.heappush(self.event_queue, (time, self.count, instance, item))
 
-    def warm_fraction(self, at: int) -> float:
+    def warm_fraction(self, time: int) -> float:
         fleet = self.fleet
         return fleet.initial_fraction + (1 - fleet.initial_fraction) * min(
-            1.0, max(0, at - START) / fleet.slow_start_duration
+            1.0, max(0, time - WARMUP_START_US) / fleet.slow_start_duration
         )
 
     def _plan(self) -> None:
         fleet = self.fleet
         random = self.random
-        old = tuple(EndpointEntry(f"warm{n}") for n in range(fleet.warm))
-        shares = [1 / (n + 1) ** 1.2 for n in range(fleet.instances)]
+        warm_entries = tuple(EndpointEntry(f"warm{number}") for number in range(fleet.warm))
+        shares = [1 / (instance + 1) ** 1.2 for instance in range(fleet.instances)]
         rate = fleet.load * fleet.cores / fleet.work * max(1, fleet.warm)
-        for n, share in enumerate(shares):
-            self.put(BEGIN, n, EndpointListUpdate(ListForm.CACHED, old))
-            listed_at = START + random.randrange(0, 600 * MS)
-            self.put(
-                listed_at, n, EndpointListUpdate(ListForm.DELTA, (EndpointEntry(WARMING, started_at=START),))
+        for instance, share in enumerate(shares):
+            self.schedule(BEGIN_US, instance, EndpointListUpdate(ListForm.CACHED, warm_entries))
+            listed_at = WARMUP_START_US + random.randrange(0, 600 * MS)
+            self.schedule(
+                listed_at,
+                instance,
+                EndpointListUpdate(ListForm.DELTA, (EndpointEntry(WARMING, started_at=WARMUP_START_US),)),
             )
-            at = BEGIN
-            while at < START + fleet.slow_start_duration:
-                burst = 3.0 if at // SECOND % 5 == 0 else 1.0
-                at += 1 + int(random.expovariate(rate * burst * share / sum(shares)))
-                self.put(
-                    at,
-                    n,
+            time = BEGIN_US
+            while time < WARMUP_START_US + fleet.slow_start_duration:
+                burst = 3.0 if time // SECOND % 5 == 0 else 1.0
+                time += 1 + int(random.expovariate(rate * burst * share / sum(shares)))
+                self.schedule(
+                    time,
+                    instance,
                     RequestReceived(
                         0,
                         random.choice(
@@ -125,77 +126,83 @@
 
     def run(self) -> Simulation:
         number = 0
-        while self.queue:
-            now, _, n, what = heapq.heappop(self.queue)
-            event: Event = what
-            if isinstance(what, RequestReceived):
+        while self.event_queue:
+            now, _, instance, item = heapq.heappop(self.event_queue)
+            event: Event = item
+            if isinstance(item, RequestReceived):
                 number += 1
-                self.attempts[n, number] = 0
-                event = RequestReceived(number, what.class_index, what.timeout)
-            elif isinstance(what, AttemptEnded):
-                key = (n, what.request_id, what.attempt)
-                if key in self.ended:
+                self.attempt_counts[instance, number] = 0
+                event = RequestReceived(number, item.class_index, item.timeout)
+            elif isinstance(item, AttemptEnded):
+                key = (instance, item.request_id, item.attempt)
+                if key in self.ended_attempts:
                     continue
-                self.ended.add(key)
-                if what.outcome is Outcome.SUCCESS:
-                    self.over.add((n, what.request_id))
-                what.request_completed = (n, what.request_id) in self.over
+                self.ended_attempts.add(key)
+                if item.outcome is Outcome.SUCCESS:
+                    self.completed.add((instance, item.request_id))
+                item.request_completed = (instance, item.request_id) in self.completed
                 if self.fleet.reports:
-                    lately = [at for at in self.served[what.endpoint][-300:] if at > now - SECOND]
-                    what.load_report = (0.0, float(len(lately)))
-            for action in self.balancers[n].handle(now, event):
-                self._act(now, n, action)
+                    recent = [time for time in self.serve_times[item.endpoint][-300:] if time > now - SECOND]
+                    item.load_report = (0.0, float(len(recent)))
+            for action in self.balancers[instance].handle(now, event):
+                self._act(now, instance, action)
         return self
 
-    def _act(self, now: int, n: int, action: Action) -> None:
+    def _act(self, now: int, instance: int, action: Action) -> None:
         match action:
             case StartAttempt(request, endpoint):
-                self._send(now, n, request, endpoint)
+                self._send(now, instance, request, endpoint)
             case SetTimer(after, token):
-                self.put(now + after, n, TimerFired(token))
+                self.schedule(now + after, instance, TimerFired(token))
             case CancelAttempt(request, attempt):
-                if (n, request, attempt) not in self.ended:
-                    took = AttemptEnded(request, attempt, WARMING, Outcome.CANCELLED, 0, True)
-                    self.put(now, n, took)
+                if (instance, request, attempt) not in self.ended_attempts:
+                    cancelled = AttemptEnded(request, attempt, WARMING, Outcome.CANCELLED, 0, True)
+                    self.schedule(now, instance, cancelled)
             case RejectRequest(request) | FailRequest(request):
-                self.over.add((n, request))
+                self.completed.add((instance, request))
 
-    def _send(self, now: int, n: int, request: int, endpoint: str) -> None:
-        attempt = self.attempts[n, request]
-        self.attempts[n, request] += 1
+    def _send(self, now: int, instance: int, request: int, endpoint: str) -> None:
+        attempt = self.attempt_counts[instance, request]
+        self.attempt_counts[instance, request] += 1
         work = self.fleet.work / 2 + self.random.expovariate(2 / self.fleet.work)
         if endpoint == WARMING:
-            self.sent.append(now)
+            self.warming_sends.append(now)
             self.retries += attempt > 0
             work /= self.warm_fraction(now)
-        cores = self.free[endpoint]
+        cores = self.core_free_at[endpoint]
         core = min(range(len(cores)), key=cores.__getitem__)
-        done = cores[core] = max(now, cores[core]) + int(work)
-        self.served[endpoint].append(now)
+        done_at = cores[core] = max(now, cores[core]) + int(work)
+        self.serve_times[endpoint].append(now)
         if self.random.random() < 0.08:
             outcome = self.random.choice((Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED))
-            self.put(now + 5 * MS, n, AttemptEnded(request, attempt, endpoint, outcome, 5 * MS, False))
+            self.schedule(
+                now + 5 * MS, instance, AttemptEnded(request, attempt, endpoint, outcome, 5 * MS, False)
+            )
         else:
-            self.put(done, n, AttemptEnded(request, attempt, endpoint, Outcome.SUCCESS, done - now, True))
-        late = AttemptEnded(request, attempt, endpoint, Outcome.TIMEOUT, 2 * SECOND, False)
-        self.put(now + 2 * SECOND, n, late)
+            self.schedule(
+                done_at,
+                instance,
+                AttemptEnded(request, attempt, endpoint, Outcome.SUCCESS, done_at - now, True),
+            )
+        timeout = AttemptEnded(request, attempt, endpoint, Outcome.TIMEOUT, 2 * SECOND, False)
+        self.schedule(now + 2 * SECOND, instance, timeout)
 
     def excess(self) -> float:
-        """Return by how many requests some window exceeds its budget and chance, at most."""
+        """Return the maximum number of requests by which a window exceeds its budget and random variation."""
         fleet = self.fleet
-        sent = sorted(self.sent)
-        worst = -math.inf
-        for n, at in enumerate(sent):
-            count = sum(1 for other in sent[n:] if other < at + fleet.overload_window)
+        warming_sends = sorted(self.warming_sends)
+        worst_excess = -math.inf
+        for instance, time in enumerate(warming_sends):
+            count = sum(1 for other in warming_sends[instance:] if other < time + fleet.overload_window)
             budget = (
                 fleet.overload_multiple
-                * self.warm_fraction(at)
+                * self.warm_fraction(time)
                 * fleet.cores
                 / fleet.work
                 * fleet.overload_window
             )
-            worst = max(worst, count - budget - 2 * math.sqrt(budget) - 2)
-        return worst
+            worst_excess = max(worst_excess, count - budget - 2 * math.sqrt(budget) - 2)
+        return worst_excess
 
 
 FLEETS = [
@@ -217,20 +224,20 @@
 
 
 @pytest.mark.parametrize("fleet", FLEETS, ids=lambda fleet: f"{fleet.instances}-{fleet.warm}")
-def test_all_instances_together_send_a_warming_endpoint_no_more_than_its_budget_and_chance(
+def test_a_fleet_sends_a_warming_endpoint_no_more_than_its_budget_and_random_variation(
     fleet: Fleet,
 ) -> None:
-    """No instance sees what others send, so each must keep to its part, retries included."""
+    """No instance sees what others send, so each must keep to its share, including retries."""
     simulation = Simulation(fleet, 1).run()
-    assert simulation.sent
+    assert simulation.warming_sends
     assert simulation.excess() <= 0
 
 
 def test_without_the_limit_the_budget_would_be_exceeded(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The test above must not hold because too little is sent.
+    """Shows that the test above does not pass merely because too little is sent.
 
-    Instances without the limit overload the warming endpoint, and those with it have retries and hedged
-    attempts to send as well.
+    Instances without the limit overload the warming endpoint, and those with the limit send retries and
+    hedged attempts, too.
     """
     assert sum(Simulation(fleet, 1).run().retries for fleet in (FLEETS[0], FLEETS[3])) > 0
     monkeypatch.setattr(SlowStart, "permits", lambda *_: True)
--- a/tests/policy/test_source.py
+++ b/tests/policy/test_source.py
@@ -1,4 +1,4 @@
-"""The policy's files as print: listed for the bench, small modules, and nothing of any one deployment."""
+"""Checks the policy's source files: the list of files, size limits, and independence of any deployment."""
 
 import ast
 import re
@@ -14,7 +14,7 @@
 MAX_LINE_LENGTH = 110
 
 
-def test_every_file_of_the_policy_is_listed() -> None:
+def test_every_policy_file_is_listed() -> None:
     files = {path for path in (ROOT / "linetrack" / "policy").iterdir() if path.suffix == ".py"}
     assert set(POLICY) == {path for path in files if path.name != "__init__.py"}
     assert len(POLICY) == len(set(POLICY))
@@ -31,12 +31,12 @@
             assert node.end_lineno - node.lineno < MAX_FUNCTION_LINES, node.name
 
 
-def test_the_entry_names_its_interface_first() -> None:
+def test_the_entry_module_names_the_interface_in_its_first_lines() -> None:
     entry = ROOT / "linetrack" / "policy" / "balancer.py"
     assert "linetrack/policy/events.py" in "\n".join(entry.read_text().splitlines()[:5])
 
 
 @pytest.mark.parametrize("path", POLICY, ids=lambda path: path.stem)
-def test_reads_no_name_of_place_or_deployment(path: Path) -> None:
+def test_mentions_no_place_or_deployment_and_reads_no_environment_or_files(path: Path) -> None:
     text = path.read_text()
     assert not re.search(r"bajio|tiendas|abholung|wien|hq.quotes|regina|leon|environ|\bopen\(", text)
--- a/tests/policy/test_traffic_share.py
+++ b/tests/policy/test_traffic_share.py
@@ -21,29 +21,29 @@
 from linetrack.policy.traffic_share import EVEN_SHARE_WEIGHT, SEND_DECAY_TIME, SHARE_LIFETIME, TrafficShare
 from tests.helpers import IDEMPOTENT, MS, settings
 
-BEGIN = 1000 * SECOND
+BEGIN_US = 1000 * SECOND
 ENDPOINTS = [Endpoint(EndpointEntry(f"u{n}", host_class=n % 2)) for n in range(10)]
 
 
 def reported(rate: float) -> dict[int, DecayingAverage]:
-    """Return the rates where both host classes report this one, in requests a second, for each endpoint."""
+    """Return the rates if both host classes report this rate per endpoint, in requests per second."""
     rates = {0: DecayingAverage(), 1: DecayingAverage()}
     for average in rates.values():
-        average.add(BEGIN, rate / SECOND)
+        average.add(BEGIN_US, rate / SECOND)
     return rates
 
 
 def estimate_after(instances: int, sends: int, rate: float) -> float:
-    """Return the estimate after so many evenly spaced sends, rates reported all along."""
-    share, span = TrafficShare(instances), 4 * SEND_DECAY_TIME
+    """Return the estimate after this number of evenly spaced sends and with reported rates."""
+    share, duration = TrafficShare(instances), 4 * SEND_DECAY_TIME
     for n in range(sends):
-        share.record_send(BEGIN + n * span // sends)
-    return share.estimate(BEGIN + span, ENDPOINTS, reported(rate))
+        share.record_send(BEGIN_US + n * duration // sends)
+    return share.estimate(BEGIN_US + duration, ENDPOINTS, reported(rate))
 
 
 def test_an_instance_with_more_traffic_has_the_larger_share() -> None:
     even, measured = 1 / 40, 0.2
-    # a fifth of the 100 requests a second that ten endpoints report together, for 20 s
+    # for 20 s, a fifth of the 100 requests per second that ten endpoints report together
     assert estimate_after(40, 400, 10.0) == pytest.approx(
         EVEN_SHARE_WEIGHT * even + (1 - EVEN_SHARE_WEIGHT) * measured, rel=0.1
     )
@@ -59,38 +59,38 @@
 
 
 def test_the_share_is_even_until_every_host_class_of_warm_endpoints_has_reported() -> None:
-    """A share of nothing, or of a part of the fleet taken for all of it, would be far too large."""
+    """With no rates, or with rates of only some endpoints, the estimated share would be far too large."""
     share = TrafficShare(8)
-    share.record_send(BEGIN)
-    assert share.estimate(BEGIN, ENDPOINTS, {}) == 1 / 8
-    only = {0: reported(10.0)[0]}
-    assert share.estimate(BEGIN + SHARE_LIFETIME, ENDPOINTS, only) == 1 / 8
-    assert share.estimate(BEGIN + 2 * SHARE_LIFETIME, [], reported(10.0)) == 1 / 8
+    share.record_send(BEGIN_US)
+    assert share.estimate(BEGIN_US, ENDPOINTS, {}) == 1 / 8
+    partial_rates = {0: reported(10.0)[0]}
+    assert share.estimate(BEGIN_US + SHARE_LIFETIME, ENDPOINTS, partial_rates) == 1 / 8
+    assert share.estimate(BEGIN_US + 2 * SHARE_LIFETIME, [], reported(10.0)) == 1 / 8
 
 
-def test_a_fleet_that_loses_instances_does_not_hand_out_their_shares_at_once() -> None:
-    """Those that are left would take all, while those that start again claim the even share."""
+def test_the_shares_of_lost_instances_are_not_reassigned_at_once() -> None:
+    """The remaining ones would claim the whole traffic, while restarted ones claim the even share."""
     share = TrafficShare(10)
     for n in range(100):
-        share.record_send(BEGIN + n * 200 * MS)
-    now = BEGIN + 20 * SECOND
+        share.record_send(BEGIN_US + n * 200 * MS)
+    now = BEGIN_US + 20 * SECOND
     before = share.estimate(now, ENDPOINTS, reported(10.0))
-    # nine in ten have ended, with their traffic: what is served falls to this instance's own
+    # nine of ten instances have ended with their traffic, so the total rate falls to this instance's own
     assert share.estimate(now + SHARE_LIFETIME, ENDPOINTS, reported(0.5)) < 1.3 * before
 
 
-def test_the_estimate_is_renewed_once_in_a_while_alone() -> None:
-    """A look at every endpoint for each decision about a warming one would take too long."""
+def test_the_estimate_is_cached() -> None:
+    """Iterating over every endpoint for each decision about a warming one would take too long."""
     share = TrafficShare(4)
-    first = share.estimate(BEGIN, ENDPOINTS, reported(10.0))
+    first = share.estimate(BEGIN_US, ENDPOINTS, reported(10.0))
     for _ in range(100):
-        share.record_send(BEGIN)
-    assert share.estimate(BEGIN + SHARE_LIFETIME - 1, ENDPOINTS, reported(10.0)) == first
-    assert share.estimate(BEGIN + SHARE_LIFETIME, ENDPOINTS, reported(10.0)) > first
+        share.record_send(BEGIN_US)
+    assert share.estimate(BEGIN_US + SHARE_LIFETIME - 1, ENDPOINTS, reported(10.0)) == first
+    assert share.estimate(BEGIN_US + SHARE_LIFETIME, ENDPOINTS, reported(10.0)) > first
 
 
 def warming_sends(share_of_traffic: float) -> int:
-    """Return sends to one warming endpoint beside nine warm ones, by one of 40 instances with this share."""
+    """Return how often one of 40 instances sends to a warming endpoint; nine other endpoints are warm."""
     fleet_rate, arrivals = 270.0, 1500
     balancer = Balancer(
         settings(
@@ -104,8 +104,8 @@
         7,
     )
     warm = tuple(EndpointEntry(f"warm{n}") for n in range(9))
-    balancer.handle(BEGIN, EndpointListUpdate(ListForm.CACHED, warm))
-    now, sent, starts_at = BEGIN, 0, BEGIN + 5 * SECOND
+    balancer.handle(BEGIN_US, EndpointListUpdate(ListForm.CACHED, warm))
+    now, sent, starts_at = BEGIN_US, 0, BEGIN_US + 5 * SECOND
     for number in range(1, arrivals + 1):
         now += int(SECOND / (fleet_rate * share_of_traffic))
         if balancer.endpoints.get("warming") is None and now > starts_at:
@@ -115,18 +115,18 @@
         for action in balancer.handle(now, RequestReceived(number, IDEMPOTENT, 2 * SECOND)):
             if isinstance(action, StartAttempt):
                 sent += action.endpoint == "warming"
-                took = 40 * MS if action.endpoint == "warming" else 20 * MS
+                latency = 40 * MS if action.endpoint == "warming" else 20 * MS
                 report = (fleet_rate / 9,)
-                ended = AttemptEnded(number, 0, action.endpoint, Outcome.SUCCESS, took, True, report)
-                balancer.handle(now + took, ended)
+                ended = AttemptEnded(number, 0, action.endpoint, Outcome.SUCCESS, latency, True, report)
+                balancer.handle(now + latency, ended)
         if now > starts_at + 10 * SECOND:
             break
     return sent
 
 
-def test_a_warming_endpoint_is_sent_to_by_an_instance_in_proportion_to_its_traffic() -> None:
-    """Equal parts would be too large for light instances and too small for the heaviest.
+def test_an_instance_sends_to_a_warming_endpoint_in_proportion_to_its_traffic() -> None:
+    """Equal shares would be too large for instances with little traffic and too small for the busiest one.
 
-    The heaviest one, with a fifth of all traffic, would reject requests while warming endpoints are idle.
+    With a fifth of all traffic, the busiest one would reject requests while warming endpoints are idle.
     """
     assert warming_sends(0.2) > 3 * warming_sends(0.02) > 0
