--- a/linetrack/policy/admission.py
+++ b/linetrack/policy/admission.py
@@ -51,7 +51,7 @@
 MAX_LISTED_LOAD_SLOWDOWN = 2.0
 
 # After a request was shed, client retries of its class are rejected for this time x the number of endpoints.
-SHED_HOLD_TIME_PER_ENDPOINT_US = 6_000
+CLIENT_RETRY_BLOCK_TIME_PER_ENDPOINT_US = 6_000
 
 # Minimum share of a failing class's requests that is admitted, to notice when the class recovers.
 MIN_FAILING_CLASS_SAMPLE = 0.04
@@ -131,15 +131,15 @@
     def admits(self, now: int, received: RequestReceived) -> bool:
         """Return whether a new request is considered for sending; it is rejected otherwise."""
         class_index = received.class_index
-        value_by_work = 0.0
+        value_per_work = 0.0
         if self._overload_controller:
             cost = self._latency_model.class_cost(now, class_index)
-            value_by_work = self._class_value(now, class_index) / cost
+            value_per_work = self._class_value(now, class_index) / cost
         # after shedding, reject client retries of the class without valuing each against every endpoint
-        hold_time = SHED_HOLD_TIME_PER_ENDPOINT_US * len(self._endpoints)
-        is_held = received.is_retry and now - self._shed_at[class_index] < hold_time
-        is_admitted = not is_held and (
-            not self._overload_controller or self._overload_controller.admit(now, received, value_by_work)
+        block_time = CLIENT_RETRY_BLOCK_TIME_PER_ENDPOINT_US * len(self._endpoints)
+        is_blocked = received.is_retry and now - self._shed_at[class_index] < block_time
+        is_admitted = not is_blocked and (
+            not self._overload_controller or self._overload_controller.admit(now, received, value_per_work)
         )
         return not self._is_sampled_out(now, class_index) and is_admitted
 
@@ -285,13 +285,13 @@
 
     def _queue_slot_cost(self, now: int, request: Request, zone: int) -> float:
         """Return the cost of an attempt's queue slot in the zone: full queues reject all classes."""
-        rejection = 1.0 - self._success_model.zone_acceptance(now, zone)
-        return FULL_QUEUE_SLOT_COST * request.jitter * request.class_cost * rejection
+        rejection_probability = 1.0 - self._success_model.zone_acceptance(now, zone)
+        return FULL_QUEUE_SLOT_COST * request.jitter * request.class_cost * rejection_probability
 
     def _latency_by_listed_load(
         self, now: int, endpoint: Endpoint, uncongested: float, latency: float
     ) -> float:
         """Return the latency raised for the listed load, as responses show an overload too late."""
         load = 1 + self._load_reports.load_from_other_instances(now, endpoint)
-        by_load = uncongested * self._load_reports.work_fraction * load / endpoint.warm_fraction
-        return max(latency, min(by_load, MAX_LISTED_LOAD_SLOWDOWN * latency))
+        load_latency = uncongested * self._load_reports.work_fraction * load / endpoint.warm_fraction
+        return max(latency, min(load_latency, MAX_LISTED_LOAD_SLOWDOWN * latency))
--- a/linetrack/policy/latency_model.py
+++ b/linetrack/policy/latency_model.py
@@ -122,13 +122,13 @@
         Own requests whose response is probably lost are excluded: a later one was answered, and their
         expected latency has passed several times over.
         """
-        own = len(endpoint.in_flight)
+        own_count = len(endpoint.in_flight)
         for attempt in endpoint.in_flight.values():
             is_overtaken = attempt.sent_at < endpoint.last_success_sent_at
             if not is_overtaken or now - attempt.sent_at < HEDGE_DELAY_RATIO * attempt.expected_latency:
                 break
-            own -= 1
-        return own + REPORT_WEIGHT * self._load_reports.load_from_other_instances(now, endpoint)
+            own_count -= 1
+        return own_count + REPORT_WEIGHT * self._load_reports.load_from_other_instances(now, endpoint)
 
     def expected_latency(self, now: int, endpoint: Endpoint) -> float:
         """Return the expected latency of a mean request sent to the endpoint now.
--- a/linetrack/policy/success_model.py
+++ b/linetrack/policy/success_model.py
@@ -51,8 +51,8 @@
         """
         if zone not in self._zone_acceptance:
             rejections = self._rejections.get(zone)
-            rejected = rejections.estimate(now, 0.0) if rejections else 0.0
-            self._zone_acceptance[zone] = 1.0 - MAX_FAILURE_PROBABILITY * rejected
+            rejection_ratio = rejections.estimate(now, 0.0) if rejections else 0.0
+            self._zone_acceptance[zone] = 1.0 - MAX_FAILURE_PROBABILITY * rejection_ratio
         return self._zone_acceptance[zone]
 
     def success_probability(self, now: int, endpoint: Endpoint, class_index: int) -> float:
@@ -64,8 +64,8 @@
         """
         probability = self.zone_acceptance(now, endpoint.zone)
         if self._settings.max_streams_per_connection > 1 and endpoint.connected_until < now:
-            connects = 1.0 - MAX_FAILURE_PROBABILITY * self._connect_failures.value
-            probability = min(probability, connects)
+            connect_probability = 1.0 - MAX_FAILURE_PROBABILITY * self._connect_failures.value
+            probability = min(probability, connect_probability)
         if endpoint.error_ratio:
             excess = self.excess_error_ratio(now, endpoint, class_index)
             if excess > 0:
@@ -77,10 +77,12 @@
 
         The ratio of the class decays to that of all classes.
         """
-        own = endpoint.class_errors.get(class_index)
+        class_errors = endpoint.class_errors.get(class_index)
         ratio = endpoint.error_ratio
-        if own:
-            ratio = decayed(now, own.ratio, own.updated_at, endpoint.error_ratio, OBSERVATION_DECAY_TIME)
+        if class_errors:
+            ratio = decayed(
+                now, class_errors.ratio, class_errors.updated_at, endpoint.error_ratio, OBSERVATION_DECAY_TIME
+            )
         return ratio - math.sqrt(self._usual_error_ratio)
 
     def record_connect(self, now: int, is_failed: bool) -> None:
@@ -94,8 +96,8 @@
     def record_outcome(self, now: int, endpoint: Endpoint, class_index: int, outcome: Outcome) -> None:
         """Record whether an attempt failed; a rejection is not a failure."""
         is_failed = outcome not in (Outcome.SUCCESS, Outcome.OVERLOADED)
-        own = endpoint.class_errors.get(class_index)
-        ratio = own.ratio if own else endpoint.error_ratio
+        class_errors = endpoint.class_errors.get(class_index)
+        ratio = class_errors.ratio if class_errors else endpoint.error_ratio
         endpoint.class_errors[class_index] = ClassErrorRatio(ratio + EWMA_WEIGHT * (is_failed - ratio), now)
         endpoint.error_ratio += EWMA_WEIGHT * (is_failed - endpoint.error_ratio)
         # failed connections and timeouts are excluded, as half of the endpoints may be unreachable at once,
--- a/tests/policy/test_retry_limits.py
+++ b/tests/policy/test_retry_limits.py
@@ -75,9 +75,8 @@
     driver = Driver(**RETRY_LIMIT_SETTINGS)
     assert count_retries(driver, 10) == 3
     last_retry_at = driver.now
-    driver.now = (
-        last_retry_at + WINDOW_US - 20
-    )  # the last retry is still inside, but only some of the requests
+    # the last retry is still inside, but only some of the requests
+    driver.now = last_retry_at + WINDOW_US - 20
     assert count_retries(driver, 1) == 0
     driver.now = last_retry_at + WINDOW_US + 30  # the window holds one request and no retry
     assert count_retries(driver, 1) == 2
