--- a/linetrack/policy/actions.py
+++ b/linetrack/policy/actions.py
@@ -17,7 +17,7 @@
 
     request_id: int
     endpoint: str
-    timeout: int = 0  # 0: none beyond the client's own timeout
+    timeout: int = 0  # 0: until the request's own deadline
     write_deadline: int = 0  # time after which it must not be written and ends as NOT_SENT; 0: none
 
 
--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -24,6 +24,7 @@
 HEDGE_TOKEN = "copy"  # token of the timer after which a hedged attempt is due
 WAIT_INTERVAL_US = 20_000  # interval at which a waiting request checks for an endpoint
 MAX_WAIT_RATIO = 0.25  # maximum wait for an endpoint, as a share of the latency objective
+
 # A hedged attempt waits until the time left to the objective is this multiple of its own expected latency.
 HEDGE_RESERVE_RATIO = 5.0
 
--- a/linetrack/policy/idle_connections.py
+++ b/linetrack/policy/idle_connections.py
@@ -42,7 +42,7 @@
         return attempt.idle_time > 0 and 4 * latency < attempt.expected_latency
 
     def record_reset(self, now: int, attempt: Attempt) -> None:
-        """Lower the limit after a reset of an idle connection."""
+        """Set the limit after a reset of an idle connection."""
         self._max_idle = MAX_IDLE_RATIO * attempt.idle_time
         self._learnt_at = now
 
--- a/linetrack/policy/request.py
+++ b/linetrack/policy/request.py
@@ -43,7 +43,7 @@
         self.quota_factor = 1.0  # share of its value that remains after its tenant's quota is applied
         self.class_cost = 1.0
         self.overload_factor = 1.0  # factor on the cost of work while many requests are late
-        self.mean_objective = 1.0
+        self.mean_objective = 1.0  # mean over the classes of latency objective / class cost
         self.staleness_discount = 1.0  # decays to 0 while no endpoint responds
         self.jitter = 1.0  # random factor on costs, so that the instances do not all switch at once
 
