--- a/linetrack/control/hot_restart.py
+++ b/linetrack/control/hot_restart.py
@@ -180,7 +180,7 @@
         self.next_action_at = now  # the next connection, or when the predecessor is taken to hang
         self.connect_deadline = now + CONNECT_RETRY_TIMEOUT_US
         self.is_prepared = False
-        self.has_met_foreign = False
+        self.found_foreign_process = False
 
     def begin_connect(self, now: int) -> list[Command]:
         """Connect to the predecessor, whose answer is due by `next_action_at`."""
@@ -195,7 +195,7 @@
 
     def on_foreign_predecessor(self) -> list[Command]:
         """The process found is another customer's; it stays as it is, and stays the one that is found."""
-        self.has_met_foreign = True
+        self.found_foreign_process = True
         return self.on_no_predecessor()
 
     def on_address_in_use(self, now: int) -> list[Command]:
--- a/linetrack/server/hot_restart_successor.py
+++ b/linetrack/server/hot_restart_successor.py
@@ -83,7 +83,7 @@
     @property
     def has_met_foreign(self) -> bool:
         """Whether the process that was found is another customer's."""
-        return self._state_machine.has_met_foreign
+        return self._state_machine.found_foreign_process
 
     def connect(self) -> GrantedListener | None:
         """Return the listening socket of the predecessor; None where there is no predecessor.
