--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -1,16 +1,16 @@
-"""Adaptive overload control: how many requests a second are admitted while most responses are bad.
-
-A response is bad if it failed or missed its class's latency objective.  While two thirds are bad the
-controller is engaged: it limits admission to a rate that decreases while responses stay bad and increases
-while they are good, but never beyond three times the rate of good responses.  Without such a limit clients
-that all retry can keep a fleet overloaded that has recovered (a metastable failure: Bronson et al.,
-"Metastable Failures in Distributed Systems", HotOS 2021).  First attempts are admitted before retries that
-waited as long as they were asked to, and those before retries that did not; each class keeps a minimum share.
-The controller disengages once the limit has been above the offered rate for a while.
-
-The controller reads no clock, touches no socket and knows no endpoint: the policy gives it events with their
-times (integer microseconds, never going back), asks, and decides.  Each call takes constant time for a fixed
-number of classes.
+"""Adaptive overload control: limits the rate of admitted requests while most responses are bad.
+
+A response is bad if it failed or missed its class's latency objective.  The controller engages when about
+two thirds of the responses are bad.  While it is engaged, it limits admission to a rate that decreases while
+responses stay bad and increases while they are good, up to three times the rate of good responses.  Without
+such a limit, retrying clients can keep a fleet overloaded after the cause is gone (a metastable failure:
+Bronson et al., "Metastable Failures in Distributed Systems", HotOS 2021).  First attempts are admitted first,
+then retries that waited as long as their clients were asked to, then other retries; each class keeps a
+minimum share.  The controller disengages once the limit has been above the offered rate for a while.
+
+It reads no clock, does no I/O and knows no endpoints: the policy passes it events with their times (integer
+microseconds, which never decrease) and acts on its answers.  Each call takes constant time for a fixed number
+of classes.
 """
 
 from __future__ import annotations
@@ -27,50 +27,55 @@
 from linetrack.policy.events import RequestReceived
 from linetrack.policy.time_units import SECOND
 
-UPDATE_INTERVAL_US = SECOND // 10  # between two changes of the limit
-
-# When the controller engages and disengages.
-ENGAGE_BAD_RATIO = 0.65  # of the responses of the last second
-MIN_RESPONSES_TO_ENGAGE = 8.0  # within about a second, below which a ratio means nothing
-DISENGAGE_HEADROOM = 1.2  # times the offered rate that the limit must exceed ...
-DISENGAGE_AFTER_US = 3 * SECOND  # ... for so long
-RECOVERING_GOOD_RATE = 1.0  # good responses a second from which on an overload counts as recovering
-RELAPSE_GOOD_RATIO = 0.35  # below which a recovery has failed
-
-# How the limit changes, at each update.
-INCREASE_GOOD_RATIO = 0.9  # from which on the limit increases
-DECREASE_GOOD_RATIO = 0.7  # below which it decreases
-CONSECUTIVE_GOOD_RESPONSES = 3  # show a recovery as well, long before older bad ones are forgotten
-FAST_INCREASE_FACTOR = 1.15  # up to `fast_increase_limit`: twofold in half a second
-SLOW_INCREASE_SHARE = 0.005  # of the baseline rate, beyond that
-SLOW_INCREASE_SHARE_NEAR_BASELINE = 0.02  # while the limit is not far above the baseline rate, ...
-PROPORTIONAL_INCREASE_SHARE = 0.03  # of the limit itself, ...
-PROPORTIONAL_AFTER_US = 20 * SECOND  # ... once so long without a decrease: no baseline rate is needed then
-NEAR_BASELINE_FACTOR = 1.5  # ... that is up to so many times it, as the offered rate varies about it
-DECREASE_FACTOR = 0.6  # at once, and again only after responses to what was admitted since can have come
-FAST_INCREASE_LIMIT_FACTOR = 0.8  # of the limit at which responses became bad
-#: Once a second while responses are in time but no longer fast: a queue builds up, and overload is near.
+UPDATE_INTERVAL_US = SECOND // 10  # minimum time between two updates of the limit
+
+# When the controller engages and disengages, and the phases in between.
+ENGAGE_BAD_RATIO = 0.65  # share of bad responses, over about the last second, that engages the controller
+MIN_RESPONSES_PER_SECOND_TO_ENGAGE = 8.0  # with fewer responses the ratio is not significant
+DISENGAGE_HEADROOM_FACTOR = 1.2  # minimum ratio of the limit to the offered rate
+DISENGAGE_AFTER_US = 3 * SECOND  # time for which the limit must keep that headroom
+RECOVERING_GOOD_RATE = 1.0  # good responses per second that the phase `RECOVERING` requires
+RELAPSE_GOOD_RATIO = 0.35  # below this ratio of good responses a recovery has failed
+
+# How the limit changes at each update.
+INCREASE_GOOD_RATIO = 0.9  # minimum ratio of good responses for an increase
+DECREASE_GOOD_RATIO = 0.7  # ratio of good responses below which the limit decreases
+CONSECUTIVE_GOOD_RESPONSES = 3  # indicate a recovery before the ratio does, which still counts older bad ones
+# Up to `_fast_increase_limit` the limit grows by a factor that doubles it in 0.5 s; above that, by a share
+# of the baseline rate, larger near that rate because the offered rate varies about it.  After a time
+# without a decrease it grows by at least a share of itself, which needs no baseline rate.
+FAST_INCREASE_FACTOR = 1.15
+SLOW_INCREASE_SHARE = 0.005
+SLOW_INCREASE_SHARE_NEAR_BASELINE = 0.02
+PROPORTIONAL_INCREASE_SHARE = 0.03
+PROPORTIONAL_AFTER_US = 20 * SECOND
+NEAR_BASELINE_FACTOR = 1.5
+# Decreases are an interval apart, so that responses to requests admitted since the last one can arrive.  The
+# limit at which responses became bad sets `_fast_increase_limit`.  Decreases are gentle while responses are
+# in time but too few of them are fast: a queue is building up, and overload is near.
+DECREASE_FACTOR = 0.6
+FAST_INCREASE_LIMIT_FACTOR = 0.8
 GENTLE_DECREASE_FACTOR = 0.9
 MIN_FAST_RATIO = 0.8
 DECREASE_INTERVAL_US = SECOND
-MAX_LIMIT_TO_GOOD_RATE = 3.0
-MIN_LIMIT_SHARE = 0.25  # of the baseline rate, however bad responses are: a recovery has to be noticed
+MAX_LIMIT_TO_GOOD_RATE_RATIO = 3.0
+MIN_LIMIT_SHARE = 0.25  # share of the baseline rate that is always admitted, so that a recovery is noticed
 MIN_RATE_PER_SECOND = 2.0
 
 # Admission within the limit.
-GROUP_SHARE_SLACK = 2.0  # times its share that a group may try for: the bucket bounds the sum of all groups
-MIN_GROUP_SHARE = 0.05  # of the limit goes to each group that asks, whatever comes before it
+GROUP_SHARE_SLACK_FACTOR = 2.0  # a group may exceed its share: the token bucket bounds the sum of all groups
+MIN_GROUP_SHARE = 0.05  # share of the limit that each group may use, whatever its priority
 MIN_BURST_REQUESTS = 2.0
-MAX_OVERDRAFT_SECONDS = 0.5  # of the limit that first attempts may take ahead of it
+MAX_OVERDRAFT_SECONDS = 0.5  # first attempts may use the tokens of this time in advance
 
-# The retry budget, and the times at which rejected clients are asked to return.
+# The retry budget, and the rate at which rejected clients are asked to return.
 RETRY_TOKENS_PER_GOOD_RESPONSE = 0.1
 MAX_RETRY_TOKENS = 10.0
-RETURN_RATE_SHARE = 0.5  # of the baseline rate
+RETURN_RATE_SHARE = 0.5  # share of the baseline rate
 
 
 class OverloadPhase(Enum):
-    """What the controller takes the fleet for; it limits admission in all phases but `NORMAL`."""
+    """The state of the fleet as the responses show it; admission is limited in all phases but `NORMAL`."""
 
     NORMAL = "normal"
     OVERLOADED = "overloaded"
@@ -78,15 +83,15 @@
 
 
 class AdmissionPriority(IntEnum):
-    """Which requests are admitted first while not all can be."""
+    """The order in which requests are admitted while admission is limited; the lowest value comes first."""
 
     FIRST_ATTEMPT = 0
-    SCHEDULED_RETRY = 1  # came back at a time that the client was given
-    EARLY_RETRY = 2  # came back before
+    SCHEDULED_RETRY = 1  # arrived at or after the time at which its client was asked to return
+    EARLY_RETRY = 2  # arrived earlier
 
 
 class GroupKey(NamedTuple):
-    """What requests of one group have in common."""
+    """Identifies a group of requests."""
 
     priority: AdmissionPriority
     class_index: int
@@ -96,21 +101,21 @@
 class RequestGroup:
     """The requests of one priority and class."""
 
-    priority_weight: float  # of the latest request
+    priority_weight: float  # that of the group's latest request
     offered_rate: DecayingRate
 
 
 @dataclass(slots=True, frozen=True)
 class OverloadStatus:
-    """The controller's state as it enters a phase; rates are a second."""
+    """The controller's state at the start of a phase; rates are per second."""
 
     engaged_seconds: float
     rate_limit: float
     baseline_rate: float
     offered_rate: float
     retry_ratio: float
-    admitted: int  # requests since the controller engaged
-    rejected: int
+    admitted: int  # requests admitted since the controller engaged
+    rejected: int  # requests rejected since the controller engaged
 
 
 PhaseListener = Callable[[OverloadPhase, OverloadStatus], None]
@@ -121,40 +126,40 @@
 
 
 class AdaptiveOverloadController:
-    """Limits admission and retries by the responses of the fleet.  Times are microseconds."""
+    """Limits admission and retries according to the fleet's responses.  Times are in microseconds."""
 
     def __init__(self, seed: int, on_phase_changed: PhaseListener = _ignore_phase) -> None:
-        """Start in the phase `NORMAL`; `on_phase_changed` is called as each further phase begins."""
+        """Start in the phase `NORMAL`; `on_phase_changed` is called at the start of each later phase."""
         self.phase = OverloadPhase.NORMAL
-        self.rate_limit = 0.0  # requests admitted a second, while engaged
-        self.tokens = 0.0  # requests that may be admitted now; negative where first attempts overdrew
+        self.rate_limit = 0.0  # requests admitted per second while engaged
+        self.tokens = 0.0  # requests that may be admitted now; negative after first attempts overdrew it
         self.retry_tokens = MAX_RETRY_TOKENS
         self.groups: dict[GroupKey, RequestGroup] = {}
         self._random = Random(seed)
         self.retry_schedule = RetrySchedule(self._random)
         self._on_phase_changed = on_phase_changed
-        # what was observed
+        # observations
         self._good_rate = DecayingRate()
         self._fast_rate = DecayingRate()
         self._bad_rate = DecayingRate()
         self._offered_rate = DecayingRate()
         self._retry_rate = DecayingRate()
         self._consecutive_good = 0
-        self._baseline = BaselineRate()  # of good responses while not engaged
-        # how the limit is controlled
-        self._fast_increase_limit = 0.0
+        self._baseline = BaselineRate()  # the rate of good responses while not engaged
+        # state of the limit
+        self._fast_increase_limit = 0.0  # up to this rate the limit increases fast
         self._last_update_at = 0
         self._last_decrease_at = 0
         self._last_refill_at = 0
-        self._reserved_tokens = 0.0  # for retries only
+        self._reserved_tokens = 0.0  # tokens that only retries may use
         self._engaged_at = 0
-        self._insufficient_at = 0  # when the limit or the responses last gave a reason to stay engaged
+        self._insufficient_at = 0  # when the limit was last too low, or responses too bad, to disengage
         self._admitted_count = 0
         self._rejected_count = 0
 
-    # --- What the policy calls ---------------------------------------------------------------------
+    # --- Calls of the policy -----------------------------------------------------------------------
     def admit(self, now: int, arrival: RequestReceived, priority_weight: float) -> bool:
-        """Return whether to serve a new request, whose `priority_weight` is for the work that it asks for."""
+        """Return whether to serve a new request; `priority_weight` is its value relative to its work."""
         self._update(now)
         self._offered_rate.add(now)
         priority = self._classify(now, arrival)
@@ -163,7 +168,7 @@
         key = GroupKey(priority, arrival.class_index)
         self._record_offered(now, key, priority_weight)
         self._refill(now)
-        # the share is applied at random; where there is no token, no random number is drawn
+        # the share is applied as a probability; no random number is drawn if there is no token
         admitted = self._has_token(priority) and self._random.random() < self._admitted_share(now, key)
         if admitted:
             self._take_token(priority)
@@ -173,7 +178,7 @@
         return admitted
 
     def allow_retry(self, now: int) -> bool:
-        """Return whether one more attempt is within the budget that clients' retries and own ones share."""
+        """Charge one attempt to the retry budget, which client retries share; return whether it allows it."""
         self._update(now)
         if self.retry_tokens < 1:
             return False
@@ -181,7 +186,7 @@
         return True
 
     def record_response(self, now: int, in_time: bool, is_fast: bool) -> None:
-        """Take in whether an attempt met its class's latency objective, and in half of that time."""
+        """Record whether an attempt met its class's latency objective, and whether in half of that time."""
         if is_fast:
             self._fast_rate.add(now)
         if in_time:
@@ -194,9 +199,9 @@
         self._update(now)
 
     def retry_after(self, now: int, default: int, maximum: int) -> int:
-        """Return after how long a rejected client should come back, about `default` where nothing is wrong.
+        """Return the delay after which a rejected client should retry, about `default` while not engaged.
 
-        While engaged the times are spread over what the backlog needs, from half of `default` on.
+        While engaged, delays start at half of `default` and are spread over the time that the backlog needs.
         """
         if self.phase is OverloadPhase.NORMAL:
             return min(maximum, int(default * (0.5 + self._random.random())))
@@ -205,7 +210,7 @@
 
     # --- Admission within the limit ------------------------------------------------------------------
     def _classify(self, now: int, arrival: RequestReceived) -> AdmissionPriority:
-        """Return a request's priority, and charge the retry budget for a client's retry."""
+        """Return the priority of a request; a client's retry is charged to the retry budget."""
         if not arrival.is_retry:
             return AdmissionPriority.FIRST_ATTEMPT
         self._retry_rate.add(now)
@@ -229,10 +234,10 @@
         self._last_refill_at = now
 
     def _has_token(self, priority: AdmissionPriority) -> bool:
-        """Return whether the bucket admits a request of this priority.
+        """Return whether the token bucket admits a request of this priority.
 
-        Retries can be many times as many as first attempts and would find each token first.  So first
-        attempts may overdraw the bucket, and the reserved tokens are for retries only.
+        Retries can outnumber first attempts many times and would then take every token.  Therefore first
+        attempts may overdraw the bucket, and the reserved tokens keep retries from being starved in turn.
         """
         if priority is AdmissionPriority.FIRST_ATTEMPT:
             return self.tokens >= 1 - max(MIN_BURST_REQUESTS, MAX_OVERDRAFT_SECONDS * self.rate_limit)
@@ -245,16 +250,16 @@
             self._reserved_tokens -= 1
 
     def _admitted_share(self, now: int, key: GroupKey) -> float:
-        """Return which share of a group's requests to admit.
+        """Return the share of a group's requests to admit.
 
-        The groups before it, by priority and then by weight, are admitted first.
+        The limit is allotted to the groups in the order of their priority and then of their weight.
         """
         groups = self.groups
         ranked = sorted(groups, key=lambda k: (k.priority, -groups[k].priority_weight, k.class_index))
         remaining = self.rate_limit
         for candidate in ranked:
             rate = groups[candidate].offered_rate.per_second(now)
-            granted = GROUP_SHARE_SLACK * max(remaining, MIN_GROUP_SHARE * self.rate_limit)
+            granted = GROUP_SHARE_SLACK_FACTOR * max(remaining, MIN_GROUP_SHARE * self.rate_limit)
             share = min(1.0, granted / max(rate, 1e-9))
             if candidate == key:
                 return share
@@ -263,7 +268,7 @@
 
     # --- The limit -----------------------------------------------------------------------------------
     def _update(self, now: int) -> None:
-        """Adapt to what was observed, at most once in `UPDATE_INTERVAL_US`."""
+        """Update the limit and the phase from the observations, at most once in `UPDATE_INTERVAL_US`."""
         elapsed = now - self._last_update_at
         if elapsed < UPDATE_INTERVAL_US:
             return
@@ -274,24 +279,24 @@
         response_rate = good_rate + bad_rate
         good_ratio = good_rate / response_rate if response_rate > 0 else 1.0
         if self.phase is OverloadPhase.NORMAL:
-            if response_rate >= MIN_RESPONSES_TO_ENGAGE and good_ratio <= 1 - ENGAGE_BAD_RATIO:
+            if response_rate >= MIN_RESPONSES_PER_SECOND_TO_ENGAGE and good_ratio <= 1 - ENGAGE_BAD_RATIO:
                 self._engage(now, good_rate)
             else:
                 self._baseline.observe(elapsed, good_rate)
             return
         self._adjust_limit(now, response_rate, good_ratio)
         min_limit = self._min_limit()
-        max_limit = max(min_limit, MAX_LIMIT_TO_GOOD_RATE * good_rate)
+        max_limit = max(min_limit, MAX_LIMIT_TO_GOOD_RATE_RATIO * good_rate)
         self.rate_limit = min(max(self.rate_limit, min_limit), max_limit)
         self._update_phase(now, good_rate, good_ratio)
         self._disengage_if_sufficient(now, offered_rate, good_ratio)
 
     def _adjust_limit(self, now: int, response_rate: float, good_ratio: float) -> None:
-        """Increase or decrease the limit by the latest responses."""
+        """Increase or decrease the limit according to the latest responses."""
         fast_ratio = self._fast_rate.per_second(now) / response_rate if response_rate > 0 else 1.0
         may_decrease = now - self._last_decrease_at >= DECREASE_INTERVAL_US
         if response_rate < 1:
-            return  # too few responses to tell
+            return  # too few responses for a ratio
         if self._shows_capacity(fast_ratio, good_ratio):
             self._increase_limit(now)
         elif good_ratio < DECREASE_GOOD_RATIO and may_decrease:
@@ -300,11 +305,11 @@
             self._decrease_limit_gently(now)
 
     def _shows_capacity(self, fast_ratio: float, good_ratio: float) -> bool:
-        """Return whether the responses show that the fleet can take more."""
+        """Return whether the responses show that the fleet has capacity for a higher limit."""
         is_recovery = self._consecutive_good >= CONSECUTIVE_GOOD_RESPONSES
         if fast_ratio >= INCREASE_GOOD_RATIO or (is_recovery and self.rate_limit <= 2 * self._min_limit()):
             return True
-        # a fleet in slow start responds slowly but in time, which is no sign of a queue
+        # a fleet in slow start responds slowly but in time, which does not indicate a queue
         return good_ratio >= INCREASE_GOOD_RATIO and self.rate_limit < self._fast_increase_limit
 
     def _increase_limit(self, now: int) -> None:
@@ -312,10 +317,10 @@
         self.rate_limit = min(self.rate_limit * FAST_INCREASE_FACTOR, slow_limit)
 
     def _slow_increase(self, now: int) -> float:
-        """Return by how much the limit increases at an update beyond what the fleet is known to take.
+        """Return the increase of the limit at one update above `_fast_increase_limit`.
 
-        It is a share of the baseline rate.  Where that is unknown, or of another time, the limit would stay
-        where it is, so after a while without a decrease it is a share of the limit at least.
+        It is a share of the baseline rate.  With a rate that is unknown or out of date the limit would hardly
+        increase, so after a while without a decrease it is at least a share of the limit.
         """
         is_near_baseline = self.rate_limit < NEAR_BASELINE_FACTOR * self._baseline.per_second
         share = SLOW_INCREASE_SHARE_NEAR_BASELINE if is_near_baseline else SLOW_INCREASE_SHARE
@@ -327,25 +332,25 @@
     def _decrease_limit(self, now: int) -> None:
         """Decrease the limit after bad responses."""
         if self._exceeds_known_capacity():
-            # not for what follows from one decrease, while the queue that built up before it is worked off
+            # unchanged by further decreases while the queue from before the first one is still being served
             self._fast_increase_limit = max(self._min_limit(), self.rate_limit * FAST_INCREASE_LIMIT_FACTOR)
         self.rate_limit *= DECREASE_FACTOR
         self._last_decrease_at = now
 
     def _decrease_limit_gently(self, now: int) -> None:
-        """Decrease the limit a little, as responses are in time but no longer fast."""
-        # a fleet in slow start is slow below its known capacity too, which says nothing of what it can take
+        """Decrease the limit a little, because responses are in time but no longer fast."""
+        # a fleet in slow start is slow even below its known capacity, which does not indicate overload
         if self._exceeds_known_capacity():
             self.rate_limit = max(self._min_limit(), self.rate_limit * GENTLE_DECREASE_FACTOR)
             self._fast_increase_limit = self.rate_limit
         self._last_decrease_at = now
 
     def _exceeds_known_capacity(self) -> bool:
-        """Return whether the limit is about as high as `fast_increase_limit`, or higher."""
+        """Return whether the limit is near `_fast_increase_limit` or above it."""
         return self.rate_limit >= self._fast_increase_limit * GENTLE_DECREASE_FACTOR
 
     def _min_limit(self) -> float:
-        """Return the requests a second that are admitted however bad the responses are."""
+        """Return the lower bound of the limit, in requests per second."""
         return max(MIN_RATE_PER_SECOND, MIN_LIMIT_SHARE * self._baseline.per_second)
 
     # --- The phases ----------------------------------------------------------------------------------
@@ -372,8 +377,8 @@
             self._enter_phase(phase, now)
 
     def _disengage_if_sufficient(self, now: int, offered_rate: float, good_ratio: float) -> None:
-        """Return to `NORMAL` once the limit has been above the offered rate for long enough."""
-        if self.rate_limit < DISENGAGE_HEADROOM * offered_rate or good_ratio < INCREASE_GOOD_RATIO:
+        """Return to `NORMAL` once the limit has been above the offered rate for `DISENGAGE_AFTER_US`."""
+        if self.rate_limit < DISENGAGE_HEADROOM_FACTOR * offered_rate or good_ratio < INCREASE_GOOD_RATIO:
             self._insufficient_at = now
         elif now - self._insufficient_at >= DISENGAGE_AFTER_US:
             self._enter_phase(OverloadPhase.NORMAL, now)
