--- a/linetrack/control/__init__.py
+++ b/linetrack/control/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions beside the policy's: no I/O, no clock and no chance of their own; one file a matter."""
+"""Decisions outside the policy, one topic per module: no I/O, no clock, and randomness only from a seed."""
--- a/linetrack/control/connection_demand.py
+++ b/linetrack/control/connection_demand.py
@@ -1,7 +1,7 @@
-"""Demand for connections: what a slot is worth, and how many descriptors upstream connections need.
+"""Demand for connections: the price of a slot, and how many descriptors upstream connections need.
 
-No I/O and no clock: the host passes each moment as integer microseconds, which never decrease.  Nothing
-here belongs to one protocol, and every call takes constant time.
+Does no I/O and reads no clock: the host passes times as integer microseconds, which never decrease.  Nothing
+here depends on a protocol, and every call takes constant time.
 """
 
 from __future__ import annotations
@@ -11,17 +11,23 @@
 from linetrack.control.decaying_rate import DecayingRate
 from linetrack.policy.time_units import SECOND
 
-RECONNECT_DECAY_US = 2 * SECOND  # in which the expected return of a closed connection is forgotten to 1/e
+RECONNECT_DECAY_US = 2 * SECOND  # time in which the expected reconnects decay to 1/e
 MIN_SLOT_PRICE = 1 / 60  # reconnects per second of a slot: a reconnect is worth a slot for a minute
-UNCONTENDED_SHARE = 0.5  # of the capacity, up to which a slot costs no more than the minimum
-RESERVED_SHARE = 0.1  # of the capacity, left for new connections
-UPSTREAM_PEAK_DECAY_US = 10 * SECOND  # in which the peak of upstream connections is forgotten to 1/e
-UPSTREAM_HEADROOM = 1.5  # times that peak is reserved for upstream connections
-MIN_UPSTREAM_SHARE = 4  # and at least one descriptor in so many
+UNCONTENDED_SHARE = 0.5  # share of the capacity up to which a slot costs the minimum
+RESERVED_SHARE = 0.1  # share of the capacity that is left for new connections
+UPSTREAM_PEAK_DECAY_US = 10 * SECOND  # time in which the peak of upstream connections decays to 1/e
+UPSTREAM_HEADROOM_FACTOR = 1.5  # multiple of the peak that is reserved for upstream connections
+MIN_UPSTREAM_DIVISOR = 4  # at least one descriptor in four is reserved for upstream connections
 
 
 def slot_price(in_use: int, capacity: int, connections_per_second: float) -> float:
-    """What a second of a slot is worth, in reconnects, while so many new connections arrive per second."""
+    """Return the price of a second of a slot, in reconnects.
+
+    Args:
+        in_use: The slots in use.
+        capacity: All slots.
+        connections_per_second: The rate of new connections.
+    """
     share = in_use / capacity
     if share <= UNCONTENDED_SHARE:
         return MIN_SLOT_PRICE
@@ -31,9 +37,9 @@
 
 
 class ConnectionDemand:
-    """New connections per second, without those that only replace a connection that was closed here.
+    """The rate of new connections, without those that only replace a connection closed by this process.
 
-    If replacements counted as demand, each closed connection would raise the price that closes further ones.
+    If replacements counted as demand, each closed connection would raise the price and so close further ones.
     """
 
     def __init__(self) -> None:
@@ -42,12 +48,12 @@
         self.updated_at = 0
 
     def record_close(self, now: int, reuse_probability: float) -> None:
-        """A connection was closed that would have been used again with that probability."""
+        """Record that a connection was closed that would have been reused with `reuse_probability`."""
         self._decay(now)
         self.expected_reconnects += reuse_probability
 
     def record_connection(self, now: int) -> None:
-        """A new connection has sent its first request."""
+        """Record the first request of a new connection."""
         self._decay(now)
         replaced = min(1.0, self.expected_reconnects)
         self.expected_reconnects -= replaced
@@ -60,9 +66,9 @@
 
 
 class UpstreamReserve:
-    """How many connections to upstreams were in use at once, lately.
+    """Reserves descriptors for upstream connections, by the recent peak of those in use at the same time.
 
-    Clients may have the other descriptors.
+    Client connections may use the other descriptors.
     """
 
     def __init__(self) -> None:
@@ -70,14 +76,14 @@
         self.updated_at = 0
 
     def record_in_use(self, now: int, in_use: int) -> None:
-        """So many descriptors are held by connections to upstreams."""
+        """Record that upstream connections hold `in_use` descriptors."""
         self.peak = max(in_use, self._decayed_peak(now))
         self.updated_at = max(now, self.updated_at)
 
     def client_capacity(self, now: int, descriptors: int) -> int:
-        """How many of `descriptors` client connections may hold."""
-        needed = int(self._decayed_peak(now) * UPSTREAM_HEADROOM) + 1
-        reserved = max(descriptors // MIN_UPSTREAM_SHARE, needed)
+        """Return how many of all `descriptors` client connections may hold."""
+        needed = int(self._decayed_peak(now) * UPSTREAM_HEADROOM_FACTOR) + 1
+        reserved = max(descriptors // MIN_UPSTREAM_DIVISOR, needed)
         return max(descriptors - reserved, descriptors // 2)
 
     def _decayed_peak(self, now: int) -> float:
--- a/linetrack/control/connection_slots.py
+++ b/linetrack/control/connection_slots.py
@@ -1,15 +1,15 @@
 """Slots for client connections: which are kept alive after a response, for how long, and which are evicted.
 
-Holds the state of each connection and the order in which connections would give up their slots.  It does no
-I/O and reads no clock: the host reports what happens and when (integer microseconds, which never decrease)
-and carries out what is decided.  Nothing here belongs to one protocol.
+Holds the state of each connection and the order in which connections are evicted.  It does no I/O and reads
+no clock: the host reports events with their times (integer microseconds, which never decrease) and carries
+out the decisions.  Nothing here depends on a protocol.
 
-A kept connection saves a reconnect if it is used again, and costs a slot while it is idle.  `IdleTimeModel`
-estimates how likely it is to be used again; demand for new connections sets the price of a second of a
-slot, which rises as free slots become few.  After a response a connection is kept if its expected use
-within the time for which it must then be kept is worth more than its slot; otherwise it is closed with the
-response, which cannot race with a request.  Once it may be closed without notice, it stays while the next
-second of its slot is worth its price at that time.
+A kept connection saves a reconnect if it is reused, and occupies a slot while it is idle.  `IdleTimeModel`
+estimates the probability of reuse; the demand for new connections sets the price of a second of a slot,
+which rises as slots become scarce.  After a response a connection is kept if the expected reuse within
+`MIN_IDLE_US`, the shortest time for which it can be kept, is worth more than the slot for that time.
+Otherwise it is closed with the response, which cannot race with a request.  After `MIN_IDLE_US` it is kept
+for as long as the expected reuse in the next second is worth the current price of that second.
 
 Every call takes constant time: at most one step for each of the fixed number of groups and buckets.
 """
@@ -25,20 +25,24 @@
 from linetrack.control.idle_time_model import IDLE_BUCKET_ENDS_US, IdleTimeModel
 from linetrack.policy.time_units import SECOND
 
-REQUEST_COUNT_BOUNDS = (2, 4, 8)  # requests from which on a connection counts with those that had more
-OLD_CONNECTION_US = 2 * SECOND  # age from which on a connection counts with the old ones
-SLOTS_PER_TRIAL = 16  # one slot in so many is for connections that are kept on trial
-MIN_IDLE_US = 2 * SECOND  # an idle connection may be closed without notice after so long, and not before
-MIN_NEW_US = SECOND // 20  # the same before its first request, which may well be on its way
-MIN_PARTIAL_REQUEST_US = SECOND  # the same for one whose request has stopped half-way
+# Connections are grouped by their number of requests, with these lower bounds of the groups after the first,
+# and by their age, which divides young from old ones at OLD_CONNECTION_US.
+REQUEST_COUNT_BOUNDS = (2, 4, 8)
+OLD_CONNECTION_US = 2 * SECOND
+SLOTS_PER_TRIAL = 16  # one slot in 16 may hold a connection that is kept only to observe whether it is reused
+# Times after which a connection may be closed without notice: if it is idle, if it has sent no request, which
+# may already be on its way, and if its request has arrived only in part.
+MIN_IDLE_US = 2 * SECOND
+MIN_NEW_US = SECOND // 20
+MIN_PARTIAL_REQUEST_US = SECOND
 MAX_IDLE_US = IDLE_BUCKET_ENDS_US[-1]  # no connection is kept idle for longer
 
 
 def _group_parents() -> tuple[int | None, ...]:
-    """The parent of each group of connections, which `ConnectionSlot.reuse_group` numbers.
+    """Return the parent of each group of connections, in the numbering of `ConnectionSlot.reuse_group`.
 
-    An old connection's parent is the group of young ones with as many requests; a young one's is that of
-    young ones with fewer.
+    The parent of a group of old connections is the group of young ones with as many requests; the parent of a
+    group of young connections is that of young ones with the next smaller number of requests.
     """
     group_count = (len(REQUEST_COUNT_BOUNDS) + 1) * 2
     return (None, 0, *(group - 2 if group % 2 == 0 else group - 1 for group in range(2, group_count)))
@@ -48,10 +52,10 @@
 
 
 class SlotState(Enum):
-    """What a connection is doing."""
+    """The state of a connection."""
 
     NEW = auto()
-    """Accepted; nothing of a request has arrived."""
+    """Accepted, and no part of a request has arrived."""
     PARTIAL_REQUEST = auto()
     """A part of a request has arrived."""
     BUSY = auto()
@@ -62,7 +66,7 @@
 
 
 class ConnectionSlot:
-    """One connection's slot; created by `ConnectionSlots.open` and changed by `ConnectionSlots` alone."""
+    """The slot of one connection, created by `ConnectionSlots.open` and changed only by `ConnectionSlots`."""
 
     __slots__ = ("is_on_trial", "opened_at", "queue", "request_count", "state", "state_since")
 
@@ -72,11 +76,11 @@
         self.state_since = now
         self.request_count = 0
         self.is_on_trial = False  # kept only to observe whether it is used again
-        # the slots in the same state, the oldest first
+        # the queue that holds this slot: slots in the same state, the oldest first
         self.queue: OrderedDict[ConnectionSlot, None] | None = None
 
     def reuse_group(self, now: int) -> int:
-        """The group of the idle-time model, by requests so far and age."""
+        """Return the connection's group in the idle-time model, by its number of requests and its age."""
         is_old = now - self.opened_at >= OLD_CONNECTION_US
         return bisect_right(REQUEST_COUNT_BOUNDS, self.request_count) * 2 + is_old
 
@@ -92,32 +96,32 @@
         self.capacity = capacity
         self.idle_times = IdleTimeModel(GROUP_PARENTS)
         self.demand = ConnectionDemand()
-        # each in the order in which connections entered the state
+        # queues of slots by state, each in the order in which connections entered the state
         self.new: OrderedDict[ConnectionSlot, None] = OrderedDict()
         self.partial_request: OrderedDict[ConnectionSlot, None] = OrderedDict()
         self.idle_by_group: tuple[OrderedDict[ConnectionSlot, None], ...] = tuple(
             OrderedDict() for _ in GROUP_PARENTS
         )
         self.busy_count = 0
-        self.occupied_count = 0  # busy and idle ones
+        self.occupied_count = 0  # busy and idle connections
         self.trial_count = 0
 
-    # --- What happens on a connection --------------------------------------------------------------------
+    # --- Events of a connection --------------------------------------------------------------------------
     def open(self, now: int) -> ConnectionSlot:
-        """A connection was accepted."""
+        """Return a slot for a connection that was accepted."""
         slot = ConnectionSlot(now)
         slot.queue = self.new
         self.new[slot] = None
         return slot
 
     def begin_request(self, slot: ConnectionSlot, now: int) -> None:
-        """A part of a request has arrived; reported again for each part, which changes nothing."""
+        """Record that a part of a request has arrived; calls for further parts of it change nothing."""
         if slot.state in (SlotState.NEW, SlotState.IDLE):
             self._end_idle_time(slot, now, was_used=True)
             self._set_state(slot, SlotState.PARTIAL_REQUEST, now)
 
     def receive_request(self, slot: ConnectionSlot, now: int) -> None:
-        """A request is complete and about to be served."""
+        """Record that a complete request has arrived and is about to be served."""
         if slot.state is SlotState.IDLE:
             self._end_idle_time(slot, now, was_used=True)
         if slot.state is not SlotState.BUSY and slot.state is not SlotState.CLOSED:
@@ -127,7 +131,7 @@
             slot.request_count += 1
 
     def decide_keep_alive(self, slot: ConnectionSlot, now: int) -> bool:
-        """Whether the connection is kept after the response that is about to be sent, or closed with it."""
+        """Return whether to keep the connection after the response to be sent, or to close it with that."""
         if self.occupied_count <= self.capacity * UNCONTENDED_SHARE:
             return True
         group = slot.reuse_group(now)
@@ -136,7 +140,7 @@
             return True
         max_trials = max(1, self.capacity // SLOTS_PER_TRIAL)
         if self.trial_count < max_trials and self.occupied_count < self.capacity:
-            # Without trials it would never be observed that clients have begun to reuse connections.
+            # Without trials, clients that begin to reuse connections would never be observed doing so.
             slot.is_on_trial = True
             self.trial_count += 1
             return True
@@ -144,30 +148,31 @@
         return False
 
     def mark_idle(self, slot: ConnectionSlot, now: int) -> None:
-        """The response was sent and the connection is kept."""
+        """Record that the response was sent and the connection is kept."""
         self._set_state(slot, SlotState.IDLE, now)
 
     def finish_readiness_check(self, slot: ConnectionSlot, now: int) -> None:
-        """What was received is no request for upstreams, but a check whether this process is ready."""
+        """Record that the request was a readiness check of this process, which is not counted."""
         if slot.state is SlotState.PARTIAL_REQUEST:
             self._set_state(slot, SlotState.IDLE if slot.request_count else SlotState.NEW, now)
 
     def close(self, slot: ConnectionSlot, now: int) -> None:
-        """The connection was closed by either side; a second call changes nothing."""
+        """Record that either side closed the connection; a second call changes nothing."""
         if slot.state is not SlotState.CLOSED:
             self._end_idle_time(slot, now, was_used=False)
             self._set_state(slot, SlotState.CLOSED, now)
 
     # --- Decisions ---------------------------------------------------------------------------------------
     def price(self, now: int) -> float:
-        """Reconnects that a second of a slot is worth."""
+        """Return the price of a second of a slot, in reconnects."""
         return slot_price(self.occupied_count, self.capacity, self.demand.rate.per_second(now))
 
     def select_eviction(self, now: int) -> ConnectionSlot | None:
-        """The connection to close for a new one, or None where none may be closed yet.
+        """Return the connection to close in favour of a new one, or None if none may be closed yet.
 
-        One without any request goes first, then the idle one that is least likely to be used again, then
-        one whose request has stopped half-way.  The host closes it, or reports what has happened on it.
+        A connection without any request comes first, then the idle one that is least likely to be reused,
+        then one whose request has arrived only in part.  The host closes it, or reports an event that has
+        happened on it meanwhile.
         """
         return (
             _first_after(self.new, now, MIN_NEW_US)
@@ -176,9 +181,9 @@
         )
 
     def select_expired(self, now: int) -> ConnectionSlot | None:
-        """An idle connection that is no longer worth its slot.
+        """Return an idle connection whose expected reuse is no longer worth its slot, or None.
 
-        The host closes it, or reports what has happened on it.
+        The host closes it, or reports an event that has happened on it meanwhile.
         """
         return self._lowest_rate_idle_slot(now, self.price(now))
 
@@ -217,9 +222,10 @@
             self.trial_count -= 1
 
     def _lowest_rate_idle_slot(self, now: int, max_rate: float) -> ConnectionSlot | None:
-        """The closable idle connection with the lowest reuse rate, if that is below `max_rate`.
+        """Return the idle connection with the lowest reuse rate, if that rate is below `max_rate`.
 
-        One that has been idle for the longest time that is allowed counts as never used again.
+        Only connections that may already be closed are considered.  One that has been idle for `MAX_IDLE_US`
+        has a reuse rate of zero.
         """
         rates = self.idle_times.reuse_rates()
         lowest = max_rate
@@ -240,7 +246,7 @@
 
 
 def _first_after(slots: OrderedDict[ConnectionSlot, None], now: int, min_age: int) -> ConnectionSlot | None:
-    """The oldest of the slots, if it has been in its state for that long."""
+    """Return the oldest of the slots if it has been in its state for `min_age` or longer, otherwise None."""
     oldest = next(iter(slots), None)
     if oldest is None or now - oldest.state_since < min_age:
         return None
--- a/linetrack/control/decaying_rate.py
+++ b/linetrack/control/decaying_rate.py
@@ -1,6 +1,6 @@
-"""An event rate that forgets exponentially, with a time constant of one second.
+"""An event rate that decays exponentially, with a time constant of one second.
 
-No I/O and no clock: the host passes each moment as integer microseconds, which never decrease.
+Does no I/O and reads no clock: the host passes times as integer microseconds, which never decrease.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
         self.updated_at = 0
 
     def per_second(self, now: int) -> float:
-        """The rate as of `now`."""
+        """Return the rate at `now`."""
         if now > self.updated_at:
             self.value *= math.exp((self.updated_at - now) / SECOND)
             self.updated_at = now
