--- a/linetrack/control/idempotency_keys.py
+++ b/linetrack/control/idempotency_keys.py
@@ -1,13 +1,13 @@
 """Attempts that may have been executed, by idempotency key.
 
-A client's own retry is a new request to the policy.  Without this table it could be sent to a deduplication
+To the policy, a client's own retry is a new request.  Without this table it could be sent to a deduplication
 scope other than that of the first attempt, or after the scope's deduplication window has ended, and would
 then be executed a second time.
 
 The table is bounded.  A key is kept for `RETENTION_US` from its first attempt, with its first
 `MAX_EXECUTIONS_PER_KEY` attempts; beyond `MAX_KEYS` the oldest key is evicted.  A retry under a key that is
-no longer kept is a new request again, as it is at an instance that did not receive the first.  This module
-reads no clock and touches no socket.
+no longer kept is treated as a new request, as it is by an instance that did not receive the first one.  This
+module reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 
 class IdempotencyKeyTable:
-    """Possible executions by key, the oldest key first.  Times are microseconds."""
+    """Possible executions by key, the oldest key first.  Times are in microseconds."""
 
     def __init__(self) -> None:
         self.executions_by_key: OrderedDict[int, list[PossibleExecution]] = OrderedDict()
 
     def add(self, key: int, execution: PossibleExecution) -> None:
-        """Note that an attempt under the key may have been executed, or may yet be."""
+        """Record that an attempt under the key may have been executed, or may still be executed."""
         self._expire(execution.sent_at)
         executions = self.executions_by_key.setdefault(key, [])
         if len(executions) < MAX_EXECUTIONS_PER_KEY:
@@ -37,7 +37,7 @@
             self.executions_by_key.popitem(last=False)
 
     def discard(self, key: int, execution: PossibleExecution) -> None:
-        """Note that this attempt proved not to have been executed."""
+        """Remove an attempt that is now known not to have been executed."""
         executions = self.executions_by_key.get(key, [])
         if execution in executions:
             executions.remove(execution)
--- a/linetrack/control/idle_time_model.py
+++ b/linetrack/control/idle_time_model.py
@@ -1,9 +1,9 @@
-"""How likely an idle connection is to be used again, learnt from how earlier idle times ended.
+"""The probability that an idle connection is reused, estimated from how earlier idle times ended.
 
-Keeping a connection saves a reconnect if it is used again, and costs a slot while it is idle.  The model
-estimates the rate of reuse by the time a connection has been idle, and from it how long keeping one pays at
-a given price of a slot.  It does no I/O and reads no clock; times are integer microseconds.  It is
-independent of any protocol.
+Keeping a connection saves a reconnect if it is reused, and occupies a slot while it is idle.  The model
+estimates the rate of reuse as a function of the time that a connection has been idle, and derives how long a
+connection is worth keeping at a given price of a slot.  It does no I/O and reads no clock; times are integer
+microseconds.  It does not depend on a protocol.
 
 Every call takes constant time: at most one step for each of the fixed number of buckets.
 """
@@ -16,33 +16,33 @@
 
 from linetrack.policy.time_units import SECOND
 
-#: Ends of the buckets of idle time, in microseconds; a connection is kept to the end of one of them, or not
+#: Ends of the buckets of idle time, in microseconds.  A connection is kept until the end of a bucket, or not
 #: at all.
 IDLE_BUCKET_ENDS_US = tuple(1000 * ms for ms in (10, 30, 100, 300, 1000, 2000, 4000, 8000, 16000, 30000))
-SAMPLE_MEMORY = 128  # idle times after which an older one counts 1/e
-PRIOR_SAMPLES = 4.0  # idle times that the prior counts as
-PRIOR_USES_PER_SECOND = 4.0  # reuse rate assumed where nothing has been observed at all
-PRIOR_DECAY_PER_BUCKET = 0.5  # of one bucket's rate, assumed for the next while nothing is known of it
-RATE_REFRESH_SAMPLES = 64  # idle times after which the rates are computed again
+SAMPLE_MEMORY = 128  # number of samples after which the weight of an older sample has decayed to 1/e
+PRIOR_SAMPLES = 4.0  # weight of the prior, in samples
+PRIOR_USES_PER_SECOND = 4.0  # reuse rate of the prior
+PRIOR_DECAY_PER_BUCKET = 0.5  # ratio of a bucket's prior rate to the rate of the bucket before it
+RATE_REFRESH_SAMPLES = 64  # number of samples after which the rates are computed again
 
 
 @dataclass(slots=True, frozen=True)
 class KeepTime:
-    """How long to keep a connection that becomes idle, and how likely it is to be used meanwhile."""
+    """How long to keep a connection that becomes idle, and the probability that it is reused by then."""
 
     duration: int
-    """Microseconds for which keeping it pays; 0 where it does not."""
+    """Microseconds for which the connection is worth its slot; 0 if it is not worth it at all."""
     reuse_probability: float
-    """Within `duration`, or within the shortest time that was asked for where keeping it does not pay."""
+    """The probability of a reuse within `duration`, or within the minimum duration if `duration` is 0."""
 
 
 class IdleTimeModel:
     """Reuse rates by group of connections and bucket of idle time.
 
-    A group is a number that the host chooses.  A group without samples of its own takes the rates of its
-    parent: a group of a smaller number, or None.  Time in a bucket counts whether the idle time ended in a
-    use or was cut short, so closing connections early does not bias the rates (the usual estimate of a
-    hazard from censored lifetimes).
+    The host numbers the groups.  The prior of a group's rates are the rates of its parent, a group with a
+    smaller number or None.  The time in a bucket counts whether the idle time ended in a reuse or was cut
+    short, so closing connections early does not bias the rates (the usual estimate of a hazard from censored
+    lifetimes).
     """
 
     def __init__(self, parents: tuple[int | None, ...]) -> None:
@@ -53,14 +53,14 @@
         self._samples_since_refresh = 0
 
     def record(self, group: int, idle_time: int, was_used: bool) -> None:
-        """Add a sample: an idle time of so many microseconds ended, in a use or not."""
+        """Add a sample: an idle time of `idle_time` microseconds, which ended in a reuse or not."""
         uses = self.uses[group]
         seconds = self.idle_seconds[group]
         retained = 1 - 1 / SAMPLE_MEMORY
         last = min(bisect_right(IDLE_BUCKET_ENDS_US, idle_time), len(IDLE_BUCKET_ENDS_US) - 1)
         begin = 0
         for bucket in range(last + 1):
-            # Only the buckets that this idle time reached decay: it says nothing about later ones.
+            # Only the buckets that this idle time reached decay: the sample has no information on later ones.
             end = IDLE_BUCKET_ENDS_US[bucket]
             uses[bucket] *= retained
             seconds[bucket] = seconds[bucket] * retained + max(0, min(idle_time, end) - begin) / SECOND
@@ -70,7 +70,7 @@
         self._samples_since_refresh += 1
 
     def reuse_rates(self) -> list[list[float]]:
-        """Uses per second of idle time, by group and bucket."""
+        """Return the reuses per second of idle time, by group and bucket."""
         if not self._rates or self._samples_since_refresh >= RATE_REFRESH_SAMPLES:
             self._rates = []
             self._samples_since_refresh = 0
@@ -79,7 +79,7 @@
         return self._rates
 
     def _group_rates(self, group: int) -> list[float]:
-        """The rates of one group; those of its parent are known by then."""
+        """Return the rates of one group; those of its parent must have been computed before."""
         parent = self.parents[group]
         uses = self.uses[group]
         seconds = self.idle_seconds[group]
@@ -95,16 +95,16 @@
         return rates
 
     def best_keep_time(self, group: int, price: float, min_duration: int, max_duration: int) -> KeepTime:
-        """For how long keeping a connection that becomes idle now pays.
+        """Return how long a connection that becomes idle now is worth its slot.
 
         Args:
             group: The connection's group.
-            price: Of a second of a slot, in uses.
-            min_duration: The shortest time, in microseconds, for which a connection can be kept at all.
-            max_duration: The longest.
+            price: The price of a second of a slot, in reuses.
+            min_duration: The shortest time for which a connection can be kept, in microseconds.
+            max_duration: The longest time for which a connection can be kept, in microseconds.
         """
-        survival = 1.0  # probability that it has not been used by then
-        net = 0.0  # expected uses less the price of the time
+        survival = 1.0  # probability that the connection has not been reused by the end of the bucket
+        net = 0.0  # expected reuses minus the price of the slot until then
         best_net = 0.0
         best_duration = 0
         best_probability = 0.0
--- a/linetrack/control/metrics.py
+++ b/linetrack/control/metrics.py
@@ -1,8 +1,8 @@
-"""Counters of what this process has done since it started, and their Prometheus text.
+"""Counters of this process since its start, and their Prometheus text format.
 
-Each counter is incremented in one place, where the thing happens, and never decreases: a class that the
-configuration drops keeps its counts, and one that returns goes on counting.  This module reads no clock,
-touches no socket, and no decision depends on it.
+Each counter is incremented in one place, where the counted event happens, and never decreases: a class that
+is removed from the configuration keeps its counts, and continues them if it is added again.  This module
+reads no clock and does no I/O, and no decision depends on it.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 class RequestOutcome(IntEnum):
     """How a request ended whose client stayed connected; the value is its index in a class's counts."""
 
-    SERVED = 0  # an endpoint's response went to the client completely
-    REJECTED = 1  # load was shed: 503
+    SERVED = 0  # an endpoint's response was sent to the client completely
+    REJECTED = 1  # the request was shed: 503
     FAILED = 2  # 502, or a streamed response that was aborted
 
 
-#: The operators' names: labels of `OPERATIONS_METRIC`, and the other metrics.
+#: Values of the label `status` of `OPERATIONS_METRIC`.  These and the metric names are the operators' terms.
 STATUS_LABELS = {
     RequestOutcome.SERVED: "fulfilled",
     RequestOutcome.REJECTED: "throttled",
@@ -40,13 +40,13 @@
         self.requests_received = 0
         self.clients_disconnected = 0  # requests whose client disconnected before the response was complete
         self.attempts_started = 0
-        self.attempts_sent = 0  # attempts whose request was written completely
+        self.attempts_sent = 0  # attempts whose request was sent completely
         self.accepted_configs = 0
         self.invalid_configs = 0
         self._outcomes_by_class: dict[str, list[int]] = {}
 
     def declare_classes(self, class_names: tuple[str, ...]) -> None:
-        """Show these classes from here on, with zeros until something happens."""
+        """Export these classes from now on, with counts of zero until their first request ends."""
         for class_name in class_names:
             self._outcomes_by_class.setdefault(class_name, [0] * len(RequestOutcome))
 
@@ -58,12 +58,12 @@
         counts[outcome] += 1
 
     def count_outcomes(self, outcome: RequestOutcome) -> int:
-        """Return how many requests of all classes ended so."""
+        """Return how many requests of all classes ended with this outcome."""
         return sum(counts[outcome] for counts in self._outcomes_by_class.values())
 
     @property
     def open_requests(self) -> int:
-        """Requests received that have not ended."""
+        """The number of requests that were received and have not ended."""
         completed = sum(map(sum, self._outcomes_by_class.values()))
         return self.requests_received - self.clients_disconnected - completed
 
@@ -82,7 +82,7 @@
         }
 
     def prometheus_text(self, listed_endpoints: int, unavailable_endpoints: int) -> str:
-        """Return all counters in Prometheus's text format, beside two gauges that the caller knows."""
+        """Return all counters, and the two gauges that the caller passes, in the Prometheus text format."""
         lines = [
             f'{OPERATIONS_METRIC}{{priority="{_escape_label(name)}",status="{label}"}} {counts[outcome]}'
             for name, counts in self._outcomes_by_class.items()
--- a/linetrack/control/policy_snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -1,8 +1,9 @@
-"""What the policy has learnt, as plain values that another process of the same version can take over.
+"""Snapshots of the policy's learned state, as plain values that another process can restore.
 
-This module holds the snapshot's keys and checks its values: a snapshot whose values make no sense changes
-nothing.  What only holds in one process is not part of it: requests, attempts, connections, random state and
-the retry budget.  The keys are those of snapshot version 1 and stay as they are while that version does.
+This module defines the snapshot's keys and validates its values; an invalid snapshot changes nothing, as does
+one of another version.  State that is specific to one process is not part of a snapshot: requests, attempts,
+connections, random state and the retry budget.  The keys are those of snapshot version 1 and must not change
+within that version.
 """
 
 from __future__ import annotations
@@ -61,7 +62,7 @@
 RETRIES = "further"
 REQUESTS = "taken"
 WINDOW = "window"
-# of each endpoint
+# each endpoint
 STARTED_AT = "started"
 REPORTED_LOAD = "others"
 LOAD_REPORTED_AT = "load_at"
@@ -76,11 +77,12 @@
 CLASS_ERRORS = "own"
 EJECTIONS = "spells"
 
-INVALID = (KeyError, TypeError, ValueError, AttributeError, OverflowError, IndexError)
+#: What reading an invalid snapshot raises.
+INVALID_SNAPSHOT_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError, IndexError)
 
 
 def take(policy: Balancer) -> dict[str, Any]:
-    """Return all that the policy has learnt, ready for JSON."""
+    """Return the policy's learned state as values that can be encoded as JSON."""
     state = policy.export_state()
     return {
         VERSION_KEY: VERSION,
@@ -107,16 +109,24 @@
 def restore(
     policy: Balancer, values: Mapping[str, Any], now: int, same_classes: bool, same_zones: bool
 ) -> bool:
-    """Let a policy at its start, which has the endpoint list, take these values over.
-
-    What stands by numbers of request classes, or of zones and host classes, is passed over where these mean
-    something else here.  Returns False, with the policy as it was, if the values make no sense.
+    """Restore a snapshot in a policy that has just started and has the endpoint list.
+
+    Args:
+        policy: The policy that takes the values over.
+        values: The snapshot.
+        now: The current time, in microseconds.
+        same_classes: Whether the indices of request classes have the same meaning here; otherwise values by
+            request class are skipped.
+        same_zones: The same for the indices of zones and host classes.
+
+    Returns:
+        False if the snapshot is invalid, in which case the policy is unchanged.
     """
     try:
         if values[VERSION_KEY] != VERSION:
             return False
         state = _Reader(policy, values, now, same_classes, same_zones).policy_state()
-    except INVALID:
+    except INVALID_SNAPSHOT_ERRORS:
         return False
     policy.import_state(now, state)
     return True
@@ -160,8 +170,8 @@
         SEND_TOKENS_AT: state.send_tokens_at,
         WARMUP_SENDS: state.warmup_sends,
         LATENCY_FACTOR: _average_values(state.latency_factor),
-        CLASS_ERRORS: [[index, own.ratio, own.updated_at] for index, own in class_errors.items()],
-        EJECTIONS: [[index, each.duration, each.until] for index, each in ejections.items()],
+        CLASS_ERRORS: [[index, error.ratio, error.updated_at] for index, error in class_errors.items()],
+        EJECTIONS: [[index, ejection.duration, ejection.until] for index, ejection in ejections.items()],
     }
 
 
@@ -170,11 +180,11 @@
 
 
 def _table_values(table: Mapping[int, DecayingAverage] | None) -> dict[int, list[float]]:
-    return {number: _average_values(average) for number, average in (table or {}).items()}
+    return {index: _average_values(average) for index, average in (table or {}).items()}
 
 
 class _Reader:
-    """Reads a snapshot; raises one of `INVALID` for values that make no sense."""
+    """Reads a snapshot; raises one of `INVALID_SNAPSHOT_ERRORS` for an invalid value."""
 
     def __init__(
         self, policy: Balancer, values: Mapping[str, Any], now: int, same_classes: bool, same_zones: bool
@@ -186,7 +196,7 @@
         self._same_zones = same_zones
 
     def policy_state(self) -> PolicyState:
-        """Return everything, for the parts of the policy to take over."""
+        """Return the whole snapshot as the policy's state."""
         values = self._values
         return PolicyState(
             latency=self._latency(),
@@ -203,8 +213,8 @@
             ),
             retry_window=RetryWindowState(
                 window=int(values[WINDOW]),
-                retries=sorted(self._moments(values[RETRIES])),
-                requests=sorted(self._moments(values[REQUESTS])),
+                retries=sorted(self._times(values[RETRIES])),
+                requests=sorted(self._times(values[REQUESTS])),
             ),
             endpoints=self._endpoints(),
         )
@@ -251,7 +261,7 @@
         )
 
     def _endpoints(self) -> dict[str, EndpointState]:
-        """Read what was learnt of the endpoints that are listed here, and have not started again since."""
+        """Read the state of the endpoints that are listed here and have not been restarted since."""
         states = {}
         for name, values in self._values[ENDPOINTS].items():
             endpoint = self._policy.endpoints.get(name)
@@ -270,7 +280,7 @@
             answered_sent_at=self._number(values[ANSWERED_SENT_AT]),
             send_tokens=self._number(values[SEND_TOKENS]),
             send_tokens_at=self._number(values[SEND_TOKENS_AT]),
-            warmup_sends=self._moments(values[WARMUP_SENDS]),
+            warmup_sends=self._times(values[WARMUP_SENDS]),
             latency_factor=self._average(values[LATENCY_FACTOR]),
             class_errors=self._class_errors(values[CLASS_ERRORS]) if self._same_classes else None,
             ejections=self._ejections(values[EJECTIONS]) if self._same_classes else None,
@@ -286,35 +296,35 @@
         """Read ejections; none ends later than if it began now, as the clocks of two processes may differ."""
         ejections = {}
         for class_index, duration, until in rows:
-            latest = self._now + int(duration)
-            ejections[int(class_index)] = Ejection(int(duration), min(int(until), latest))
+            max_until = self._now + int(duration)
+            ejections[int(class_index)] = Ejection(int(duration), min(int(until), max_until))
         return ejections
 
     def _by_zone(self, key: str, read: Callable[[Any], T]) -> dict[int, T] | None:
-        """Read a table by number of zone or host class; None where the numbers mean something else here."""
+        """Read a table by index of zone or host class; None if the indices have another meaning here."""
         if not self._same_zones:
             return None
-        return {int(number): read(value) for number, value in self._values[key].items()}
+        return {int(index): read(value) for index, value in self._values[key].items()}
 
     def _by_class(self, key: str, read: Callable[[Any], T]) -> list[T]:
         """Read a list that has one value for each request class."""
         values = self._values[key]
         if len(values) != len(self._policy.settings.classes):
-            raise ValueError(f"{key} has {len(values)} values")
+            raise ValueError(f"{key} has {len(values)} values, not one for each request class")
         return [read(value) for value in values]
 
-    def _moments(self, values: Iterable[Any]) -> list[int]:
+    def _times(self, values: Iterable[Any]) -> list[int]:
         return [min(self._now, int(value)) for value in values]
 
     def _number(self, value: Any) -> Any:
-        """Read a number, or a moment, which must not lie ahead: the clocks of two processes may differ."""
+        """Read a number, or a time, which is limited to now because the clocks of two processes may differ."""
         if isinstance(value, bool) or not isinstance(value, int | float) or math.isnan(value):
-            raise ValueError(f"{value!r} is no number")
+            raise ValueError(f"{value!r} is not a number")
         return min(value, self._now) if isinstance(value, int) else value
 
     def _average(self, values: Any) -> DecayingAverage:
         value, weight, updated_at = values
         average = DecayingAverage(float(value), float(weight), min(self._now, int(updated_at)))
         if math.isnan(average.value) or not average.weight >= 0:
-            raise ValueError(f"{values!r} is no average")
+            raise ValueError(f"{values!r} is not an average")
         return average
--- a/linetrack/control/retry_schedule.py
+++ b/linetrack/control/retry_schedule.py
@@ -1,8 +1,8 @@
-"""When rejected clients are asked to return while a fleet is overloaded, and which of them did as asked.
+"""When rejected clients are asked to return while a fleet is overloaded, and which retries match those times.
 
-The times are spread at a rate that the fleet can bear, so that clients do not come back in one wave.  A
-client that returns at such a time is recognised by the time alone, as clients do not identify themselves.
-This module reads no clock: times are integer microseconds that the caller gives, and they never go back.
+The times are spread at a rate that the fleet can serve, so that clients do not return all at once.  Clients
+do not identify themselves, so a retry counts as a scheduled return by its time alone.  This module reads no
+clock: the caller passes times as integer microseconds, which never decrease.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from linetrack.policy.time_units import SECOND
 
-RETURN_GRACE_US = 2 * SECOND  # after a scheduled return in which a retry still counts as that return
-MAX_SCHEDULED_RETURNS = 4096  # remembered at once
+RETURN_GRACE_US = 2 * SECOND  # how long after its time a scheduled return can still be claimed by a retry
+MAX_SCHEDULED_RETURNS = 4096  # number of scheduled returns that are kept at the same time
 
 
 class RetrySchedule:
@@ -25,20 +25,20 @@
         self._last_return_at = 0
 
     def restart(self, now: int) -> None:
-        """Give out times from now on, whatever was given out before."""
+        """Schedule the next return from `now` on, independent of the times given before."""
         self._last_return_at = now
 
     def schedule_return(self, now: int, default: int, maximum: int, returns_per_second: float) -> int:
-        """Return after how many microseconds one more rejected client should come back.
+        """Return the delay in microseconds after which another rejected client should return.
 
-        The times begin at half of `default` from now and follow one another at `returns_per_second`; none is
-        later than `maximum` from now.
+        The scheduled times start half of `default` from now and follow one another at `returns_per_second`;
+        none is later than `maximum` from now.
         """
         interval = SECOND / returns_per_second
         self._last_return_at = int(max(self._last_return_at, now + default // 2) + interval)
         delay = self._last_return_at - now
         if delay > maximum:
-            # the backlog is longer than the latest time allowed: spread the rest over its second half
+            # the backlog extends beyond `maximum`: spread the rest over the second half of that time
             self._last_return_at -= int(interval)
             delay = maximum // 2 + int(maximum / 2 * self._random.random())
         if len(self.scheduled_returns) < MAX_SCHEDULED_RETURNS:
@@ -46,7 +46,7 @@
         return min(maximum, delay)
 
     def claim_return(self, now: int) -> bool:
-        """Return whether a retry that came now can be a scheduled return, which is then taken as made."""
+        """Return whether a retry at `now` matches a scheduled return, which is then removed."""
         returns = self.scheduled_returns
         while returns and returns[0] < now - RETURN_GRACE_US:
             heapq.heappop(returns)
--- a/linetrack/control/settings_digest.py
+++ b/linetrack/control/settings_digest.py
@@ -1,9 +1,10 @@
-"""A digest that stands for all settings that decisions go by.
+"""A digest of all settings that decisions depend on.
 
-Two processes of one sidecar compare digests in a hot restart: equal digests mean that indices of classes,
-zones and host classes mean the same in both.  The two may be of different builds, so that the digested text
-is fixed: it names fields and enum members as the first build that sent a digest did, whatever they are called
-in the code today.  A setting that is added later has to be left out while it has its default.
+Two processes of one sidecar compare their digests in a hot restart: if the digests are equal, the indices of
+classes, zones and host classes have the same meaning in both.  As the two may be different builds, the
+digested text is fixed: it uses the names of fields and enum members of the first build that sent a digest,
+independent of their names in the code.  A setting that is added later must be left out of the text while it
+has its default value.
 """
 
 from __future__ import annotations
@@ -21,6 +22,7 @@
 
 DIGEST_BYTES = 16
 
+# The names of fields and enum members in the digested text.
 _CLASS_FIELDS = {
     "idempotency": "effect",
     "latency_objective": "aim",
@@ -95,13 +97,13 @@
     host_class_names: tuple[str, ...],
     load_report_names: tuple[str, ...],
 ) -> str:
-    """Return the digest of the settings and of the names that their indices stand for, in hexadecimal."""
+    """Return the digest of the settings and of the names behind their indices, in hexadecimal."""
     text = _text((settings, class_names, zone_names, host_class_names, load_report_names))
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
 
 def _text(value: object) -> str:
-    """Return the text of a value as `repr` gave it in the first build that sent a digest."""
+    """Return the `repr` of a value as it was in the first build that sent a digest."""
     if isinstance(value, tuple):
         items = [_text(item) for item in value]
         return f"({items[0]},)" if len(items) == 1 else f"({', '.join(items)})"
@@ -114,5 +116,7 @@
     return repr(value)
 
 
-def _fields(value: object, names: dict[str, str]) -> str:
-    return ", ".join(f"{then}={_text(getattr(value, now))}" for now, then in names.items())
+def _fields(value: object, digested_names: dict[str, str]) -> str:
+    return ", ".join(
+        f"{digested_name}={_text(getattr(value, field))}" for field, digested_name in digested_names.items()
+    )
--- a/linetrack/control/settings_switch.py
+++ b/linetrack/control/settings_switch.py
@@ -1,7 +1,7 @@
-"""Other settings in a running instance: which policy decides about what is open, and which about all else.
+"""Switching the settings of a running instance: routes each event to the policy instance that handles it.
 
-Each event goes to the one policy instance that holds its request, and everything else to the newest.  What is
-open under old settings ends under them, within its own deadline.
+An event goes to the policy instance that holds its request, and any other event to the newest instance.
+Requests that are open under old settings end under them, within their own deadlines.
 """
 
 from __future__ import annotations
@@ -29,26 +29,26 @@
 
 
 class SettingsSwitch:
-    """Takes the policy's place for its host; one instance of it but for moments after a switch."""
+    """The policy as its host sees it: the newest instance, and older ones that drain after a switch."""
 
     def __init__(self, policy: Policy) -> None:
-        """Start with this policy; only a `Balancer` can be given other settings."""
+        """Start with this policy; only a `Balancer` supports a switch of settings."""
         self.policy = policy
-        self.draining_policies: list[Balancer] = []  # older ones with something open
+        self.draining_policies: list[Balancer] = []  # older instances with open work
 
     @property
     def is_supported(self) -> bool:
-        """Return whether the policy can be given other settings while it runs."""
+        """Whether the policy supports a switch of settings while it runs."""
         return isinstance(self.policy, Balancer)
 
     def switch(self, settings: Settings) -> int:
-        """Use other settings from here on; return how many requests are open under older ones.
+        """Use other settings from now on; return how many requests are open under older ones.
 
         Raises:
-            TypeError: the policy is not a `Balancer` and takes its settings at its start only.
+            TypeError: the policy is not a `Balancer` and accepts settings only at its start.
         """
         if not isinstance(self.policy, Balancer):
-            raise TypeError("this policy takes its settings at its start only")
+            raise TypeError("this policy accepts settings only at its start")
         predecessor = self.policy
         self.policy = predecessor.make_successor(settings)
         self.draining_policies.append(predecessor)
@@ -56,19 +56,19 @@
         return sum(policy.open_request_count for policy in self.draining_policies)
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        """Hand the event to the policy instance that it concerns; return the actions it calls for."""
+        """Pass the event to the policy instance that handles it; return the resulting actions."""
         if not self.draining_policies:
             return self.policy.handle(now, event)
         request_id = _request_id(event)
-        actions = self._holder(request_id).handle(now, event)
+        actions = self._select_policy(request_id).handle(now, event)
         self._drop_drained()
         return actions
 
     def hand_over(self) -> dict[str, Any]:
-        """Return what the newest instance has learnt, for another process; nothing if it is no `Balancer`.
+        """Return the newest instance's snapshot for another process; it is empty if that is no `Balancer`.
 
-        Where retries are limited over a window, they are the other process's from here on: two that count
-        apart would together make more in a window than one may.
+        If retries are limited over a window, only the other process makes retries from now on: two processes
+        that count separately could together exceed the limit of a window.
         """
         if not isinstance(self.policy, Balancer):
             return {}
@@ -77,12 +77,12 @@
         return values
 
     def resume(self, now: int) -> None:
-        """Go on after another process made retries that were not counted here: none for one window."""
+        """Make no retries for one window, because another process made retries that are not counted here."""
         if isinstance(self.policy, Balancer):
             self.policy.retry_window.block(now)
 
     def restore(self, values: Mapping[str, Any], now: int, same_classes: bool, same_zones: bool) -> bool:
-        """Take over what another process learnt; return whether the values made sense."""
+        """Restore the snapshot of another process; return whether its values are valid."""
         return isinstance(self.policy, Balancer) and policy_snapshot.restore(
             self.policy, values, now, same_classes, same_zones
         )
@@ -91,7 +91,7 @@
         """Return how many listed endpoints are out of rotation; 0 if the policy is no `Balancer`."""
         return self.policy.count_unavailable(now) if isinstance(self.policy, Balancer) else 0
 
-    def _holder(self, request_id: int | None) -> Policy:
+    def _select_policy(self, request_id: int | None) -> Policy:
         for policy in self.draining_policies:
             if policy.holds_request(request_id):
                 return policy
@@ -102,7 +102,7 @@
 
 
 def _request_id(event: Event) -> int | None:
-    """Return the request that an event is about, if any; a timer names it in its token."""
+    """Return the id of the request that an event concerns, if any; a timer's token contains it."""
     match event:
         case (
             RequestReceived() | RequestBodySent() | ResponseStarted() | AttemptEnded() | ClientDisconnected()
