--- a/linetrack/settings.py
+++ b/linetrack/settings.py
@@ -1,7 +1,7 @@
-"""Reads the nested settings object of the platform into the policy's `Settings`.
+"""Reads the platform's nested settings object into the policy's `Settings`.
 
-The only module that knows the names and defaults of the policy's settings.  Both hosts use it: the sidecar
-with typed values (JSON), the simulator's adapter with text.  Unknown keys are ignored.
+This is the only module that knows the names and defaults of the policy's settings.  Both hosts use it: the
+sidecar with typed values (JSON), the simulator's adapter with text values.  Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
     "tps": LoadField.REQUEST_RATE,
     "err_ps": LoadField.ERROR_RATE,
 }
-#: Values of `weights`, and whether the listed capacities vary with load.
+#: Whether the listed capacities vary with load, by value of `weights`.
 CAPACITY_VARIES_BY_NAME = {"off": False, "nominal": False, "rough": False, "live": True}
-#: Beyond these no number is plausible, and sums and powers of it would overflow.
+#: Larger values are not plausible, and their sums and powers could overflow.
 MAX_NUMBER = 1e30
 MAX_DURATION_US = 366 * 24 * 3600 * 1_000_000
 BOOLEAN_BY_TEXT = {"true": True, "1": True, "false": False, "0": False}
-#: Keys of `rules` that limit retries; the window is required as soon as one of them is present.
+#: Keys of `rules` that limit retries; if any of them is present, `extraWindowUs` is required.
 RETRY_WINDOW_KEYS = ("freeResends", "furtherRatio", "extraWindowUs")
 
 
 def describe_invalid_key(key: str, reason: str, value: str | None) -> str:
-    """The line that an operator reads about a key; `value` is None where it is missing."""
+    """Return the message about an invalid key; `value` is None if the key is missing."""
     return f"{key} {reason}" if value is None else f"{key}: {value} {reason}"
 
 
@@ -53,7 +53,7 @@
     Attributes:
         key: the full path of the setting.
         reason: what is wrong with it.
-        value: the value as shown to the operator; None where it is missing.
+        value: the value as shown to the operator; None if it is missing.
     """
 
     def __init__(self, key: str, reason: str, value: str | None = None) -> None:
@@ -64,9 +64,9 @@
 
 
 class SettingsNode:
-    """One object within the settings, with the path that leads to it.
+    """One object within the settings, with its path.
 
-    Every method that reads a value raises a `SettingsError` with the full path of a key that is wrong.
+    Every method that reads a value raises a `SettingsError` with the full path of the key if it is invalid.
     """
 
     def __init__(self, values: Any, path: str) -> None:
@@ -76,25 +76,25 @@
         self.path = path
 
     def path_of(self, name: str) -> str:
-        """The full path of a key of this object."""
+        """Return the full path of a key of this object."""
         return f"{self.path}.{name}" if self.path else name
 
     def _error(self, name: str, reason: str, value: Any) -> SettingsError:
         return SettingsError(self.path_of(name), reason, repr(value))
 
     def child(self, name: str) -> SettingsNode:
-        """The object under this key, or an empty one where it is absent."""
+        """Return the object under this key, or an empty one if the key is missing."""
         return SettingsNode(self.values.get(name) or {}, self.path_of(name))
 
     def children(self, name: str) -> list[SettingsNode]:
-        """The objects of the list under this key; none where it is absent."""
+        """Return the objects of the list under this key, or no objects if the key is missing."""
         value = self.values.get(name) or []
         if not isinstance(value, list):
             raise self._error(name, "is no list", value)
-        return [SettingsNode(item, f"{self.path_of(name)}.{n}") for n, item in enumerate(value)]
+        return [SettingsNode(item, f"{self.path_of(name)}.{index}") for index, item in enumerate(value)]
 
     def names(self, name: str) -> list[str]:
-        """A list of names, which text separates with commas; none where it is absent."""
+        """Return a list of names, given as a list or as text separated by commas; empty if it is missing."""
         value = self.values.get(name) or []
         if isinstance(value, str):
             value = [part for part in value.split(",") if part]
@@ -103,21 +103,21 @@
         return value
 
     def text(self, name: str, default: str) -> str:
-        """A text."""
+        """Return the text under this key."""
         value = self.values.get(name, default)
         if not isinstance(value, str):
             raise self._error(name, "is no text", value)
         return value
 
     def one_of(self, name: str, choices: Mapping[str, Any], default: str) -> Any:
-        """What `choices` maps the text under this key to."""
+        """Return what `choices` maps the text under this key to."""
         value = self.text(name, default)
         if value not in choices:
             raise self._error(name, f"is none of {', '.join(choices)}", value)
         return choices[value]
 
     def number(self, name: str, default: float | None = None) -> float:
-        """A finite number; required where there is no default."""
+        """Return a finite number, which is required if there is no default."""
         value = self.values.get(name, default)
         if value is None:
             raise SettingsError(self.path_of(name), "is missing")
@@ -130,21 +130,21 @@
         return number
 
     def duration(self, name: str, minimum: int, default: int | None = None) -> int:
-        """A time in microseconds, of a year at most; required where there is no default."""
+        """Return a time in microseconds, up to `MAX_DURATION_US`; it is required if there is no default."""
         number = self.integer_at_least(name, minimum, default)
         if number > MAX_DURATION_US:
             raise SettingsError(self.path_of(name), f"is over {MAX_DURATION_US}", str(number))
         return number
 
     def integer(self, name: str, default: int | None = None) -> int:
-        """A whole number; required where there is no default."""
+        """Return a whole number, which is required if there is no default."""
         number = self.number(name, default)
         if number != int(number):
             raise self._error(name, "is not a whole number", self.values.get(name))
         return int(number)
 
     def number_at_least(self, name: str, minimum: float, default: float | None = None) -> float:
-        """A number that is not below the minimum, nor beyond `MAX_NUMBER`."""
+        """Return a number between the minimum and `MAX_NUMBER`."""
         number = self.number(name, default)
         if number < minimum:
             raise SettingsError(self.path_of(name), f"is under {minimum:g}", f"{number:g}")
@@ -153,14 +153,14 @@
         return number
 
     def integer_at_least(self, name: str, minimum: int, default: int | None = None) -> int:
-        """A whole number that is not below the minimum."""
+        """Return a whole number that is not below the minimum."""
         number = self.integer(name, default)
         if number < minimum:
             raise SettingsError(self.path_of(name), f"is under {minimum}", str(number))
         return number
 
     def boolean(self, name: str) -> bool:
-        """True or false, also as text; false where it is absent."""
+        """Return a boolean, given as such or as text; False if it is missing."""
         value = self.values.get(name, False)
         boolean = BOOLEAN_BY_TEXT.get(str(value).lower())
         if boolean is None:
@@ -169,11 +169,11 @@
 
 
 def read_settings(values: Mapping[str, Any], path: str = "") -> Settings:
-    """The policy's settings.
+    """Return the policy's settings.
 
     Args:
-        values: the settings object as the platform gives it.
-        path: where it stands in its file, for error messages.
+        values: the settings object of the platform.
+        path: the object's path in its file, for error messages.
 
     Raises:
         SettingsError: a setting is missing or invalid.
@@ -217,7 +217,7 @@
 
 
 def _with_deployment(settings: Settings, root: SettingsNode, load_reports: SettingsNode) -> Settings:
-    """Which instance this is, and what it is notified of."""
+    """Read this instance's place in the deployment, and the reports and list updates that it receives."""
     reports_inline = load_reports.text("how", "off") != "off"
     return replace(
         settings,
@@ -235,7 +235,7 @@
 
 
 def _with_endpoint_rules(settings: Settings, rules: SettingsNode) -> Settings:
-    """Draining, slow start and overload of endpoints."""
+    """Read the rules for draining, slow start and overload of endpoints."""
     return replace(
         settings,
         poll_interval=rules.duration("askEveryUs", 0, 0),
@@ -248,7 +248,7 @@
 
 
 def _with_permissions(settings: Settings, allowed: SettingsNode) -> Settings:
-    """What an instance may do on its own account."""
+    """Read which optional actions an instance may take, and the limit of its attempts."""
     return replace(
         settings,
         may_cancel=allowed.boolean("mayCancel"),
@@ -261,7 +261,7 @@
 
 
 def _with_goal(settings: Settings, root: SettingsNode, costs: SettingsNode, goal: SettingsNode) -> Settings:
-    """What the deployment's score counts, deducts and weighs."""
+    """Read the weights and costs of the deployment's score."""
     return replace(
         settings,
         cross_zone_cost=costs.number_at_least("crossZone", 0.0, 0.0),
@@ -278,7 +278,7 @@
 
 
 def _with_capacity(settings: Settings, root: SettingsNode) -> Settings:
-    """What is known of the endpoints' capacity."""
+    """Read what is known of the endpoints' capacity."""
     return replace(
         settings,
         has_affinity_keys=root.child("extra").boolean("warmKeys"),
@@ -287,7 +287,7 @@
 
 
 def _with_connections(settings: Settings, allowed: SettingsNode) -> Settings:
-    """Connections to endpoints."""
+    """Read the limits of connections to endpoints."""
     return replace(
         settings,
         max_streams_per_connection=allowed.integer_at_least("multiplex", 1, 1),
@@ -296,8 +296,8 @@
 
 
 def _with_retry_window(settings: Settings, rules: SettingsNode) -> Settings:
-    """The limit of retries over a sliding window, and what a removal means."""
-    # an allowance or ratio without the window would be a limit that never binds
+    """Read the limit on retries over a sliding window, and whether a removal is advisory."""
+    # without a window, an allowance or ratio would limit nothing
     is_limited = any(key in rules.values for key in RETRY_WINDOW_KEYS)
     return replace(
         settings,
