--- a/linetrack/__init__.py
+++ b/linetrack/__init__.py
@@ -1,1 +1,1 @@
-"""linetrack: a sidecar balancer for service-to-service calls."""
+"""linetrack: a sidecar load balancer for service-to-service calls."""
--- a/linetrack/control/policy_snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -317,7 +317,7 @@
         return [min(self._now, int(value)) for value in values]
 
     def _number(self, value: Any) -> Any:
-        """Read a number, or a time, which is limited to now because the clocks of two processes may differ."""
+        """Read a number, or a time, which is limited to now as the clocks of two processes may differ."""
         if isinstance(value, bool) or not isinstance(value, int | float) or math.isnan(value):
             raise ValueError(f"{value!r} is not a number")
         return min(value, self._now) if isinstance(value, int) else value
--- a/linetrack/errors.py
+++ b/linetrack/errors.py
@@ -1,5 +1,5 @@
-"""The root of linetrack's exceptions; it imports nothing, so that every package may build on it."""
+"""The base class of linetrack's exceptions; it imports nothing, so that every package can import it."""
 
 
 class LinetrackError(Exception):
-    """Base of all errors that linetrack defines."""
+    """Base class of all exceptions that linetrack defines."""
--- a/linetrack/simhost/__init__.py
+++ b/linetrack/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that hosts instances of the policy on the simulator's wire."""
+"""The adapter that runs instances of the policy on the simulator's wire protocol."""
--- a/linetrack/simhost/fields.py
+++ b/linetrack/simhost/fields.py
@@ -1,6 +1,6 @@
-"""Lines of name=value fields, and readers for one field each.
+"""Splits lines into name=value fields, and reads single fields.
 
-Every reader raises a `WireError` that names the field.
+Every reader raises a `WireError` with the field's name if the value is invalid.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class WireError(LinetrackError):
-    """Input that cannot be read."""
+    """The input cannot be parsed."""
 
 
 class MissingFieldError(WireError):
@@ -27,7 +27,7 @@
 
 
 class InvalidFieldError(WireError):
-    """The value `value` of the field `field` makes no sense, for the reason `reason`."""
+    """The value `value` of the field `field` is invalid; `reason` says why."""
 
     def __init__(self, field: str, value: object, reason: str) -> None:
         self.field = field
@@ -37,21 +37,21 @@
 
 
 def split_line(line: str) -> tuple[str, Fields]:
-    """The name of the message and its fields."""
+    """Return the name of the message and its fields."""
     name, *pairs = line.split(" ")
     if not name:
         raise WireError("the line has no message name")
     fields: Fields = {}
     for pair in pairs:
-        key, sign, value = pair.partition("=")
-        if not sign or not key:
+        key, separator, value = pair.partition("=")
+        if not separator or not key:
             raise WireError(f"{pair!r} is not a name=value pair")
         fields[key] = value
     return name, fields
 
 
 def text_field(fields: Fields, name: str) -> str:
-    """A required field as it is."""
+    """Return the text of a required field."""
     try:
         return fields[name]
     except KeyError:
@@ -59,7 +59,7 @@
 
 
 def integer_field(fields: Fields, name: str, default: int | None = None) -> int:
-    """A whole number; required where there is no default."""
+    """Return a whole number; the field is required if there is no default."""
     if default is not None and name not in fields:
         return default
     value = text_field(fields, name)
@@ -70,7 +70,7 @@
 
 
 def number_field(fields: Fields, name: str, default: float) -> float:
-    """A number."""
+    """Return a number, or the default if the field is missing."""
     try:
         return float(fields.get(name, default))
     except ValueError:
@@ -78,7 +78,7 @@
 
 
 def flag_field(fields: Fields, name: str) -> bool:
-    """1 or 0; 0 where it is absent."""
+    """Return whether the field is 1; 0 is the default."""
     value = fields.get(name, "0")
     if value not in ("0", "1"):
         raise InvalidFieldError(name, value, "is not 1 or 0")
@@ -86,7 +86,7 @@
 
 
 def numbers_field(fields: Fields, name: str) -> tuple[float, ...]:
-    """Numbers separated by commas; what is no number becomes NaN."""
+    """Return numbers separated by commas; a part that is not a number becomes NaN."""
     row = fields.get(name, "")
     return tuple(map(_number_or_nan, row.split(","))) if row else ()
 
@@ -99,7 +99,7 @@
 
 
 def body_field(fields: Fields, name: str) -> bytes:
-    """Bytes in base64."""
+    """Return the bytes that a required field holds in base64."""
     value = text_field(fields, name)
     try:
         return b"" if value == EMPTY_BODY else base64.b64decode(value, validate=True)
@@ -108,5 +108,5 @@
 
 
 def format_body(body: bytes) -> str:
-    """Bytes as `body_field` reads them."""
+    """Return the bytes in base64, as `body_field` reads them."""
     return base64.b64encode(body).decode() or EMPTY_BODY
--- a/linetrack/simhost/host.py
+++ b/linetrack/simhost/host.py
@@ -1,4 +1,4 @@
-"""Many instances of the policy behind one pair of streams."""
+"""Runs many instances of the policy on one input and one output stream."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Host:
-    """Feeds each instance its own events and collects the lines of the reply, in order."""
+    """Passes each event to its instance and collects the lines of the reply, in order."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source = source
@@ -29,7 +29,7 @@
         self.reply: list[str] = []
 
     def run(self) -> int:
-        """Serve until the input ends; returns the exit status."""
+        """Process batches until the input ends; return the exit status."""
         line = ""
         try:
             while line := self._next_line():
@@ -43,7 +43,7 @@
         return 0
 
     def _next_line(self) -> str:
-        """The next line that is not blank, or '' at the end of input."""
+        """Return the next line that is not blank, or '' at the end of the input."""
         for line in self.source:
             self.lines_read += 1
             line = line.rstrip("\n")
@@ -67,25 +67,25 @@
         if name == wire.ENDPOINT_ENTRIES:
             self._store_entries(fields)
             return
-        instance = wire.instance_of(fields)
+        instance = wire.parse_instance_name(fields)
         if name == wire.INSTANCE_EXIT:
             self.instances.pop(instance, None)
             return
         if instance not in self.instances:
-            raise WireError(f"{name} for {instance!r}, which was not enlisted")
+            raise WireError(f"{name} for the instance {instance!r}, which was not enlisted")
         if name == wire.ENDPOINT_LIST_UPDATE:
             self._deliver(instance, self._endpoint_list_update(fields))
         elif parse := wire.EVENT_PARSERS.get(name):
             self._deliver(instance, parse(fields))
         else:
-            raise WireError(f"{name!r} is no known message")
+            raise WireError(f"{name!r} is not a known message")
 
     def _start_instance(self, line: str) -> None:
         instance, seed, settings = wire.parse_instance_start(line)
         self.instances[instance] = Balancer(parse_settings(settings), seed)
 
     def _store_entries(self, fields: Fields) -> None:
-        """Entries come before the updates of those instances that are to get them."""
+        """Store endpoint entries, which are sent before the list updates that refer to them."""
         count = wire.parse_entry_count(fields)
         entries = tuple(wire.parse_entry(self._next_line()) for _ in range(count))
         self.entries_by_slot[wire.parse_slot(fields)] = entries
@@ -96,13 +96,13 @@
             return EndpointListUpdate(form)
         slot = wire.parse_slot(fields)
         if slot not in self.entries_by_slot:
-            raise InvalidFieldError("slot", slot, "holds no inventory")
+            raise InvalidFieldError("slot", slot, "has no stored inventory")
         return EndpointListUpdate(form, self.entries_by_slot[slot])
 
     def _deliver(self, instance: str, event: Event) -> None:
         try:
             actions = self.instances[instance].handle(self.now, event)
-        except Exception as error:  # the wire has a message for a policy that failed
+        except Exception as error:  # the wire protocol has a message for a failed policy
             traceback.print_exc(file=sys.stderr)
             self.reply.append(wire.format_failure(instance, error))
             return
--- a/linetrack/simhost/settings.py
+++ b/linetrack/simhost/settings.py
@@ -1,6 +1,6 @@
-"""The settings of the simulator's wire, pairs of path and value, as the nested object that both hosts read.
+"""Converts the settings of the simulator's wire protocol from pairs of path and value to a nested object.
 
-What a setting means and its default stand in `linetrack/settings.py`.
+`linetrack/settings.py` reads that object; it defines the meaning and the default of each setting.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from linetrack.settings import SettingsError, read_settings
 from linetrack.simhost.fields import Fields, InvalidFieldError, WireError
 
-LENGTH_KEY = "count"  # an object with this key is a list of so many items, under the keys 0, 1 and so on
+LENGTH_KEY = "count"  # an object with this key is a list of that length, with the items under 0, 1 and so on
 
 
 def parse_settings(pairs: Fields) -> Settings:
-    """The policy's settings.
+    """Return the policy's settings.
 
     Raises:
         WireError: a setting is missing or invalid.
     """
     try:
-        return read_settings(nest(pairs))
+        return read_settings(nest_settings(pairs))
     except SettingsError as error:
         raise WireError(str(error)) from None
 
 
-def nest(pairs: Fields) -> dict[str, Any]:
-    """Paths as objects, and as lists those that have a length."""
+def nest_settings(pairs: Fields) -> dict[str, Any]:
+    """Return the pairs as nested objects, and as lists where an object has a length."""
     root: dict[str, Any] = {}
     for path, value in pairs.items():
         *parents, name = path.split(".")
@@ -55,4 +55,4 @@
     length = str(children[LENGTH_KEY])
     if not length.isdigit():
         raise InvalidFieldError(f"{path}.{LENGTH_KEY}", length, "is not a whole number")
-    return [children.get(str(n), {}) for n in range(int(length))]
+    return [children.get(str(index), {}) for index in range(int(length))]
--- a/linetrack/simhost/wire.py
+++ b/linetrack/simhost/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: its lines parsed into events, and actions formatted as its lines.
+"""The simulator's wire protocol: parses its lines into events, and formats actions as its lines.
 
-The only module that knows the names of messages, fields and values on that wire.  It translates and decides
-nothing.
+This is the only module that knows the protocol's names of messages, fields and values.  It translates them
+and makes no decisions.
 """
 
 from __future__ import annotations
@@ -83,46 +83,46 @@
 
 
 def parse_batch_start(line: str) -> int:
-    """The time at which a batch begins, in microseconds."""
+    """Return the time at which a batch begins, in microseconds."""
     name, fields = split_line(line)
     if name != BATCH_START:
-        raise WireError(f"a batch opens with {BATCH_START}, not {name!r}")
+        raise WireError(f"a batch starts with {BATCH_START}, not {name!r}")
     return integer_field(fields, "clockUs")
 
 
 def parse_instance_start(line: str) -> tuple[str, int, Fields]:
-    """The instance, its seed, and the settings among the fields.
+    """Return the instance's name, its seed, and all fields, which include its settings.
 
-    `bootInfo` has no name and fills the rest of the line, so the settings stand among the fields, and no
-    other function can split the line.
+    The value of `bootInfo` is the rest of the line, and consists of one field for each setting.  Without this
+    prefix the settings are ordinary fields of the line.
     """
     _, fields = split_line(line.replace(" bootInfo=", " ", 1))
-    return instance_of(fields), integer_field(fields, "entropy"), fields
+    return parse_instance_name(fields), integer_field(fields, "entropy"), fields
 
 
-def instance_of(fields: Fields) -> str:
-    """The instance that a message is for."""
+def parse_instance_name(fields: Fields) -> str:
+    """Return the name of the instance that a message is for."""
     return text_field(fields, "i")
 
 
 def parse_entry_count(fields: Fields) -> int:
-    """How many lines of endpoint entries follow."""
+    """Return the number of lines of endpoint entries that follow."""
     return integer_field(fields, "lines")
 
 
 def parse_slot(fields: Fields) -> int:
-    """The slot in which endpoint entries are stored for later updates."""
+    """Return the slot in which endpoint entries are stored for later list updates."""
     return integer_field(fields, "slot")
 
 
 def parse_entry(line: str) -> EndpointEntry:
-    """One endpoint entry."""
+    """Return the endpoint entry of a line."""
     name, fields = split_line(line or "?")
     if name != ENDPOINT_ENTRY:
         raise WireError(f"an inventory entry starts with {ENDPOINT_ENTRY}, not {name!r}")
     status = fields.get("health", "U")
     if status not in STATUS_BY_NAME:
-        raise InvalidFieldError("health", status, "is no known state")
+        raise InvalidFieldError("health", status, "is not a known state")
     return EndpointEntry(
         endpoint=text_field(fields, "upstream"),
         zone=integer_field(fields, "rackZone", 0),
@@ -135,10 +135,10 @@
 
 
 def parse_list_form(fields: Fields) -> ListForm:
-    """What an endpoint list update holds."""
+    """Return the form of an endpoint list update."""
     form = text_field(fields, "form")
     if form not in LIST_FORM_BY_NAME:
-        raise InvalidFieldError("form", form, "is no known form")
+        raise InvalidFieldError("form", form, "is not a known form")
     return LIST_FORM_BY_NAME[form]
 
 
@@ -148,12 +148,12 @@
 def _outcome(fields: Fields) -> Outcome:
     outcome = text_field(fields, "how")
     if outcome not in OUTCOME_BY_NAME:
-        raise InvalidFieldError("how", outcome, "is no known outcome")
+        raise InvalidFieldError("how", outcome, "is not a known outcome")
     return OUTCOME_BY_NAME[outcome]
 
 
 def _load_report(fields: Fields) -> tuple[float, ...]:
-    """A value that is no number becomes NaN, which the policy ignores."""
+    """Return the load report; a value that is not a number becomes NaN, which the policy ignores."""
     return numbers_field(fields, "pressure")
 
 
@@ -212,7 +212,7 @@
     return PeerMessageReceived(sender=integer_field(fields, "originPeer"), body=body_field(fields, "body"))
 
 
-#: The parser of each message that becomes an event by itself.
+#: The parsers of the messages that map to one event each.
 EVENT_PARSERS: dict[str, Callable[[Fields], Event]] = {
     "REQ": _parse_request,
     "ESTABLISHED": _parse_response_start,
@@ -273,7 +273,7 @@
     return f"NOTE_DOWN i={instance} what={_one_line(action.text)}"
 
 
-# by type: a chain of patterns took a twentieth of the time of a busy day
+# looked up by type: a chain of `match` patterns took a twentieth of the run time under load
 _ACTION_FORMATTERS: dict[type, Callable[[str, Any], str]] = {
     StartAttempt: _format_start_attempt,
     RejectRequest: _format_reject_request,
@@ -290,12 +290,12 @@
 
 
 def format_action(instance: str, action: Action) -> str:
-    """The line of one action of an instance."""
+    """Return the line for an action of an instance."""
     return _ACTION_FORMATTERS[type(action)](instance, action)
 
 
 def format_failure(instance: str, error: Exception) -> str:
-    """The line that says that an instance could not handle an event."""
+    """Return the line that reports that an instance failed to handle an event."""
     return f"GIVE_IN i={instance} what={_one_line(f'{type(error).__name__}: {error}')}"
 
 
--- a/tests/simhost/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -132,7 +132,7 @@
         (["TICK clockUs=1"], "inside a batch"),
         (["TICK clockUs=1", "REQ i=sidecar/4 ref=1", "YOUR_TURN"], "not enlisted"),
         (["TICK clockUs=1", enlist(), "REQ i=sidecar/0 ref=1", "YOUR_TURN"], "'kind' is missing"),
-        (["TICK clockUs=1", enlist(), "NEWS i=sidecar/0", "YOUR_TURN"], "no known message"),
+        (["TICK clockUs=1", enlist(), "NEWS i=sidecar/0", "YOUR_TURN"], "not a known message"),
         (["TICK clockUs=1", "ENLIST i=sidecar/0 entropy=1", "YOUR_TURN"], "classes is missing"),
         (["TICK clockUs=1", "INVENTORY slot=0 lines=1", "YOUR_TURN"], "starts with M"),
         (["TICK clockUs=1", enlist(), "MEMBERSHIP i=sidecar/0 form=all slot=5", "YOUR_TURN"], "slot=5"),
