--- a/tests/control/accepted_settings.py
+++ b/tests/control/accepted_settings.py
@@ -1,4 +1,4 @@
-"""Hypothesis strategies: settings at the edges of what the platform's and the operators' file accept."""
+"""Hypothesis strategies for settings at the limits of what the platform's and the operators' file accept."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 platform_values = st.fixed_dictionaries(
     {"classes": st.lists(request_class, min_size=1, max_size=3)},
     optional={
-        "rules": st.builds(lambda one, other: {**one, **other}, rules, retry_window),
+        "rules": st.builds(lambda base, window: {**base, **window}, rules, retry_window),
         "allowed": allowed,
         "azs": names,
         "zone": st.sampled_from([0, 1, 3]),
@@ -124,7 +124,7 @@
 
 @st.composite
 def policy_settings(draw: st.DrawFn) -> Settings:
-    """What the platform's file or the operators' file leads to."""
+    """Draw the settings that are read from a platform's file or from an operators' file."""
     if draw(st.booleans()):
         return read_settings(draw(platform_values))
     file = msgspec.convert(draw(operators_values), OperatorsFile)
--- a/tests/control/random_history.py
+++ b/tests/control/random_history.py
@@ -1,4 +1,4 @@
-"""A host that feeds one policy a random history of every event, with settings switches and handovers."""
+"""A host that feeds a policy random events of all kinds, with settings switches and handovers."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 CLOCK_DIFFERENCES = (0, 1, MS, 3 * SECOND, 300 * SECOND)
 NUMBERS = (0.0, 0.5, 1.0, 50.0, -1.0, 1e-300, 1e300, math.inf, math.nan)
 STATUSES = (*[EndpointStatus.UP] * 4, EndpointStatus.DRAINING, EndpointStatus.REMOVED)
-STEPS = (0, 0, 1, MS, 20 * MS, 500 * MS, 3 * SECOND, 60 * SECOND)
+TIME_STEPS = (0, 0, 1, MS, 20 * MS, 500 * MS, 3 * SECOND, 60 * SECOND)
 TIMEOUTS = (0, 1, MS, 2 * SECOND, 3600 * SECOND)
 LATENCIES = (0, 1, 50 * MS, SECOND, 1000 * SECOND)
-NO_TENANT = 99  # beyond every list of quotas
+TENANT_WITHOUT_QUOTA = 99  # an index that no list of quotas contains
 
 AttemptKey = tuple[int, int]  # request id and attempt number
 
 
 class RandomHost:
-    """Plays events drawn from one seed, and keeps what a host keeps: attempts in flight and timers."""
+    """Feeds events drawn from one seed, and tracks what a host tracks: attempts in flight and timers."""
 
     def __init__(self, settings: Settings, seed: int, has_overload_control: bool) -> None:
         self.random = Random(seed)
@@ -70,23 +70,23 @@
         return self.switch.policy.settings
 
     def feed(self, event: Event) -> list[str]:
-        """Hand one event to the policy; return where attempts were started."""
+        """Pass one event to the policy; return the endpoints of the attempts that it started."""
         endpoints = []
         for action in self.switch.handle(self.now, event):
             if isinstance(action, SetTimer):
                 self.timers.append((self.now + action.delay, action.token))
             elif isinstance(action, StartAttempt):
-                number = self.attempt_counts[action.request_id]
+                attempt = self.attempt_counts[action.request_id]
                 self.attempt_counts[action.request_id] += 1
-                self.in_flight[(action.request_id, number)] = action.endpoint
+                self.in_flight[(action.request_id, attempt)] = action.endpoint
                 endpoints.append(action.endpoint)
         return endpoints
 
     def step(self) -> None:
-        """Let time pass, then one event of any kind."""
-        self.now += self.random.choice(STEPS)
+        """Advance the time, then feed one event of any kind."""
+        self.now += self.random.choice(TIME_STEPS)
         steps: list[Callable[[], None]] = [self.request, self.end_attempt, self.fire_timer]
-        steps = [*steps * 3, self.update_list, self.about_an_attempt, self.stray_event]
+        steps = [*steps * 3, self.update_list, self.feed_attempt_event, self.feed_unrelated_event]
         self.random.choice(steps)()
 
     def request(self) -> None:
@@ -98,8 +98,8 @@
             tenant=self.random.randrange(3),
             affinity_key=self.random.choice(("", "key")),
             work=self.random.choice((0, 100)),
-            is_retry=self.flip(),
-            is_write=self.flip(),
+            is_retry=self.random_bool(),
+            is_write=self.random_bool(),
             idempotency_key=self.random.randrange(3),
             is_replayable=self.random.random() < 0.8,
         )
@@ -112,7 +112,7 @@
         endpoint = self.in_flight.pop(key)
         outcome = self.random.choice(list(Outcome))
         latency = self.random.choice(LATENCIES)
-        self.feed(AttemptEnded(*key, endpoint, outcome, latency, self.flip(), self.report()))
+        self.feed(AttemptEnded(*key, endpoint, outcome, latency, self.random_bool(), self.load_report()))
 
     def fire_timer(self) -> None:
         if self.timers:
@@ -124,32 +124,32 @@
     def update_list(self) -> None:
         self.feed(EndpointListUpdate(self.random.choice(list(ListForm)), self.entries()))
 
-    def about_an_attempt(self) -> None:
+    def feed_attempt_event(self) -> None:
         if self.in_flight:
             key = self.random.choice(list(self.in_flight))
             started = ResponseStarted(*key, self.in_flight[key], MS)
             events: list[Event] = [RequestBodySent(*key), started, ClientDisconnected(key[0])]
             self.feed(self.random.choice(events))
 
-    def stray_event(self) -> None:
-        """What names a request that is over, or nothing that the policy knows."""
-        strays: list[Event] = [
-            AttemptEnded(10**9, 3, "gone", Outcome.SUCCESS, MS, True, self.report()),
+    def feed_unrelated_event(self) -> None:
+        """Feed an event of a request, timer, endpoint or peer that the policy does not know."""
+        events: list[Event] = [
+            AttemptEnded(10**9, 3, "gone", Outcome.SUCCESS, MS, True, self.load_report()),
             RequestBodySent(10**9, 0),
             ResponseStarted(10**9, 0, "gone", MS),
             ClientDisconnected(10**9),
             TimerFired("hold:12345"),
             TimerFired("unknown"),
-            HealthCheckEnded("gone", Outcome.SUCCESS, MS, self.report()),
+            HealthCheckEnded("gone", Outcome.SUCCESS, MS, self.load_report()),
             PeerMessageReceived(1, b"garbage"),
         ]
-        self.feed(self.random.choice(strays))
+        self.feed(self.random.choice(events))
 
     def change_settings(self, settings: Settings) -> None:
         self.switch.switch(settings)
 
     def hand_over(self, settings: Settings) -> None:
-        """Go on in another process, which takes over the snapshot as it is sent: as JSON."""
+        """Continue in another process, which restores the snapshot after encoding and decoding as JSON."""
         values = json.loads(json.dumps(self.switch.hand_over()))
         is_same = settings == self.settings
         self.switch = SettingsSwitch(self.make_policy(settings))
@@ -159,19 +159,21 @@
         assert self.switch.restore(values, self.now, same_classes=is_same, same_zones=is_same)
 
     def serves_through_a_ready_endpoint(self) -> bool:
-        """Whether attempts start a minute later, where one endpoint is listed that responds fast."""
+        """Return whether, a minute later, an attempt starts at the only listed endpoint, which is fast."""
         self.now += 61 * SECOND
         ready = EndpointEntry("ready", zone=self.settings.zone)
         self.feed(EndpointListUpdate(ListForm.SNAPSHOT, (ready,)))
-        shortest = min(each.latency_objective for each in self.settings.classes)
+        min_objective = min(request_class.latency_objective for request_class in self.settings.classes)
         for number in range(300):
             self.now += 100 * MS
             self.request_id += 1
             class_index = number % len(self.settings.classes)
-            started = self.feed(RequestReceived(self.request_id, class_index, 2 * SECOND, NO_TENANT))
-            if "ready" in started:
+            endpoints = self.feed(
+                RequestReceived(self.request_id, class_index, 2 * SECOND, TENANT_WITHOUT_QUOTA)
+            )
+            if "ready" in endpoints:
                 return True
-            self.feed(AttemptEnded(self.request_id, 0, "ready", Outcome.SUCCESS, shortest // 4, True))
+            self.feed(AttemptEnded(self.request_id, 0, "ready", Outcome.SUCCESS, min_objective // 4, True))
         return False
 
     def entries(self) -> tuple[EndpointEntry, ...]:
@@ -189,8 +191,8 @@
             started_at=self.random.choice((0, 1, max(1, self.now + difference))),
         )
 
-    def report(self) -> tuple[float, ...]:
+    def load_report(self) -> tuple[float, ...]:
         return tuple(self.random.choice(NUMBERS) for _ in range(self.random.randrange(5)))
 
-    def flip(self) -> bool:
+    def random_bool(self) -> bool:
         return self.random.random() < 0.5
--- a/tests/control/test_any_settings.py
+++ b/tests/control/test_any_settings.py
@@ -1,4 +1,4 @@
-"""Whatever the files accept and whatever happens: no event raises, and a ready endpoint is used."""
+"""Random settings and events: no event raises, and a ready endpoint is used; invalid input is rejected."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.control.accepted_settings import policy_settings
 from tests.control.random_history import RandomHost
 
-STEPS_BETWEEN = 25  # events before, between and after a switch of settings and a handover
+EVENTS_PER_PHASE = 25  # before the settings switch, between it and the handover, and after that
 
 
 @given(policy_settings(), policy_settings(), policy_settings(), st.integers(0, 10**6), st.booleans())
@@ -25,15 +25,15 @@
 def test_no_event_raises_and_a_ready_endpoint_is_used(
     first: Settings, second: Settings, third: Settings, seed: int, has_overload_control: bool
 ) -> None:
-    """Guards against a decision that raises, which ends the process with everything in flight."""
+    """An exception in a decision would end the process and lose every request in flight."""
     host = RandomHost(first, seed, has_overload_control)
-    for _ in range(STEPS_BETWEEN):
+    for _ in range(EVENTS_PER_PHASE):
         host.step()
     host.change_settings(second)
-    for _ in range(STEPS_BETWEEN):
+    for _ in range(EVENTS_PER_PHASE):
         host.step()
     host.hand_over(second if seed % 2 else third)
-    for _ in range(STEPS_BETWEEN):
+    for _ in range(EVENTS_PER_PHASE):
         host.step()
     assert host.serves_through_a_ready_endpoint()
 
@@ -57,7 +57,7 @@
 
 
 @given(endpoint_list | json_values)
-def test_an_endpoint_list_is_read_or_named_malformed(value: Any) -> None:
+def test_an_endpoint_list_is_parsed_or_rejected_as_malformed(value: Any) -> None:
     with suppress(MalformedMessageError):
         parse_endpoint_list(value)
 
@@ -70,7 +70,7 @@
     st.dictionaries(st.sampled_from(platform_keys), json_values),
     st.dictionaries(st.sampled_from(("settings", "limits", "known", "seed", "storms")), json_values),
 )
-def test_a_configuration_is_read_or_its_key_is_named(
+def test_a_configuration_is_parsed_or_rejected_with_a_config_error(
     platform: dict[str, Any], others: dict[str, Any]
 ) -> None:
     with suppress(ConfigError):
@@ -82,8 +82,8 @@
 
 @pytest.mark.parametrize("value", [-1, 10**31, float("inf"), float("nan"), "x", None, True])
 @pytest.mark.parametrize("key", ["warmUpUs", "overloadForUs", "fallMultiple", "coldFrom", "drainGraceUs"])
-def test_a_number_that_no_decision_can_rest_on_is_named(key: str, value: Any) -> None:
-    """Guards against settings that are accepted and end the process at a later event."""
+def test_an_implausible_number_is_rejected_with_its_key(key: str, value: Any) -> None:
+    """If such a setting were accepted, a later event would raise and end the process."""
     with pytest.raises(SettingsError) as raised:
         read_settings({"classes": [ONE_CLASS], "rules": {key: value}})
     assert raised.value.key == f"rules.{key}"
--- a/tests/control/test_connection_demand.py
+++ b/tests/control/test_connection_demand.py
@@ -1,10 +1,10 @@
-"""The reserve of descriptors for connections to upstreams."""
+"""The reserve of descriptors for upstream connections."""
 
 from linetrack.control.connection_demand import MIN_UPSTREAM_DIVISOR, UpstreamReserve
 from linetrack.policy.time_units import SECOND
 
 
-def test_the_peak_of_upstream_connections_is_reserved_and_given_back() -> None:
+def test_the_reserve_follows_the_peak_of_upstream_connections_and_decays() -> None:
     reserve = UpstreamReserve()
     assert reserve.client_capacity(0, 344) == 344 - 344 // MIN_UPSTREAM_DIVISOR
     reserve.record_in_use(SECOND, 80)
--- a/tests/control/test_connection_slots.py
+++ b/tests/control/test_connection_slots.py
@@ -1,4 +1,4 @@
-"""Connection slots in simulated time: which connections are kept, evicted or expire, and what clients pay."""
+"""Connection slots in simulated time: which connections are kept, evicted or expire, and how clients fare."""
 
 import random
 from dataclasses import dataclass
@@ -27,37 +27,37 @@
 
 @dataclass
 class Totals:
-    """What happened in one run of the simulation."""
+    """Counts of one run of the simulation."""
 
     requests: int = 0
     connections: int = 0
-    rejections: int = 0  # requests that found no slot at first
+    rejections: int = 0  # requests that found no free slot at their first try
     closed_with_response: int = 0
     evictions: int = 0
-    longest_wait: int = 0  # microseconds that a client without a slot had to wait
+    longest_wait: int = 0  # of a client for a slot, in microseconds
 
 
 class Step(Enum):
-    """What is due next for a client."""
+    """An event of a client in the simulation."""
 
-    REQUEST_ONCE = auto()
-    REQUEST_AGAIN = auto()
-    RESPONSE_TO_ONE_TIME_CLIENT = auto()
-    RESPONSE_TO_STEADY_CLIENT = auto()
+    ONE_TIME_REQUEST = auto()
+    STEADY_REQUEST = auto()
+    ONE_TIME_RESPONSE = auto()
+    STEADY_RESPONSE = auto()
 
 
 @dataclass(frozen=True)
 class Workload:
     one_time_rate: float = 0.0  # one-time clients per second
-    gap: int = 0  # microseconds between a steady client's requests, on average
+    gap: int = 0  # mean time between a steady client's response and its next request, in microseconds
     service_time: int = 0  # microseconds
 
 
 class ClientSimulation:
-    """Clients that hold at most `capacity` connections, and a server that keeps them by `ConnectionSlots`.
+    """Clients with up to `capacity` connections to a server that manages them by `ConnectionSlots`.
 
-    An independent model of both ends: one-time clients never use a connection again and leave it open,
-    steady ones use what they have, each with one request at a time and a gap between them.
+    One-time clients send one request and leave the connection open without reusing it.  Steady clients reuse
+    their connection, each with one request at a time and a gap between requests.
     """
 
     def __init__(self, capacity: int, seed: int) -> None:
@@ -66,7 +66,7 @@
         self.random = random.Random(seed)
         self.now = SECOND
         self.expired_at = 0
-        self.order = count()
+        self.sequence = count()
         self.open: set[ConnectionSlot] = set()
         self.totals = Totals()
         self.run_number = 0
@@ -83,24 +83,24 @@
     ) -> Totals:
         """Replace the clients and run for `duration`.
 
-        Clients of earlier runs still get their responses, and then are silent.
+        Clients of earlier runs still receive their responses, but send no more requests.
         """
         self.run_number += 1
         self.workload = Workload(one_time_rate, gap, service_time)
         if one_time_rate:
-            self._schedule(0, Step.REQUEST_ONCE)
+            self._schedule(0, Step.ONE_TIME_REQUEST)
         for _ in range(steady_clients):
-            self._schedule(self.random.uniform(0, gap), Step.REQUEST_AGAIN)
+            self._schedule(self.random.uniform(0, gap), Step.STEADY_REQUEST)
         return self.run_on(duration)
 
     def run_on(self, duration: int) -> Totals:
-        """Run for `duration` more, with the same clients."""
+        """Continue for `duration` with the same clients."""
         self.totals = Totals()
         end = self.now + duration
         while self.schedule and self.schedule[0][0] <= end:
             self.now, _, run_number, step, slot, waiting_since = heappop(self.schedule)
             self._expire()
-            if step in (Step.RESPONSE_TO_ONE_TIME_CLIENT, Step.RESPONSE_TO_STEADY_CLIENT):
+            if step in (Step.ONE_TIME_RESPONSE, Step.STEADY_RESPONSE):
                 assert slot is not None
                 self._respond(run_number, step, slot)
             elif run_number == self.run_number:
@@ -112,7 +112,7 @@
         self, delay: float, step: Step, slot: ConnectionSlot | None = None, waiting_since: int = 0
     ) -> None:
         due = self.now + int(delay)
-        heappush(self.schedule, (due, next(self.order), self.run_number, step, slot, waiting_since))
+        heappush(self.schedule, (due, next(self.sequence), self.run_number, step, slot, waiting_since))
 
     def _expire(self) -> None:
         if self.now >= self.expired_at + EXPIRY_INTERVAL_US:
@@ -127,15 +127,15 @@
         else:
             self.totals.closed_with_response += 1
             self._close(slot)
-        if step is Step.RESPONSE_TO_STEADY_CLIENT and run_number == self.run_number:
+        if step is Step.STEADY_RESPONSE and run_number == self.run_number:
             gap = self.workload.gap
             next_gap = self.random.uniform(gap / 2, gap * 1.5)
-            self._schedule(next_gap, Step.REQUEST_AGAIN, slot if is_kept else None)
+            self._schedule(next_gap, Step.STEADY_REQUEST, slot if is_kept else None)
 
     def _request(self, step: Step, slot: ConnectionSlot | None, waiting_since: int) -> None:
-        if step is Step.REQUEST_ONCE and not waiting_since:
+        if step is Step.ONE_TIME_REQUEST and not waiting_since:
             interval = self.random.expovariate(self.workload.one_time_rate) * SECOND
-            self._schedule(interval, Step.REQUEST_ONCE)
+            self._schedule(interval, Step.ONE_TIME_REQUEST)
         if slot is None or slot not in self.open:
             slot = self._connect()
         if slot is None:
@@ -146,8 +146,8 @@
             return
         self.totals.requests += 1
         self.slots.receive_request(slot, self.now)
-        is_steady = step is Step.REQUEST_AGAIN
-        response = Step.RESPONSE_TO_STEADY_CLIENT if is_steady else Step.RESPONSE_TO_ONE_TIME_CLIENT
+        is_steady = step is Step.STEADY_REQUEST
+        response = Step.STEADY_RESPONSE if is_steady else Step.ONE_TIME_RESPONSE
         self._schedule(self.workload.service_time, response, slot)
 
     def _connect(self) -> ConnectionSlot | None:
@@ -166,12 +166,12 @@
         self.open.discard(slot)
 
 
-# --- Mixes of clients --------------------------------------------------------------------------------
+# --- Workloads of one-time and steady clients ----------------------------------------------------------
 
 
 @pytest.mark.parametrize("capacity", [20, 128, 341])
 def test_one_time_clients_always_find_a_slot(capacity: int) -> None:
-    # connections that are never used again must not keep all the slots
+    # connections that are never reused must not occupy all slots
     totals = ClientSimulation(capacity, 1).run(20 * SECOND, one_time_rate=2.0 * capacity, steady_clients=0)
     assert totals.requests > 30 * capacity
     assert totals.rejections < totals.requests / 50
@@ -194,12 +194,12 @@
     simulation.run(5 * SECOND, one_time_rate=200, steady_clients=40)
     totals = simulation.run_on(20 * SECOND)
     steady_requests = totals.requests - 200 * 20
-    # each one-time client needs a connection of its own; any more replace a closed one of a steady client
+    # each one-time client needs its own connection; further connections replace closed ones of steady clients
     assert totals.connections - 200 * 20 < steady_requests / 10
     assert totals.rejections < totals.requests / 50
 
 
-def test_a_change_of_the_mix_is_learnt_within_seconds() -> None:
+def test_the_model_adapts_to_other_clients_within_seconds() -> None:
     simulation = ClientSimulation(128, 4)
     simulation.run(10 * SECOND, one_time_rate=0, steady_clients=100)
     one_time = simulation.run(10 * SECOND, one_time_rate=400, steady_clients=0)
@@ -210,8 +210,8 @@
     assert steady.closed_with_response < steady.requests / 50
 
 
-def test_long_gaps_are_learnt_where_slots_are_free() -> None:
-    # clients that return after seconds are kept that long once some have shown that they do
+def test_connections_of_clients_with_long_gaps_are_kept_while_slots_are_free() -> None:
+    # the model learns from the first clients that reuse a connection after seconds
     simulation = ClientSimulation(128, 5)
     simulation.run(60 * SECOND, one_time_rate=0, steady_clients=20, gap=1500 * MS)
     simulation.run(120 * SECOND, one_time_rate=0, steady_clients=20, gap=3 * SECOND)
@@ -219,7 +219,7 @@
     assert totals.connections < totals.requests / 4
 
 
-def test_busy_connections_are_never_evicted_and_slots_recover_afterwards() -> None:
+def test_busy_connections_are_never_evicted_and_slots_become_free_afterwards() -> None:
     simulation = ClientSimulation(64, 6)
     stalled = simulation.run(5 * SECOND, one_time_rate=300, steady_clients=0, service_time=4 * SECOND)
     assert stalled.requests <= 64 * 2
@@ -232,8 +232,15 @@
 # --- Order of eviction -------------------------------------------------------------------------------
 
 
-@given(st.lists(st.tuples(st.sampled_from(["open", "begin", "ask", "end", "close"]), st.integers(0, 30))))
-def test_only_evictable_slots_are_selected_and_the_counts_hold(steps: list[tuple[str, int]]) -> None:
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["open", "begin_request", "receive_request", "respond", "close"]),
+            st.integers(0, 30),
+        )
+    )
+)
+def test_only_evictable_slots_are_selected_and_the_counts_are_correct(steps: list[tuple[str, int]]) -> None:
     slots = ConnectionSlots(8)
     opened: list[ConnectionSlot] = []
     now = SECOND
@@ -243,11 +250,11 @@
             opened.append(slots.open(now))
         elif opened:
             slot = opened[number % len(opened)]
-            if step == "begin" and slot.state is not SlotState.BUSY:
+            if step == "begin_request" and slot.state is not SlotState.BUSY:
                 slots.begin_request(slot, now)
-            elif step == "ask" and slot.state not in (SlotState.BUSY, SlotState.CLOSED):
+            elif step == "receive_request" and slot.state not in (SlotState.BUSY, SlotState.CLOSED):
                 slots.receive_request(slot, now)
-            elif step == "end" and slot.state is SlotState.BUSY:
+            elif step == "respond" and slot.state is SlotState.BUSY:
                 is_kept = slots.decide_keep_alive(slot, now)
                 (slots.mark_idle if is_kept else slots.close)(slot, now)
             elif step == "close":
@@ -286,7 +293,7 @@
     assert order == [new, idle, partial]
 
 
-def test_a_readiness_check_is_no_request() -> None:
+def test_a_readiness_check_does_not_count_as_a_request() -> None:
     slots = ConnectionSlots(8)
     slot = slots.open(SECOND)
     slots.begin_request(slot, SECOND)
