--- a/tests/control/test_idempotency_keys.py
+++ b/tests/control/test_idempotency_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: what is kept of them, and that no client's retry is executed a second time."""
+"""The idempotency key table: which attempts it keeps, and that no client retry is executed a second time."""
 
 import itertools
 
@@ -26,31 +26,37 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 40), st.integers(0, RETENTION_US // 3)), max_size=80))
-def test_the_first_possible_execution_is_kept_for_its_time(attempts: list[tuple[int, int]]) -> None:
-    keys = IdempotencyKeyTable()
+def test_the_first_possible_execution_of_a_key_is_kept_for_the_retention_time(
+    attempts: list[tuple[int, int]],
+) -> None:
+    table = IdempotencyKeyTable()
     now = START
-    first: dict[int, int] = {}
-    for key, after in attempts:
-        now += after
-        first = {k: at for k, at in first.items() if at > now - RETENTION_US}
-        keys.add(key, PossibleExecution(0, 0, now))
-        first.setdefault(key, now)
-        assert {k: executions[0].sent_at for k, executions in keys.executions_by_key.items()} == first
-    assert not keys.executions(now + RETENTION_US, 1)
-    assert not keys.executions_by_key
-
-
-def test_no_more_keys_are_kept_than_allowed() -> None:
-    keys = IdempotencyKeyTable()
+    first_sent_at: dict[int, int] = {}
+    for key, delay in attempts:
+        now += delay
+        first_sent_at = {
+            kept_key: sent_at for kept_key, sent_at in first_sent_at.items() if sent_at > now - RETENTION_US
+        }
+        table.add(key, PossibleExecution(0, 0, now))
+        first_sent_at.setdefault(key, now)
+        assert {
+            kept_key: executions[0].sent_at for kept_key, executions in table.executions_by_key.items()
+        } == first_sent_at
+    assert not table.executions(now + RETENTION_US, 1)
+    assert not table.executions_by_key
+
+
+def test_the_oldest_keys_are_evicted_beyond_the_maximum() -> None:
+    table = IdempotencyKeyTable()
     for key in range(MAX_KEYS + 10):
-        keys.add(key, PossibleExecution(0, 0, START))
-    assert len(keys.executions_by_key) == MAX_KEYS
-    assert not keys.executions(START, 3)
-    assert keys.executions(START, MAX_KEYS + 9)
+        table.add(key, PossibleExecution(0, 0, START))
+    assert len(table.executions_by_key) == MAX_KEYS
+    assert not table.executions(START, 3)
+    assert table.executions(START, MAX_KEYS + 9)
 
 
 class RetryingClient:
-    """A client that sends one request again and again under one key, and every attempt made for it."""
+    """A client that repeats one request under one key, and the attempts that the policy makes for it."""
 
     def __init__(self, class_index: int) -> None:
         self.class_index = class_index
@@ -61,7 +67,8 @@
         self.entries = {entry.endpoint: entry for entry in helpers.listed_entries()}
         self.in_flight: dict[int, list[tuple[int, str]]] = {}  # attempt and endpoint, by request
         self.attempts: list[tuple[int, str]] = []  # request and endpoint
-        self.may_have_run: list[tuple[int, str, int, int]] = []  # time, endpoint, request, attempt
+        # the attempts that may have been executed: time, endpoint, request, attempt
+        self.possible_executions: list[tuple[int, str, int, int]] = []
         self.feed(EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
 
     def feed(self, event: Event) -> None:
@@ -69,22 +76,22 @@
             if isinstance(action, StartAttempt):
                 self.check(action)
                 in_flight = self.in_flight.setdefault(action.request_id, [])
-                index = len([request for request, _ in self.attempts if request == action.request_id])
-                in_flight.append((index, action.endpoint))
+                attempt = len([request for request, _ in self.attempts if request == action.request_id])
+                in_flight.append((attempt, action.endpoint))
                 self.attempts.append((action.request_id, action.endpoint))
-                # until it is known not to have been executed, it may have been
-                self.may_have_run.append((self.now, action.endpoint, action.request_id, index))
-            elif isinstance(action, RejectRequest) and self.may_have_run:
-                raise AssertionError("called a retry harmless that its scope may execute again")
+                # an attempt may have been executed until it is known not to have been
+                self.possible_executions.append((self.now, action.endpoint, action.request_id, attempt))
+            elif isinstance(action, RejectRequest) and self.possible_executions:
+                raise AssertionError("rejected as safe to retry, but a retry may be executed a second time")
 
     def check(self, action: StartAttempt) -> None:
-        """An attempt goes to the scope of the first that may have run, within its window."""
-        if not self.may_have_run:
+        """Check that an attempt goes to the scope of the first possible execution, within its window."""
+        if not self.possible_executions:
             return
-        sent_at, endpoint, *_ = self.may_have_run[0]
+        sent_at, endpoint, *_ = self.possible_executions[0]
         first = self.entries[endpoint]
         entry = self.entries[action.endpoint]
-        assert self.now < sent_at + DEDUPLICATION_WINDOW, "sent after its scope has forgotten the key"
+        assert self.now < sent_at + DEDUPLICATION_WINDOW, "sent after the deduplication window"
         assert entry.zone == first.zone
         assert self.class_index != KEYED_IN_CELL or entry.cell == first.cell
         assert action.write_deadline <= sent_at + DEDUPLICATION_WINDOW
@@ -101,14 +108,16 @@
 
     def end(self, outcome: Outcome) -> None:
         """End the first attempt in flight, if there is one."""
-        request = next((n for n, in_flight in self.in_flight.items() if in_flight), None)
+        request = next((request for request, in_flight in self.in_flight.items() if in_flight), None)
         if request is None:
             return
-        index, endpoint = self.in_flight[request].pop(0)
+        attempt, endpoint = self.in_flight[request].pop(0)
         self.now += 5 * MS
         if outcome is Outcome.OVERLOADED:
-            self.may_have_run = [run for run in self.may_have_run if run[2:] != (request, index)]
-        self.feed(AttemptEnded(request, index, endpoint, outcome, 5 * MS))
+            self.possible_executions = [
+                execution for execution in self.possible_executions if execution[2:] != (request, attempt)
+            ]
+        self.feed(AttemptEnded(request, attempt, endpoint, outcome, 5 * MS))
 
     def step(self, name: str) -> None:
         match name:
@@ -132,10 +141,10 @@
 
 
 @pytest.mark.parametrize("class_index", [KEYED_IN_ZONE, KEYED_IN_CELL])
-def test_no_interleaving_of_retries_ends_and_time_leaves_the_deduplication_window_or_scope(
+def test_every_attempt_stays_within_the_deduplication_window_and_scope(
     class_index: int,
 ) -> None:
-    """Every sequence of five steps after a client's first request."""
+    """Plays every sequence of five steps after a client's first request."""
     for steps in itertools.product(STEPS, repeat=5):
         client = RetryingClient(class_index)
         client.send()
@@ -143,7 +152,7 @@
             client.step(step)
 
 
-def test_a_clients_retry_after_the_window_fails_at_once_where_a_new_request_is_sent() -> None:
+def test_a_retry_after_the_deduplication_window_fails_at_once_while_a_new_request_is_sent() -> None:
     client = RetryingClient(KEYED_IN_ZONE)
     for step in ("send", "timeout", "long wait", "send"):
         client.step(step)
@@ -152,15 +161,15 @@
     new_request = RequestReceived(99, KEYED_IN_ZONE, 2 * SECOND, idempotency_key=78)
     actions = client.balancer.handle(client.now, new_request)
     assert any(isinstance(action, StartAttempt) for action in actions)
-    # without the table the client's retry is a new request, and is sent: this is what the table is for
-    plain = Balancer(helpers.settings(), 1)
-    plain.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
+    # without the table, the client's retry is treated as a new request and is sent
+    balancer_without_table = Balancer(helpers.settings(), 1)
+    balancer_without_table.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
     retry = RequestReceived(1, KEYED_IN_ZONE, 2 * SECOND, idempotency_key=77)
-    assert any(isinstance(action, StartAttempt) for action in plain.handle(START, retry))
+    assert any(isinstance(action, StartAttempt) for action in balancer_without_table.handle(START, retry))
 
 
-def test_a_request_that_may_not_be_retried_is_not_for_having_a_key() -> None:
-    """It was, while the table held the keys of requests of every class."""
+def test_a_non_idempotent_request_with_a_key_is_not_retried() -> None:
+    """It is retried if the table holds the keys of requests of every class."""
     settings = helpers.settings(may_run_parallel_attempts=False)
     balancer = Balancer(settings, 1, None, IdempotencyKeyTable())
     balancer.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
--- a/tests/control/test_metrics.py
+++ b/tests/control/test_metrics.py
@@ -1,4 +1,4 @@
-"""The counters: their totals agree, and their text can be read whatever a class is called."""
+"""The counters: their totals agree, and their text format is valid for any class name."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @given(ended_requests, st.integers(0, 9))
-def test_totals_agree_and_whatever_a_class_is_called_the_text_can_be_read(
+def test_totals_agree_and_the_text_format_is_valid_for_any_class_name(
     ended: list[tuple[str, RequestOutcome]], disconnected: int
 ) -> None:
     metrics = Metrics()
--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -1,4 +1,4 @@
-"""Overload control in simulated time: a service that goes down and comes back, and clients that retry."""
+"""Overload control in simulated time: outages of a service whose clients retry."""
 
 import heapq
 from collections import Counter
@@ -14,41 +14,43 @@
 from linetrack.policy.balancer import Balancer
 from linetrack.policy.events import EndpointListUpdate, ListForm, RequestReceived
 from tests import helpers
-from tests.control.simulated_service import START, ColdService, SimulatedService, is_admitted
+from tests.control.simulated_service import START, SimulatedService, WarmingService, is_admitted
 from tests.helpers import IDEMPOTENT, MS, SECOND
 
 
-@pytest.mark.parametrize("obedient", [1.0, 0.5, 0.0])
+@pytest.mark.parametrize("obedient_share", [1.0, 0.5, 0.0])
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_service_that_was_down_serves_again_within_seconds_and_stays_so(seed: int, obedient: float) -> None:
-    service = SimulatedService(AdaptiveOverloadController(seed), seed, obedient)
+def test_a_service_recovers_from_an_outage_within_seconds_and_does_not_relapse(
+    seed: int, obedient_share: float
+) -> None:
+    service = SimulatedService(AdaptiveOverloadController(seed), seed, obedient_share)
     service.play(60, ((10, 30),))
     assert service.seconds_to_recover(30, 0.8) <= 4
     assert service.seconds_to_recover(30) <= 6
-    # no second collapse: at four fifths of the capacity one second may be poor, but not three in a row
+    # no relapse: at an offered rate of 80 % of the capacity, one second may be bad, but not three in a row
     served = service.served_in_time
-    goal = 0.6 * 3 * service.rate_before()
-    assert all(sum(served[second + k] for k in range(3)) >= goal for second in range(40, 56))
+    min_served = 0.6 * 3 * service.rate_before_outage()
+    assert all(sum(served[second + k] for k in range(3)) >= min_served for second in range(40, 56))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_cold_service_serves_first_attempts_as_before_within_seconds(seed: int) -> None:
-    """Retries, forty times as many, would find each token first, and slow responses look like a queue."""
-    service = ColdService(seed)
+def test_a_warming_service_serves_first_attempts_as_before_within_seconds(seed: int) -> None:
+    """Retries, forty times as many, must not take every token; slow responses must not count as a queue."""
+    service = WarmingService(seed)
     service.play(50, ((10, 30),))
-    share = [service.first_in_time[n] / service.first_offered[n] for n in range(50)]
-    goal = 0.9 * sum(share[2:9]) / 7
-    assert next((n for n in range(30, 49) if min(share[n], share[n + 1]) >= goal), 99) <= 37
+    share = [service.first_attempts_in_time[n] / service.first_attempts_offered[n] for n in range(50)]
+    min_share = 0.9 * sum(share[2:9]) / 7
+    assert next((n for n in range(30, 49) if min(share[n], share[n + 1]) >= min_share), 99) <= 37
     assert sum(share[38:50]) / 12 >= 0.85
 
 
-def test_without_the_controller_the_same_clients_keep_the_service_down() -> None:
+def test_without_the_controller_the_same_clients_keep_the_service_overloaded() -> None:
     service = SimulatedService(None, 1, 0.0)
     service.play(60, ((10, 30),))
     assert service.seconds_to_recover(30) == 99
 
 
-def test_a_second_outage_during_recovery_is_recovered_from_too() -> None:
+def test_a_service_recovers_from_a_second_outage_during_recovery() -> None:
     service = SimulatedService(AdaptiveOverloadController(3), 3, 0.5)
     service.play(70, ((10, 25), (27, 35)))
     assert service.seconds_to_recover(35, 0.8) <= 8
@@ -56,15 +58,15 @@
 
 @given(st.integers(0, 50), st.floats(0.3, 1.2))
 @settings(max_examples=15, deadline=None)
-def test_honest_growth_is_admitted_completely(seed: int, peak: float) -> None:
+def test_all_requests_are_admitted_while_the_offered_rate_grows(seed: int, peak: float) -> None:
     controller = AdaptiveOverloadController(seed)
     random = Random(seed)
-    at = float(START)
+    arrival = float(START)
     for n in range(3000):
-        at += random.expovariate(20 + 100 * peak * n / 3000) * SECOND
-        assert controller.admit(int(at), RequestReceived(n, 0, SECOND), 1.0)
-        # a third of all late is a busy evening, and no outage
-        controller.record_response(int(at), random.random() > 0.33, True)
+        arrival += random.expovariate(20 + 100 * peak * n / 3000) * SECOND
+        assert controller.admit(int(arrival), RequestReceived(n, 0, SECOND), 1.0)
+        # one late response in three is normal under high load, and not an overload
+        controller.record_response(int(arrival), random.random() > 0.33, True)
     assert controller.phase is OverloadPhase.NORMAL
 
 
@@ -80,13 +82,13 @@
 
 @given(call_lists, st.integers(0, 9))
 @settings(deadline=None)
-def test_whatever_comes_memory_is_bounded_and_advice_keeps_to_its_bounds(
+def test_memory_and_retry_times_stay_within_their_bounds_for_any_calls(
     calls: list[tuple[str, int, int]], seed: int
 ) -> None:
     controller = AdaptiveOverloadController(seed)
     now = START
-    for call, number, after in calls:
-        now += after
+    for call, number, delay in calls:
+        now += delay
         match call:
             case "first_attempt" | "retry":
                 received = RequestReceived(1, number, SECOND, is_retry=call == "retry")
@@ -104,61 +106,61 @@
         assert controller.phase is OverloadPhase.NORMAL or controller.rate_limit >= 2
 
 
-#: Bad responses before a baseline rate is known: the limit then has nothing to increase by.
+#: Bad responses before a baseline rate is known: the limit then cannot increase by a share of that rate.
 OVERLOAD_AT_START = [("good", 0, 0), *[("bad", 0, 0)] * 5, ("bad", 0, 25 * MS)]
 
 
 @given(call_lists, st.integers(0, 9))
 @example(OVERLOAD_AT_START, 0)
 @settings(deadline=None, max_examples=40)
-def test_after_any_disturbance_a_service_that_serves_well_is_given_all_within_a_minute(
+def test_the_controller_disengages_within_a_minute_of_good_responses_after_any_calls(
     calls: list[tuple[str, int, int]], seed: int
 ) -> None:
     controller = AdaptiveOverloadController(seed)
-    serve_well_after(controller, calls, START)
+    play_calls_then_good_responses(controller, calls, START)
     assert controller.phase is OverloadPhase.NORMAL
 
 
 @given(call_lists, st.integers(0, 9))
 @example(OVERLOAD_AT_START, 0)
 @settings(deadline=None, max_examples=40)
-def test_after_a_disturbance_of_a_known_baseline_a_service_is_given_all_within_a_minute(
+def test_the_controller_disengages_within_a_minute_with_a_known_baseline_rate(
     calls: list[tuple[str, int, int]], seed: int
 ) -> None:
-    """The property above where it holds: the controller has seen ten normal seconds before."""
+    """The same property after ten normal seconds, from which the controller knows the baseline rate."""
     controller = AdaptiveOverloadController(seed)
     now = START
     for _ in range(10 * 40):
         now += SECOND // 40
         controller.admit(now, RequestReceived(1, 0, SECOND), 1.0)
         controller.record_response(now, True, True)
-    serve_well_after(controller, calls, now)
+    play_calls_then_good_responses(controller, calls, now)
     assert controller.phase is OverloadPhase.NORMAL
 
 
-@pytest.mark.parametrize("offered", [1, 2, 3, 10, 40, 400])
-@pytest.mark.parametrize("usual", [0, 1, 40, 400], ids="usual rate {}".format)
-@pytest.mark.parametrize("outage", [2, 30], ids="{} s of outage".format)
-def test_a_service_that_is_healthy_again_is_given_all_within_a_minute_whatever_is_offered(
-    offered: int, usual: int, outage: int
+@pytest.mark.parametrize("offered_rate", [1, 2, 3, 10, 40, 400])
+@pytest.mark.parametrize("baseline_rate", [0, 1, 40, 400], ids="baseline rate {}".format)
+@pytest.mark.parametrize("outage_seconds", [2, 30], ids="{} s of outage".format)
+def test_a_recovered_service_receives_all_requests_within_a_minute_at_any_offered_rate(
+    offered_rate: int, baseline_rate: int, outage_seconds: int
 ) -> None:
-    """Guards against a limit that has nothing to increase by: no baseline rate, or one of another time."""
+    """If the baseline rate is unknown or out of date, the limit must still increase."""
     controller = AdaptiveOverloadController(7)
     now = START
-    for _ in range(30 * usual):
-        now += SECOND // usual
+    for _ in range(30 * baseline_rate):
+        now += SECOND // baseline_rate
         controller.admit(now, RequestReceived(1, 0, SECOND), 1.0)
         controller.record_response(now, True, True)
-    rate = max(20, offered, usual)
-    for _ in range(outage * rate):
+    rate = max(20, offered_rate, baseline_rate)
+    for _ in range(outage_seconds * rate):
         now += SECOND // rate
         if controller.admit(now, RequestReceived(1, 0, SECOND), 1.0):
             controller.record_response(now, False, False)
-    assert controller.rate_limit, "it engages"
+    assert controller.rate_limit, "the controller did not engage"
     rejected = 0
     for second in range(70):
-        for _ in range(offered):
-            now += SECOND // offered
+        for _ in range(offered_rate):
+            now += SECOND // offered_rate
             if is_admitted(controller, now, False):
                 controller.record_response(now, True, True)
             else:
@@ -167,12 +169,12 @@
     assert not rejected
 
 
-def serve_well_after(
+def play_calls_then_good_responses(
     controller: AdaptiveOverloadController, calls: list[tuple[str, int, int]], now: int
 ) -> None:
-    """Play the calls, then a minute in which all that is admitted is served well."""
-    for call, number, after in calls:
-        now += after
+    """Play the calls, then a minute in which every admitted request gets a good response."""
+    for call, number, delay in calls:
+        now += delay
         if call in ("first_attempt", "retry"):
             controller.admit(now, RequestReceived(1, number, SECOND), 1.0)
         else:
@@ -184,7 +186,7 @@
 
 
 def overload(controller: AdaptiveOverloadController, rate: int = 50) -> int:
-    """Ten normal seconds, then three in which nothing is served; return the time after them."""
+    """Play ten normal seconds, then three in which every response is bad; return the time after them."""
     now = START
     for n in range(13 * rate):
         now += SECOND // rate
@@ -194,51 +196,51 @@
     return now
 
 
-def test_advice_brings_clients_back_spread_over_time_and_never_in_one_wave() -> None:
+def test_retry_times_of_rejected_clients_are_spread_over_time() -> None:
     controller = AdaptiveOverloadController(5)
     overloaded_at = overload(controller)
     rejected_at = [overloaded_at + n * 2 * MS for n in range(1000)]
-    times = [at + controller.retry_after(at, 500 * MS, 10 * SECOND) for at in rejected_at]
-    seconds = Counter(at // SECOND for at in times)
-    assert len(seconds) >= 8
-    assert max(seconds.values()) <= 3 * len(times) / len(seconds)
+    return_times = [at + controller.retry_after(at, 500 * MS, 10 * SECOND) for at in rejected_at]
+    returns_by_second = Counter(at // SECOND for at in return_times)
+    assert len(returns_by_second) >= 8
+    assert max(returns_by_second.values()) <= 3 * len(return_times) / len(returns_by_second)
 
 
-def test_retries_that_waited_go_before_those_that_did_not_and_none_starves() -> None:
+def test_scheduled_retries_are_admitted_before_early_ones_and_no_kind_starves() -> None:
     controller = AdaptiveOverloadController(6)
     now = overload(controller)
     offered = Counter[str]()
     admitted = Counter[str]()
-    scheduled: list[int] = []
-    admitted_lately: list[int] = []
+    scheduled_returns: list[int] = []
+    recently_admitted_at: list[int] = []
     for n in range(20_000):
         now += SECOND // 400
-        if scheduled and scheduled[0] <= now:
+        if scheduled_returns and scheduled_returns[0] <= now:
             kind = "scheduled"
-            heapq.heappop(scheduled)
+            heapq.heappop(scheduled_returns)
         else:
             kind = "first" if n % 4 == 0 else "early"
         offered[kind] += 1
         if controller.admit(now, RequestReceived(n, 0, SECOND, is_retry=kind != "first"), 1.0):
             admitted[kind] += 1
-            # sixty a second are served well, what is above that is not
-            admitted_lately = [at for at in admitted_lately if at > now - SECOND] + [now]
-            is_good = len(admitted_lately) <= 60
+            # responses are good up to 60 requests per second, and bad above
+            recently_admitted_at = [at for at in recently_admitted_at if at > now - SECOND] + [now]
+            is_good = len(recently_admitted_at) <= 60
             controller.record_response(now, is_good, is_good)
         elif n % 40 == 0:
-            heapq.heappush(scheduled, now + controller.retry_after(now, 500 * MS, 5 * SECOND))
+            heapq.heappush(scheduled_returns, now + controller.retry_after(now, 500 * MS, 5 * SECOND))
     shares = {kind: admitted[kind] / offered[kind] for kind in offered}
     assert shares["first"] > shares["early"] > 0
     assert shares["scheduled"] > shares["early"]
 
 
-def test_a_rejected_request_costs_no_attempt_and_is_asked_to_return() -> None:
+def test_a_rejected_request_makes_no_attempt_and_gets_a_retry_time() -> None:
     controller = AdaptiveOverloadController(1)
     now = overload(controller)
     balancer = Balancer(helpers.settings(), 1, controller)
     balancer.handle(now, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
-    answers = [balancer.handle(now, RequestReceived(n, IDEMPOTENT, 2 * SECOND)) for n in range(50)]
-    rejections = [actions[0] for actions in answers if isinstance(actions[0], RejectRequest)]
+    replies = [balancer.handle(now, RequestReceived(n, IDEMPOTENT, 2 * SECOND)) for n in range(50)]
+    rejections = [actions[0] for actions in replies if isinstance(actions[0], RejectRequest)]
     assert len(rejections) > 40
-    assert all(0 < one.retry_after <= helpers.settings().max_retry_after for one in rejections)
-    assert len({one.retry_after for one in rejections}) > 10
+    assert all(0 < rejection.retry_after <= helpers.settings().max_retry_after for rejection in rejections)
+    assert len({rejection.retry_after for rejection in rejections}) > 10
