--- a/tests/control/test_policy_snapshot.py
+++ b/tests/control/test_policy_snapshot.py
@@ -1,4 +1,4 @@
-"""What the policy has learnt, taken from one process and restored in another."""
+"""Snapshots of the policy's learned state, taken in one process and restored in another."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
     return Driver(seed=9, slow_start_duration=0).balancer
 
 
-def test_a_restored_snapshot_is_complete_and_judges_each_endpoint_the_same() -> None:
+def test_a_restored_snapshot_is_complete_and_gives_the_same_estimates_for_each_endpoint() -> None:
     driver = trained_driver()
-    balancer, other = driver.balancer, fresh_balancer()
+    balancer, restored = driver.balancer, fresh_balancer()
     values = json.loads(json.dumps(snapshot.take(balancer)))
-    assert snapshot.restore(other, values, driver.now, True, True)
+    assert snapshot.restore(restored, values, driver.now, True, True)
     balancer.models.success.start_event()
-    for one, two in zip(balancer.endpoints.values(), other.endpoints.values(), strict=True):
-        assert one.name == two.name
-        assert one.ejections == two.ejections
-        assert one.warmup_sends == two.warmup_sends
-        probability = balancer.models.success.success_probability(driver.now, one, IDEMPOTENT)
-        assert probability == other.models.success.success_probability(driver.now, two, IDEMPOTENT)
-        factor = balancer.models.latency.endpoint_log(driver.now, one)
-        assert factor == pytest.approx(other.models.latency.endpoint_log(driver.now, two))
-    assert other.count_unavailable(driver.now) == balancer.count_unavailable(driver.now)
-    assert json.loads(json.dumps(snapshot.take(other))) == values
+    for original, copy in zip(balancer.endpoints.values(), restored.endpoints.values(), strict=True):
+        assert original.name == copy.name
+        assert original.ejections == copy.ejections
+        assert original.warmup_sends == copy.warmup_sends
+        probability = balancer.models.success.success_probability(driver.now, original, IDEMPOTENT)
+        assert probability == restored.models.success.success_probability(driver.now, copy, IDEMPOTENT)
+        factor = balancer.models.latency.endpoint_log(driver.now, original)
+        assert factor == pytest.approx(restored.models.latency.endpoint_log(driver.now, copy))
+    assert restored.count_unavailable(driver.now) == balancer.count_unavailable(driver.now)
+    assert json.loads(json.dumps(snapshot.take(restored))) == values
 
 
 SNAPSHOT_KEYS = ("calm", "answers", "work", "sizes", "zones", "others", "served", "upstreams", "version")
@@ -60,21 +60,21 @@
 
 
 @given(st.sampled_from(SNAPSHOT_KEYS), st.sampled_from(INVALID_VALUES))
-def test_an_invalid_snapshot_changes_nothing(name: str, bad: Any) -> None:
+def test_an_invalid_snapshot_changes_nothing(key: str, invalid_value: Any) -> None:
     driver = trained_driver()
-    other = fresh_balancer()
-    before = snapshot.take(other)
-    values = {**snapshot.take(driver.balancer), name: bad}
-    if not snapshot.restore(other, values, driver.now, True, True):
-        assert snapshot.take(other) == before
+    balancer = fresh_balancer()
+    before = snapshot.take(balancer)
+    values = {**snapshot.take(driver.balancer), key: invalid_value}
+    if not snapshot.restore(balancer, values, driver.now, True, True):
+        assert snapshot.take(balancer) == before
 
 
-def test_under_other_classes_or_zones_what_goes_by_index_is_left_out() -> None:
+def test_values_by_index_are_skipped_under_other_classes_or_zones() -> None:
     driver = trained_driver()
-    other = fresh_balancer()
-    fresh = snapshot.take(other)
-    assert snapshot.restore(other, snapshot.take(driver.balancer), driver.now, False, False)
-    now = snapshot.take(other)
-    assert now["served"] == fresh["served"]
-    assert now["zones"] == fresh["zones"]
-    assert now["calm"] != fresh["calm"]
+    balancer = fresh_balancer()
+    before = snapshot.take(balancer)
+    assert snapshot.restore(balancer, snapshot.take(driver.balancer), driver.now, False, False)
+    after = snapshot.take(balancer)
+    assert after["served"] == before["served"]
+    assert after["zones"] == before["zones"]
+    assert after["calm"] != before["calm"]
--- a/tests/control/test_policy_snapshot_compatibility.py
+++ b/tests/control/test_policy_snapshot_compatibility.py
@@ -1,9 +1,9 @@
-"""Snapshots of the policy that an earlier release took are taken over, and taken again with the same values.
+"""Snapshots of an earlier release are restored, and a new snapshot then has the same values.
 
-`fixtures/policy_snapshot_e976e78.json` was recorded from the code of commit e976e78: its policy served some
+`fixtures/policy_snapshot_e976e78.json` was recorded with the code of commit e976e78: its policy served about
 700 requests of four classes in 20 s, in two zones, with errors, ejections, a warming endpoint, load reports
-and a limit on retries.  In the first recording the reported load is a queue depth; in the second one listed
-capacities vary with load.
+and a limit on retries.  In the first recording the reported load is a queue depth; in the second one the
+listed capacities vary with load.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 def recorded_settings(capacity_varies_with_load: bool) -> Settings:
-    """Return the settings of the recording."""
+    """Return the settings of a recording."""
     reports: tuple[LoadField, ...] = (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
     if capacity_varies_with_load:
         reports = (LoadField.UTILIZATION, LoadField.IN_FLIGHT, LoadField.REQUEST_RATE)
@@ -69,8 +69,8 @@
     )
 
 
-def started(recording: dict[str, Any]) -> Balancer:
-    """Return a policy that has the list of the recording and has learnt nothing."""
+def start_policy(recording: dict[str, Any]) -> Balancer:
+    """Return a new policy with the endpoint list of the recording and no learned state."""
     balancer = Balancer(recorded_settings(recording["live_capacities"]), seed=1)
     entries = tuple(
         EndpointEntry(
@@ -87,7 +87,7 @@
 
 
 def shape(value: Any) -> Any:
-    """Return the value with its numbers replaced by their types, and lists by the shapes that are in them."""
+    """Return the value with each scalar replaced by the name of its type."""
     if isinstance(value, dict):
         return {key: shape(part) for key, part in value.items()}
     if isinstance(value, list):
@@ -96,9 +96,9 @@
 
 
 @pytest.mark.parametrize("name", sorted(RECORDED))
-def test_a_snapshot_of_an_earlier_release_is_restored_and_taken_again_alike(name: str) -> None:
+def test_a_snapshot_of_an_earlier_release_is_restored_and_taken_again_with_the_same_values(name: str) -> None:
     recording = RECORDED[name]
-    balancer = started(recording)
+    balancer = start_policy(recording)
     values = recording["snapshot"]
     assert policy_snapshot.restore(balancer, values, recording["now"], True, True)
     taken = json.loads(json.dumps(policy_snapshot.take(balancer)))
@@ -109,20 +109,23 @@
 @pytest.mark.parametrize("name", sorted(RECORDED))
 def test_a_new_policy_takes_a_snapshot_with_the_keys_and_types_of_an_earlier_release(name: str) -> None:
     recording = RECORDED[name]
-    values, fresh = recording["snapshot"], json.loads(json.dumps(policy_snapshot.take(started(recording))))
+    values, fresh = (
+        recording["snapshot"],
+        json.loads(json.dumps(policy_snapshot.take(start_policy(recording)))),
+    )
     assert fresh.keys() == values.keys()
     assert [type(fresh[key]) for key in values] == [type(values[key]) for key in values]
-    for endpoint, of_endpoint in values["upstreams"].items():
-        assert fresh["upstreams"][endpoint].keys() == of_endpoint.keys()
+    for endpoint, endpoint_values in values["upstreams"].items():
+        assert fresh["upstreams"][endpoint].keys() == endpoint_values.keys()
 
 
 @pytest.mark.parametrize("name", sorted(RECORDED))
-def test_each_value_of_an_earlier_release_is_needed_and_checked(name: str) -> None:
+def test_each_value_of_an_earlier_release_is_required_and_validated(name: str) -> None:
     recording = RECORDED[name]
     for key in recording["snapshot"]:
-        for bad in (None, "x", float("nan")):
-            balancer = started(recording)
+        for invalid in (None, "x", float("nan")):
+            balancer = start_policy(recording)
             before = json.loads(json.dumps(policy_snapshot.take(balancer)))
-            values = {**recording["snapshot"], key: bad}
-            assert not policy_snapshot.restore(balancer, values, recording["now"], True, True), (key, bad)
+            values = {**recording["snapshot"], key: invalid}
+            assert not policy_snapshot.restore(balancer, values, recording["now"], True, True), (key, invalid)
             assert json.loads(json.dumps(policy_snapshot.take(balancer))) == before
--- a/tests/control/test_settings_switch.py
+++ b/tests/control/test_settings_switch.py
@@ -1,4 +1,4 @@
-"""Other settings in a running instance: which policy instance decides about what."""
+"""Switching the settings of a running instance: which policy instance handles which event."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class FixedPolicy:
-    """A policy that is no `Balancer`, as a bench may give."""
+    """A policy that is not a `Balancer`, such as one that a benchmark uses."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
         return [RejectRequest(event.request_id, now)] if isinstance(event, RequestReceived) else []
@@ -41,20 +41,20 @@
     return switch
 
 
-def test_what_is_open_ends_under_the_settings_it_was_received_with() -> None:
+def test_an_open_request_ends_under_the_settings_it_was_received_with() -> None:
     switch = started_switch()
-    before = switch.policy
+    predecessor = switch.policy
     (endpoint,) = sends(switch.handle(NOW, RequestReceived(1, IDEMPOTENT, 2 * SECOND)))
     assert switch.switch(settings(max_attempts=1)) == 1
-    assert switch.draining_policies == [before]
+    assert switch.draining_policies == [predecessor]
     failed = AttemptEnded(1, 0, endpoint, Outcome.CONNECT_FAILED, MS)
     (retried,) = sends(switch.handle(NOW + MS, failed))
-    assert switch.draining_policies == [before], "an older instance allows a retry"
+    assert switch.draining_policies == [predecessor], "the older settings allow a retry"
     switch.handle(NOW + 2 * MS, AttemptEnded(1, 1, retried, Outcome.SUCCESS, MS, request_completed=True))
     assert not switch.draining_policies
 
 
-def test_what_is_received_after_a_switch_is_decided_by_the_newest_instance() -> None:
+def test_a_request_received_after_a_switch_is_handled_by_the_newest_instance() -> None:
     switch = started_switch()
     switch.handle(NOW, RequestReceived(1, IDEMPOTENT, 2 * SECOND))
     switch.switch(settings(max_attempts=1))
@@ -69,7 +69,7 @@
     assert not switch.draining_policies
 
 
-def test_a_policy_that_is_no_balancer_is_used_as_it_is() -> None:
+def test_a_policy_that_is_not_a_balancer_is_used_without_switching_or_handover() -> None:
     switch = SettingsSwitch(FixedPolicy())
     assert not switch.is_supported
     assert switch.handle(NOW, RequestReceived(1, IDEMPOTENT, SECOND)) == [RejectRequest(1, NOW)]
@@ -79,7 +79,7 @@
 
 
 class RecordingBalancer(Balancer):
-    """A policy that keeps the events that reach it; its successors are ordinary ones."""
+    """A policy that records the events it handles; its successors are ordinary policies."""
 
     def __init__(self) -> None:
         super().__init__(settings(), seed=1)
@@ -90,7 +90,7 @@
         return super().handle(now, event)
 
 
-#: Of each kind of event one, about request 1 where it is about a request, and who decides about it.
+#: One event of each kind, and whether it goes to the policy instance that holds request 1.
 ROUTES: list[tuple[Event, bool]] = [
     (RequestReceived(2, IDEMPOTENT, SECOND), False),
     (RequestBodySent(1, 0), True),
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize(("event", "goes_to_holder"), ROUTES, ids=str)
 def test_each_event_reaches_the_instance_that_holds_its_request(event: Event, goes_to_holder: bool) -> None:
-    """Guards against an event that moves a request's times in an instance that does not know it."""
+    """An event must not change the timing of a request in an instance that does not hold it."""
     switch = SettingsSwitch(holder := RecordingBalancer())
     switch.handle(NOW, EndpointListUpdate(ListForm.CACHED, listed_entries()))
     switch.handle(NOW, RequestReceived(1, IDEMPOTENT, 2 * SECOND, is_replayable=False))
@@ -117,5 +117,5 @@
     assert holder.handled == ([event] if goes_to_holder else [])
 
 
-def test_no_kind_of_event_is_left_without_a_route() -> None:
+def test_every_kind_of_event_has_a_route() -> None:
     assert {type(event) for event, _ in ROUTES} == set(get_args(Event))
