--- a/tests/simhost/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: each message, a hand-written conversation, bad input, the adapter as a process."""
+"""The simulator's wire protocol: single messages, a session, invalid input, and the adapter as a process."""
 
 import io
 import os
@@ -39,7 +39,7 @@
 from linetrack.simhost.settings import parse_settings
 from tests.support.paths import ROOT
 
-BOOT = (
+SETTINGS = (
     "allowed.mayCancel=true allowed.maxAttempts=3 allowed.parallelTries=true allowed.retryAfter=true "
     "allowed.maxRetryAfterUs=1000000 azs=north,south balancers=1 classes.count=2 classes.0.aimUs=300000 "
     "classes.0.deadlineUs=900000 classes.0.repeat=free classes.0.worth=2.0 classes.1.aimUs=300000 "
@@ -49,10 +49,10 @@
 
 
 def enlist(number: int = 0, seed: int = 7) -> str:
-    return f"ENLIST i=sidecar/{number} entropy={seed} {BOOT}"
+    return f"ENLIST i=sidecar/{number} entropy={seed} {SETTINGS}"
 
 
-CONVERSATION = [
+SESSION = [
     "TICK clockUs=0",
     "YOUR_TURN",
     "TICK clockUs=5000000",
@@ -73,14 +73,14 @@
 ]
 
 
-def talk(lines: list[str]) -> tuple[int, str]:
-    out = io.StringIO()
-    status = Host(io.StringIO("\n".join(lines) + "\n" if lines else ""), out).run()
-    return status, out.getvalue()
+def run_host(lines: list[str]) -> tuple[int, str]:
+    output = io.StringIO()
+    status = Host(io.StringIO("\n".join(lines) + "\n" if lines else ""), output).run()
+    return status, output.getvalue()
 
 
-def test_hand_written_conversation() -> None:
-    status, reply = talk(CONVERSATION)
+def test_a_session_gets_the_expected_replies() -> None:
+    status, reply = run_host(SESSION)
     assert status == 0
     assert reply.split("END\n") == [
         "",
@@ -92,10 +92,10 @@
     ]
 
 
-def test_exit_and_enlist_in_one_batch_start_afresh() -> None:
-    status, reply = talk(
+def test_exit_and_enlist_in_one_batch_replace_the_instance() -> None:
+    status, reply = run_host(
         [
-            *CONVERSATION[:10],
+            *SESSION[:10],
             "TICK clockUs=6000000",
             "EXIT i=sidecar/0",
             enlist(seed=8),
@@ -113,13 +113,13 @@
     )
 
 
-def test_list_slot_used_again_within_a_batch() -> None:
+def test_a_list_slot_can_be_reused_within_a_batch() -> None:
     lines = ["TICK clockUs=1", enlist(0), enlist(1)]
     for number in (0, 1):
         lines += ["INVENTORY slot=3 lines=1", f"M upstream=only:{number}"]
         lines += [f"MEMBERSHIP i=sidecar/{number} index=1 form=all slot=3"]
     lines += [f"REQ i=sidecar/{n} ref={n} kind=0 patienceLeftUs=900000" for n in (0, 1)]
-    _, reply = talk([*lines, "YOUR_TURN"])
+    _, reply = run_host([*lines, "YOUR_TURN"])
     assert "ref=0 upstream=only:0" in reply
     assert "ref=1 upstream=only:1" in reply
 
@@ -139,10 +139,10 @@
         (["TICK clockUs=1", enlist(), "MEMBERSHIP i=sidecar/0 form=odd", "YOUR_TURN"], "form='odd'"),
     ],
 )
-def test_unreadable_input_says_what_and_where(
+def test_invalid_input_is_reported_with_its_line_and_reason(
     lines: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    status, _ = talk(lines)
+    status, _ = run_host(lines)
     error = capsys.readouterr().err
     assert status == EXIT_INVALID_INPUT
     assert message in error
@@ -150,14 +150,14 @@
     assert "Traceback" not in error
 
 
-def test_exception_in_the_policy_is_reported_on_the_wire(
+def test_an_exception_in_the_policy_is_reported_on_the_wire(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    def broken(*_: object) -> None:
+    def raise_index_error(*_: object) -> None:
         raise IndexError("out of range")
 
-    monkeypatch.setattr("linetrack.policy.balancer.Balancer.handle", broken)
-    _, reply = talk(CONVERSATION[:10])
+    monkeypatch.setattr("linetrack.policy.balancer.Balancer.handle", raise_index_error)
+    _, reply = run_host(SESSION[:10])
     assert "GIVE_IN i=sidecar/0 what=IndexError: out of range\n" in reply
     assert "Traceback" in capsys.readouterr().err
 
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("action", "line"), ACTIONS)
-def test_every_action_has_its_line(action: Action, line: str) -> None:
+def test_every_action_is_formatted(action: Action, line: str) -> None:
     assert wire.format_action("s", action) == line
 
 
@@ -202,14 +202,14 @@
 
 
 @pytest.mark.parametrize(("line", "event"), EVENTS)
-def test_every_event_is_read(line: str, event: Event) -> None:
+def test_every_event_is_parsed(line: str, event: Event) -> None:
     name, fields = split_line(line)
     assert wire.EVENT_PARSERS[name](fields) == event
 
 
-@pytest.mark.parametrize(("word", "outcome"), wire.OUTCOME_BY_NAME.items())
-def test_every_outcome_is_read(word: str, outcome: Outcome) -> None:
-    _, fields = split_line(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={word}")
+@pytest.mark.parametrize(("name", "outcome"), wire.OUTCOME_BY_NAME.items())
+def test_every_outcome_is_parsed(name: str, outcome: Outcome) -> None:
+    _, fields = split_line(f"FINISHED ref=1 trial=0 upstream=u:1 rttUs=1 how={name}")
     ended = wire.EVENT_PARSERS["FINISHED"](fields)
     assert isinstance(ended, AttemptEnded)
     assert ended.outcome is outcome
@@ -219,7 +219,7 @@
     ("line", "field"),
     [("MEMO originPeer=1 body=%%%", "body"), ("FINISHED ref=1 trial=0 upstream=u how=odd", "how")],
 )
-def test_invalid_fields_are_errors(line: str, field: str) -> None:
+def test_an_invalid_field_is_rejected_with_its_name(line: str, field: str) -> None:
     name, fields = split_line(line)
     with pytest.raises(InvalidFieldError) as raised:
         wire.EVENT_PARSERS[name](fields)
@@ -227,29 +227,32 @@
 
 
 def test_settings_are_read_and_unknown_ones_ignored() -> None:
-    _, pairs = split_line("X " + BOOT)
+    _, pairs = split_line("X " + SETTINGS)
     settings = parse_settings(pairs)
     assert settings.must_subscribe
     assert settings.may_run_parallel_attempts
     assert settings.zone_count == 2
     assert settings.load_report_fields == (LoadField.QUEUE_DEPTH, LoadField.REQUEST_RATE)
-    assert [c.idempotency for c in settings.classes] == [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT]
+    assert [request_class.idempotency for request_class in settings.classes] == [
+        Idempotency.IDEMPOTENT,
+        Idempotency.NON_IDEMPOTENT,
+    ]
 
 
-def run_process(text: str, seed: str) -> subprocess.CompletedProcess[str]:
+def run_process(text: str, hash_seed: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "linetrack.simhost"],
         input=text,
         capture_output=True,
         text=True,
         cwd=ROOT,
-        env={**os.environ, "PYTHONHASHSEED": seed},
+        env={**os.environ, "PYTHONHASHSEED": hash_seed},
         timeout=60,
         check=False,
     )
 
 
-def busy_script(instances: list[int]) -> str:
+def requests_script(instances: list[int]) -> str:
     lines = ["TICK clockUs=1000000"]
     for n in instances:
         lines += [enlist(n, 100 + n), "INVENTORY slot=1 lines=6"]
@@ -260,18 +263,18 @@
     return "\n".join([*lines, "YOUR_TURN"]) + "\n"
 
 
-def test_process_is_the_same_under_any_hash_seed_and_spread() -> None:
-    together = run_process(busy_script([0, 1]), "1")
+def test_replies_are_independent_of_the_hash_seed_and_of_other_instances() -> None:
+    together = run_process(requests_script([0, 1]), "1")
     assert together.returncode == 0
-    assert together.stdout == run_process(busy_script([0, 1]), "2").stdout
-    alone = [run_process(busy_script([n]), "3").stdout.splitlines() for n in (0, 1)]
+    assert together.stdout == run_process(requests_script([0, 1]), "2").stdout
+    alone = [run_process(requests_script([n]), "3").stdout.splitlines() for n in (0, 1)]
     for n in (0, 1):
-        mine = [line for line in together.stdout.splitlines() if f"i=sidecar/{n} " in line]
-        assert mine == alone[n][:-1]
+        replies = [line for line in together.stdout.splitlines() if f"i=sidecar/{n} " in line]
+        assert replies == alone[n][:-1]
 
 
-def test_end_of_input_between_batches_is_a_clean_exit() -> None:
+def test_only_the_end_of_input_between_batches_is_a_clean_exit() -> None:
     assert run_process("", "0").returncode == 0
-    broken = run_process("TICK clockUs=1\n", "0")
-    assert broken.returncode != 0
-    assert "inside a batch" in broken.stderr
+    incomplete = run_process("TICK clockUs=1\n", "0")
+    assert incomplete.returncode != 0
+    assert "inside a batch" in incomplete.stderr
