--- a/linetrack/__main__.py
+++ b/linetrack/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m linetrack`: runs the sidecar, configured by EDGE_*, or with arguments the command line."""
+"""`python -m linetrack`: the sidecar, configured by EDGE_*; with arguments, the command line."""
 
 import os
 import sys
--- a/linetrack/control/idle_time_model.py
+++ b/linetrack/control/idle_time_model.py
@@ -39,10 +39,10 @@
 class IdleTimeModel:
     """Reuse rates by group of connections and bucket of idle time.
 
-    The host numbers the groups.  The prior of a group's rates are the rates of its parent, a group with a
-    smaller number or None.  The time in a bucket counts whether the idle time ended in a reuse or was cut
-    short, so closing connections early does not bias the rates (the usual estimate of a hazard from censored
-    lifetimes).
+    The host numbers the groups.  The parent of a group is a group with a smaller number, or None; its rates
+    are the prior of the group's own rates.  The time in a bucket counts whether the idle time ended in a
+    reuse or was cut short, so closing connections early does not bias the rates (the usual estimate of a
+    hazard from censored lifetimes).
     """
 
     def __init__(self, parents: tuple[int | None, ...]) -> None:
--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -87,7 +87,7 @@
 
     FIRST_ATTEMPT = 0
     SCHEDULED_RETRY = 1  # arrived at or after the time at which its client was asked to return
-    EARLY_RETRY = 2  # arrived earlier
+    EARLY_RETRY = 2  # any other retry
 
 
 class GroupKey(NamedTuple):
@@ -178,7 +178,7 @@
         return admitted
 
     def allow_retry(self, now: int) -> bool:
-        """Charge one attempt to the retry budget, which client retries share; return whether it allows it."""
+        """Return whether the retry budget, which client retries draw on too, allows another attempt."""
         self._update(now)
         if self.retry_tokens < 1:
             return False
