--- a/tests/control/simulated_service.py
+++ b/tests/control/simulated_service.py
@@ -11,9 +11,8 @@
 from linetrack.policy.events import RequestReceived
 from tests.support.units import MS, SECOND
 
-MIN_RETRY_DELAY = (
-    100 * MS
-)  # one round trip, also for a client that retries immediately; bounds each simulation
+#: One round trip, which a client needs even if it retries immediately; bounds the events of a simulation.
+MIN_RETRY_DELAY = 100 * MS
 START = 1000 * SECOND
 LATENCY_OBJECTIVE = 500 * MS
 
@@ -26,8 +25,8 @@
 class SimulatedService:
     """A service of `capacity` requests per second with a FIFO queue of one second.
 
-    Clients retry after a rejection or failure.  The share `obedient_share` of them waits as long as the
-    controller asks; the others retry immediately.
+    Clients send `rate` first attempts per second and retry after a rejection or failure.  The share
+    `obedient_share` of them waits as long as the controller asks; the others retry immediately.
     """
 
     def __init__(
