--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -54,7 +54,7 @@
 )
 from linetrack.server.timer_queue import TimerQueue
 
-MakePolicy = Callable[[Settings, int], Policy]
+PolicyFactory = Callable[[Settings, int], Policy]
 
 
 def _ignore_endpoint(endpoint: str) -> None:
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -27,7 +27,7 @@
 from linetrack.server.clock import clock
 from linetrack.server.config import Config, ConfigError, read_config
 from linetrack.server.discovery_client import DiscoveryClient
-from linetrack.server.dispatcher import Dispatcher, MakePolicy
+from linetrack.server.dispatcher import Dispatcher, PolicyFactory
 from linetrack.server.greenlets import spawn_essential
 from linetrack.server.hot_restart import HotRestart
 from linetrack.server.listener import Listener
@@ -65,7 +65,7 @@
 class Sidecar:
     """The program's parts, wired together, and the order in which they start and end."""
 
-    def __init__(self, read: Callable[[], Config], make_policy: MakePolicy = Balancer) -> None:
+    def __init__(self, read: Callable[[], Config], make_policy: PolicyFactory = Balancer) -> None:
         """Make one that is not running yet.
 
         Args:
@@ -247,7 +247,7 @@
     return serve(partial(read_config, environ))
 
 
-def serve(read: Callable[[], Config], make_policy: MakePolicy = Balancer) -> int:
+def serve(read: Callable[[], Config], make_policy: PolicyFactory = Balancer) -> int:
     """Run one sidecar in the foreground until SIGTERM; return the exit status."""
     configure_logging()
     try:
@@ -263,7 +263,7 @@
         return EXIT_CANNOT_LISTEN
 
 
-def with_overload_control(make_policy: MakePolicy) -> MakePolicy:
+def with_overload_control(make_policy: PolicyFactory) -> PolicyFactory:
     """Return what makes the same policy with overload control; a policy that is not ours stays as it is."""
     if make_policy is not Balancer:
         return make_policy
