--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -85,7 +85,7 @@
             if self._listen_alone(successor):
                 return config.initial_endpoints
         self._successor = successor
-        self._listener.listener = socket.socket(fileno=granted.descriptor)
+        self._listener.listening_socket = socket.socket(fileno=granted.descriptor)
         return self._granted_endpoints(granted.grant)
 
     @property
@@ -146,13 +146,13 @@
 
     def _grant_listener(self) -> GrantedListener:
         """Return what a successor is granted: the listening socket and the endpoint list."""
-        assert self._listener.listener is not None
+        assert self._listener.listening_socket is not None
         grant = Grant(
             identity=self._identity(),
             endpoint_list=encode_snapshot(self._discovery.version or 0, self._upstreams.records()),
             discovery_address=list(self._discovery.address),
         )
-        return GrantedListener(self._listener.listener.fileno(), grant)
+        return GrantedListener(self._listener.listening_socket.fileno(), grant)
 
     def _granted_endpoints(self, grant: Grant) -> EndpointRecords:
         """Return the predecessor's endpoint list, or the configuration's where that one is of no use.
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -64,37 +64,37 @@
         self.unread_connections: dict[ClientConnection, PendingRequest] = {}
         self.migrate: Callable[[int, int], bool] | None = None
         self.is_closing = False
-        self.listener: socket.socket | None = None
+        self.listening_socket: socket.socket | None = None
         self.run_soon: Callable[[Callable[[], None]], object] = gevent.get_hub().loop.run_callback
         budget.descriptors.evict_client = self._evict
 
     # --- Accepting ---------------------------------------------------------------------------------------
     def listen(self, address: tuple[str, int], reuse_port: bool = False) -> None:
         """Open the listening socket; with `reuse_port` another process can listen on the same address."""
-        self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if reuse_port:
             with contextlib.suppress(OSError):
-                self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self.listener.bind(address)
-        self.listener.listen(LISTEN_BACKLOG)
+                self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        self.listening_socket.bind(address)
+        self.listening_socket.listen(LISTEN_BACKLOG)
 
     def accept(self) -> None:
         """Accept connections, for ever; beyond the budget they wait in the backlog."""
-        assert self.listener is not None
+        assert self.listening_socket is not None
         while True:
             # Connections are evicted only once another one waits.
-            socket.wait_read(self.listener.fileno())
-            self._accept_batch(self.listener)
+            socket.wait_read(self.listening_socket.fileno())
+            self._accept_batch(self.listening_socket)
 
-    def _accept_batch(self, listener: socket.socket) -> None:
+    def _accept_batch(self, listening_socket: socket.socket) -> None:
         """Accept several connections in one turn of the event loop.
 
         A turn is long when there is much to do, and clients that wait a turn each would give up and come
         again.
         """
         for _ in range(ACCEPT_BATCH_SIZE):
-            if not is_readable(listener):
+            if not is_readable(listening_socket):
                 return
             while not self.budget.descriptors.try_acquire_client():
                 gevent.sleep(0 if self._evict() else ACCEPT_RETRY_SECONDS)
@@ -108,9 +108,9 @@
 
     def _accept_one(self) -> None:
         """Accept one connection, whose descriptor was acquired; it is released where that fails."""
-        assert self.listener is not None
+        assert self.listening_socket is not None
         try:
-            sock, _ = self.listener.accept()
+            sock, _ = self.listening_socket.accept()
         except BaseException:
             self.budget.descriptors.release_client()
             raise
@@ -199,9 +199,9 @@
         A request in the backlog must not be lost because other connections have all the slots: until the
         process ends there is time to evict one of them.
         """
-        assert self.listener is not None
-        self.listener.setblocking(False)
-        while is_readable(self.listener) and clock() < self.dispatcher.shutdown_deadline:
+        assert self.listening_socket is not None
+        self.listening_socket.setblocking(False)
+        while is_readable(self.listening_socket) and clock() < self.dispatcher.shutdown_deadline:
             if not self.budget.descriptors.try_acquire_client():
                 gevent.sleep(0 if self._evict() else ACCEPT_RETRY_SECONDS)
                 continue
@@ -210,7 +210,7 @@
             except OSError as error:
                 log.error("accept_failed", fault=str(error))
                 gevent.sleep(ACCEPT_RETRY_SECONDS)
-        self.listener.close()
+        self.listening_socket.close()
 
     def close_between_requests(self) -> None:
         """From now on close each connection as soon as no request is on it."""
--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -92,8 +92,8 @@
 
     def connect(self) -> Any:
         """A client's socket."""
-        assert self.listener.listener is not None
-        sock = gevent.socket.create_connection(self.listener.listener.getsockname())
+        assert self.listener.listening_socket is not None
+        sock = gevent.socket.create_connection(self.listener.listening_socket.getsockname())
         sock.settimeout(TIMEOUT_SECONDS)
         return sock
 
--- a/tests/server/listener_client.py
+++ b/tests/server/listener_client.py
@@ -32,8 +32,8 @@
 
 def connect(listener: Listener) -> Any:
     """A client's socket."""
-    assert listener.listener is not None
-    sock = gevent.socket.create_connection(listener.listener.getsockname())
+    assert listener.listening_socket is not None
+    sock = gevent.socket.create_connection(listener.listening_socket.getsockname())
     sock.settimeout(TIMEOUT_SECONDS)
     return sock
 
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -50,8 +50,8 @@
     sidecar.budget.descriptors.max_clients = 2
     silent_clients = [sidecar.connect(), sidecar.connect()]
     run_until(lambda: len(sidecar.listener.connections) == 2)
-    assert sidecar.listener.listener is not None
-    address = sidecar.listener.listener.getsockname()
+    assert sidecar.listener.listening_socket is not None
+    address = sidecar.listener.listening_socket.getsockname()
     waiting = sidecar.connect()
     sidecar.policy.forward_all()
     waiting.sendall(class_request(expires="20.0"))
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -119,8 +119,8 @@
     descriptors = sidecar.budget.descriptors
     try:
         silent_clients = [sidecar.connect() for _ in range(30)]
-        assert sidecar.listener.listener is not None
-        run_until(lambda: descriptors.in_use >= 4 and is_readable(sidecar.listener.listener))
+        assert sidecar.listener.listening_socket is not None
+        run_until(lambda: descriptors.in_use >= 4 and is_readable(sidecar.listener.listening_socket))
         sock = sidecar.connect()
         sidecar.policy.forward_all()
         sock.sendall(class_request(expires="20.0"))
--- a/tests/server/test_interrupted_handover.py
+++ b/tests/server/test_interrupted_handover.py
@@ -70,13 +70,13 @@
     values["settings"]["rules"] = {"extraWindowUs": RETRY_WINDOW, "freeResends": 1}
     sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.listener.listen(("127.0.0.1", 0))
-    assert sidecar.listener.listener is not None
+    assert sidecar.listener.listening_socket is not None
     hot_restart = sidecar.hot_restart
     hot_restart._predecessor = Predecessor(
         tmp_path / "s", hot_restart._identity, hot_restart._grant_listener, hot_restart.execute
     )
     hot_restart.start_accepting()
-    with gevent.Timeout(20), gevent.socket.create_connection(sidecar.listener.listener.getsockname()):
+    with gevent.Timeout(20), gevent.socket.create_connection(sidecar.listener.listening_socket.getsockname()):
         while not sidecar.listener.connections:
             gevent.sleep(0)
         yield sidecar
--- a/tests/server/test_listener.py
+++ b/tests/server/test_listener.py
@@ -67,8 +67,8 @@
 def test_all_waiting_connections_are_accepted_in_one_turn(listener: Listener) -> None:
     # connections in the backlog must not wait for a turn of a busy event loop each
     gevent.sleep(0.01)
-    assert listener.listener is not None
-    waiting = [socket.create_connection(listener.listener.getsockname()) for _ in range(40)]
+    assert listener.listening_socket is not None
+    waiting = [socket.create_connection(listener.listening_socket.getsockname()) for _ in range(40)]
     gevent.sleep(0.001)
     accepted = len(listener.connections)
     for sock in waiting:
