--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -179,7 +179,7 @@
         attempt = self.attempt
         remaining = attempt.deadline - clock()
         request = attempt.request.client_request
-        connection.reader.is_head_only = request.method == "HEAD"
+        connection.reader.is_response_to_head = request.method == "HEAD"
         timeout = min(remaining, attempt.request.timeout)
         connection.write(encode_request(request, connection.address, timeout))
         if request.body_chunks or request.body_stream is not None:
--- a/linetrack/server/http1/__init__.py
+++ b/linetrack/server/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1: requests and responses read from bytes and written as bytes, without I/O."""
+"""HTTP/1.1 without I/O: parses requests and responses from bytes and encodes them to bytes."""
--- a/linetrack/server/http1/encoding.py
+++ b/linetrack/server/http1/encoding.py
@@ -1,4 +1,4 @@
-"""What requests and responses share when they are written: heads and chunks."""
+"""Encoding shared by requests and responses: message heads and body chunks."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def encode_head(start_line: str, headers: list[tuple[HeaderName, str]], body: bytes = b"") -> bytes:
-    """Return a message's start line and headers with `body` behind them.
+    """Return a message's start line and headers, followed by `body`.
 
-    A header without a value is left out.
+    Headers with an empty value are omitted.
     """
     lines = "".join([f"{name.canonical}: {value}\r\n" for name, value in headers if value])
     return f"{start_line}\r\n{lines}\r\n".encode("latin-1") + body
--- a/linetrack/server/http1/errors.py
+++ b/linetrack/server/http1/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with bytes that were to be an HTTP message."""
+"""The error for bytes that are not a valid HTTP message."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 
 
 class MalformedMessageError(LinetrackError):
-    """Bytes that are no message of the protocol, or one beyond its limits.
+    """Raised for bytes that are not a valid HTTP message, or for a message that exceeds a size limit.
 
-    `reason` is for the log, `status` is what a client that sent them is answered with.
+    Attributes:
+        reason: What is wrong, for the log.
+        status: The status code to respond with if a client sent the bytes.
     """
 
     def __init__(self, reason: str, status: int = BAD_REQUEST) -> None:
--- a/linetrack/server/http1/headers.py
+++ b/linetrack/server/http1/headers.py
@@ -1,4 +1,4 @@
-"""The header fields of the protocol: their names on the wire and the syntax of their values."""
+"""Header fields: their names on the wire, and parsing and formatting of their values."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HeaderName:
-    """One header's name, as it is written and as it is looked up."""
+    """The name of a header field: `canonical` as it is written, `key` as it is looked up."""
 
     __slots__ = ("canonical", "key")
 
@@ -27,9 +27,9 @@
 # The request's identifier.
 TRACE_ID = HeaderName("X-Trace-Id")
 IDEMPOTENCY_KEY = HeaderName("Idempotency-Key")
-# The time in which the client still wants the response, in seconds.
+# The request's timeout in seconds: after it the client no longer waits for the response.
 EXPIRES_IN = HeaderName("X-Expires-In")
-# "1" on a request that the client itself repeats.
+# "1" on a request that is a retry by the client itself.
 CLIENT_RETRY = HeaderName("X-Second-Try")
 # Properties of the request, `name=value,name=value`.
 PROPERTIES = HeaderName("X-Props")
@@ -37,22 +37,22 @@
 UNPROCESSED = HeaderName("X-Never-Ran")
 LOAD_REPORT = HeaderName("Endpoint-Load-Metrics")
 
-# The value of a header that is a flag and set.
+# The value of a flag header that is set.
 FLAG_SET = "1"
 EXPECT_CONTINUE = "100-continue"
 LOAD_REPORT_TEXT_FORMAT = "TEXT"
 
 
 def parse_properties(text: str) -> dict[str, str]:
-    """Parse `name=value,name=value`; a part of another form is skipped."""
+    """Parse `name=value,name=value`; parts without an equals sign are skipped."""
     pairs = (part.partition("=") for part in text.split(","))
-    return {name.strip(): value.strip() for name, sign, value in pairs if sign}
+    return {name.strip(): value.strip() for name, separator, value in pairs if separator}
 
 
 def parse_timeout(text: str) -> int | None:
-    """Return the value of `X-Expires-In` in microseconds; None where it is not a finite number."""
+    """Return the value of `X-Expires-In` in microseconds, or None if it is not a finite number."""
     if "_" in text:
-        # Python takes an underscore between digits; the protocol does not.
+        # `float` accepts underscores between digits, the protocol does not.
         return None
     try:
         seconds = float(text)
@@ -64,8 +64,8 @@
 def parse_load_report(text: str, fields: tuple[str, ...]) -> tuple[float, ...]:
     """Return a load report's values in the order of `fields`.
 
-    A value that is missing or not a number is NaN.  The result is empty where no value is a number, or the
-    report is in another format.
+    A value that is missing or not a number is returned as NaN.  The result is empty if no value is a number
+    or if the report is not in the `TEXT` format.
     """
     report_format, _, pairs = text.partition(" ")
     if report_format.upper() != LOAD_REPORT_TEXT_FORMAT:
@@ -83,9 +83,9 @@
 
 
 def format_seconds(microseconds: int) -> str:
-    """Return a time in seconds, without a fraction where there is none.
+    """Format a duration in seconds, without a decimal point if it is a whole number of seconds.
 
-    Most clients read a `Retry-After` of whole seconds only (RFC 9110, 10.2.3).
+    Most clients accept only whole seconds in `Retry-After` (RFC 9110, 10.2.3).
     """
     if microseconds % MICROSECONDS_PER_SECOND == 0:
         return str(microseconds // MICROSECONDS_PER_SECOND)
--- a/linetrack/server/http1/limits.py
+++ b/linetrack/server/http1/limits.py
@@ -1,10 +1,10 @@
 """The size limits of messages, in bytes."""
 
-# A body up to this size is buffered until it is complete; a longer one is kept or passed on in chunks.
+# A body up to this size is buffered until it is complete; a longer one is stored or forwarded in chunks.
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
-# Of a request, or of an upstream's response.
+# The maximum body size of a request or of an upstream's response.
 MAX_BODY_BYTES = 32 * 1024 * 1024
-# Chunks of a body below this size are appended to the chunk before them.
+# Chunks of a body that are smaller than this are appended to the previous chunk.
 MIN_SEPARATE_CHUNK_BYTES = 4 * 1024
-# Of a start line's target, and of all header names and values together.
+# The maximum size of a request target, and of all header names and values of a message together.
 MAX_HEAD_BYTES = 16 * 1024
--- a/linetrack/server/http1/requests.py
+++ b/linetrack/server/http1/requests.py
@@ -1,4 +1,4 @@
-"""Requests: read from a client's bytes, and written as they are forwarded to an upstream."""
+"""Requests: parsing the bytes of a client, and encoding requests that are forwarded to an upstream."""
 
 from __future__ import annotations
 
@@ -30,47 +30,47 @@
 from linetrack.server.http1.message_reader import MessageReader
 from linetrack.server.http1.statuses import REQUEST_HEADER_FIELDS_TOO_LARGE
 
-# A client asks here whether the sidecar serves; it is answered by the sidecar itself.
+# The path of the readiness check, which the sidecar answers itself.
 READINESS_PATH = "/_health"
 METHODS_WITHOUT_BODY = ("GET", "HEAD", "DELETE", "OPTIONS")
 HTTP_1_0 = "1.0"
 
 
 class BodyStream(Protocol):
-    """A body that is forwarded as it comes."""
+    """A request body that is forwarded as it arrives."""
 
-    content_length: int | None  # in bytes, where the head says it
+    content_length: int | None  # in bytes; None if the head does not declare it
 
     def read_chunks(self) -> list[bytes | bytearray]:
-        """Wait for the next chunks; empty once the body is complete.
+        """Wait for the next chunks and return them; returns an empty list once the body is complete.
 
         Raises:
             OSError: The client's connection failed.
-            MalformedMessageError: The body is not as its head says.
+            MalformedMessageError: The body does not match its declared framing.
         """
         ...
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request from the application, as its bytes say."""
+    """One request from the application, as parsed from its bytes."""
 
     method: str
     target: str
     trace_id: str = ""
     idempotency_key: str = ""
     content_type: str = ""
-    expires_in: str = ""  # as the header says; `parse_timeout` reads it
+    expires_in: str = ""  # the header's text, for `parse_timeout`
     is_client_retry: bool = False
     properties: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
     keep_alive: bool = True
-    is_http10: bool = False  # HTTP/1.0 has no chunks
-    expects_continue: bool = False  # the client waits for a 100 before it sends the body
-    body_chunks: Sequence[bytes | bytearray] = ()  # a long body, which is not in `body`
-    body_stream: BodyStream | None = None  # a body that is forwarded as it comes; `body_chunks` has its end
-    is_complete: bool = False  # it was read to its end
-    class_name: str = ""  # of its request class, once that was looked up
+    is_http10: bool = False  # HTTP/1.0 has no chunked transfer coding
+    expects_continue: bool = False  # the client waits for a 100 response before it sends the body
+    body_chunks: Sequence[bytes | bytearray] = ()  # the whole of a long body, or the end of a streamed one
+    body_stream: BodyStream | None = None  # a body that is forwarded as it arrives
+    is_complete: bool = False  # whether the whole request has been read
+    class_name: str = ""  # the name of its request class; empty until the request is validated
 
     @property
     def path(self) -> str:
@@ -78,37 +78,37 @@
         return self.target.partition("?")[0]
 
     def path_segments(self) -> list[str]:
-        """Return the segments of the path that are not empty."""
+        """Return the non-empty segments of the path."""
         return [segment for segment in self.path.split("/") if segment]
 
 
 class RequestReader(MessageReader):
-    """Reads requests from the bytes of one client connection."""
+    """Parses requests from the bytes of one client connection."""
 
     def __init__(self) -> None:
         super().__init__(MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
         self.parser = httptools.HttpRequestParser(self)
         self.target = b""
-        self.request = ClientRequest("", "")  # the current one, once its head is complete
+        self.request = ClientRequest("", "")  # the latest request whose head is complete
         self.completed_requests: list[ClientRequest] = []
-        self.has_partial_request = False  # one has begun and is not complete
-        # What is wrong with the bytes behind the requests that `feed` returned.
+        self.has_partial_request = False  # whether a request has begun and is incomplete
+        # The error found in the bytes after the requests that `feed` returned.
         self.deferred_error: MalformedMessageError | None = None
 
     def on_message_begin(self) -> None:
-        """Start on a new request."""
+        """Reset the state for a new request."""
         super().on_message_begin()
         self.target = b""
         self.has_partial_request = True
 
     def on_url(self, url: bytes) -> None:
-        """Take the next bytes of the target."""
+        """Append the next bytes of the request target."""
         self.target += url
         if len(self.target) > MAX_HEAD_BYTES:
-            raise MalformedMessageError("the target is too long", REQUEST_HEADER_FIELDS_TOO_LARGE)
+            raise MalformedMessageError("the request target is too long", REQUEST_HEADER_FIELDS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """Make the request from its head."""
+        """Create the request from its head."""
         super().on_headers_complete()
         self.request = ClientRequest(
             method=self.parser.get_method().decode("latin-1"),
@@ -125,9 +125,9 @@
         )
 
     def on_message_complete(self) -> None:
-        """Add the body; a request whose body is not streamed is complete with it."""
+        """Store the body, or the end of a streamed body; `feed` returns only requests without a stream."""
         if self.parser.should_upgrade():
-            raise MalformedMessageError("an upgrade was asked for")
+            raise MalformedMessageError("protocol upgrades are not supported")
         request = self.request
         self.has_partial_request = False
         request.is_complete = True
@@ -141,10 +141,10 @@
     def feed(self, data: bytes) -> list[ClientRequest]:
         """Return the requests that these bytes complete, in order.
 
-        What is wrong behind them is kept as `deferred_error`.
+        If the bytes after a completed request are malformed, the error is stored as `deferred_error`.
 
         Raises:
-            MalformedMessageError: The bytes complete no request, and something is wrong with them.
+            MalformedMessageError: The bytes are malformed and complete no request.
         """
         try:
             self._feed_parser(data)
@@ -158,9 +158,9 @@
 
 
 def encode_request(request: ClientRequest, address: tuple[str, int], timeout: int) -> bytes:
-    """Return the request as it is forwarded to an upstream, without the chunks of a long body.
+    """Return the bytes of a request to an upstream, without the chunks of a long body.
 
-    `timeout` is how long the upstream's response will be waited for, in microseconds.
+    `timeout` is how long the sidecar will wait for the upstream's response, in microseconds.
     """
     headers = [
         (HOST, f"{address[0]}:{address[1]}"),
--- a/linetrack/server/http1/responses.py
+++ b/linetrack/server/http1/responses.py
@@ -1,4 +1,4 @@
-"""Responses: read from the bytes of an upstream or of discovery, and written to a client."""
+"""Responses: parsing the bytes of an upstream or of discovery, and encoding responses to clients."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from linetrack.server.http1.message_reader import MessageReader
 from linetrack.server.http1.statuses import OK, REASON_PHRASES
 
-FIRST_FINAL_STATUS = OK  # those below are informational: the response proper follows
+FIRST_FINAL_STATUS = OK  # lower (1xx) statuses are informational: the final response follows
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -37,31 +37,35 @@
     is_unprocessed: bool = False  # the upstream says that it did not process the request
     load_report: str = ""
     keep_alive: bool = True
-    content_length: int | None = None  # as the head says, also where there is no body (HEAD)
+    content_length: int | None = None  # as declared by the head, also if there is no body (HEAD)
 
 
 class ResponseReader(MessageReader):
-    """Reads one response at a time from the bytes of a connection to an upstream or to discovery."""
+    """Parses one response at a time from the bytes of a connection to an upstream or to discovery."""
 
     def __init__(self, max_body_bytes: int, max_buffered_body_bytes: int) -> None:
-        """A body over `max_buffered_body_bytes` is read by `take_body_chunks`, not from the response."""
+        """Create a reader.
+
+        A body longer than `max_buffered_body_bytes` is not stored in the response; the caller gets it from
+        `take_body_chunks`.
+        """
         super().__init__(max_body_bytes, max_buffered_body_bytes)
         self.parser = httptools.HttpResponseParser(self)
-        self.response: Response | None = None  # the current one, once its head is complete
+        self.response: Response | None = None  # the current response, once its head is complete
         self.completed_response: Response | None = None
-        self.has_unexpected_data = False  # bytes came that no request asked for
-        # Set by the caller for the response to a HEAD: it has no body, whatever its head says.
-        self.is_head_only = False
+        self.has_unexpected_data = False  # whether bytes that no request asked for have arrived
+        # Set by the caller for the response to a HEAD request, which never has a body.
+        self.is_response_to_head = False
 
     def on_message_begin(self) -> None:
-        """Start on a new response."""
+        """Reset the state for a new response."""
         self.has_unexpected_data = self.completed_response is not None
         if not self.has_unexpected_data:
-            # What comes behind a response must not overwrite its last parts.
+            # Unexpected data after a response must not overwrite chunks that were not taken yet.
             super().on_message_begin()
 
     def on_headers_complete(self) -> None:
-        """Make the response from its head, unless it is informational."""
+        """Create the response from its head, unless it is informational."""
         super().on_headers_complete()
         status = self.parser.get_status_code()
         if status < FIRST_FINAL_STATUS or self.completed_response is not None:
@@ -74,13 +78,13 @@
             keep_alive=False,
             content_length=self.declared_content_length(),
         )
-        if self.is_head_only:
-            # The parser waits for a body, so that the connection cannot be used again.
+        if self.is_response_to_head:
+            # The parser now waits for a body, so the connection cannot be reused.
             self.completed_response = self.response
             self.ignores_body = True
 
     def on_message_complete(self) -> None:
-        """Add the body, with which the response is complete."""
+        """Complete the response with its body."""
         if self.response is not None and self.completed_response is None:
             self._complete(self.response, self.parser.should_keep_alive())
 
@@ -92,10 +96,12 @@
             response.body = b"".join(self.take_body_chunks())
 
     def feed(self, data: bytes) -> Response | None:
-        """Return the response once it is complete.
+        """Return the response once it is complete, and None before.
+
+        Bytes after the response make the connection unusable but leave the response valid.
 
-        Bytes behind it make the connection unusable, not the response; raises a `MalformedMessageError` where
-        the response itself is not as it should be.
+        Raises:
+            MalformedMessageError: The response itself is malformed.
         """
         try:
             self._feed_parser(data)
@@ -106,9 +112,10 @@
         return self.completed_response
 
     def feed_eof(self) -> Response | None:
-        """Return the response where the connection's end is also the end of its body.
+        """Return the response if it is complete, or if the end of the connection ends its body.
 
-        One without any body is not returned: it cannot be told from one that was cut off.
+        A response whose body would end with the connection, but is empty, is not returned: it cannot be
+        distinguished from a truncated response.
         """
         if self.response is None or self.completed_response is not None:
             return self.completed_response
@@ -120,7 +127,7 @@
         return not self.content_lengths and TRANSFER_ENCODING.key not in self.headers
 
     def start_next_response(self) -> None:
-        """Forget the response that was read; the connection is used for another request."""
+        """Discard the completed response, as the connection is reused for another request."""
         self.response = None
         self.completed_response = None
         self.ignores_body = False
@@ -135,7 +142,7 @@
     is_http10: bool = False,
     content_length: int | None = None,
 ) -> bytes:
-    """Return a response to a client.
+    """Return the bytes of a response to a client.
 
     `retry_after` is in microseconds and is never rounded to zero.  `content_length` is the length of a body
     that is not sent (HEAD).
@@ -151,7 +158,7 @@
 
 
 class BodyFraming(Enum):
-    """How the end of a streamed body is marked."""
+    """How the end of a streamed body is marked on the wire."""
 
     CONTENT_LENGTH = auto()
     CHUNKED = auto()
@@ -159,7 +166,7 @@
 
 
 def select_framing(content_length: int | None, is_http10: bool) -> BodyFraming:
-    """Return the framing for a body of that length, None where it is not known, to a client."""
+    """Return the framing of a streamed body; `content_length` is None if the length is unknown."""
     if content_length is not None:
         return BodyFraming.CONTENT_LENGTH
     return BodyFraming.CONNECTION_CLOSE if is_http10 else BodyFraming.CHUNKED
@@ -168,7 +175,7 @@
 def encode_response_head(
     framing: BodyFraming, content_length: int | None, keep_alive: bool, content_type: str, is_http10: bool
 ) -> bytes:
-    """Return the head of a successful response whose body is streamed behind it."""
+    """Return the head of a successful response whose body is streamed."""
     headers = [
         (CONTENT_TYPE, content_type),
         (CONTENT_LENGTH, str(content_length) if framing is BodyFraming.CONTENT_LENGTH else ""),
--- a/linetrack/server/http1/statuses.py
+++ b/linetrack/server/http1/statuses.py
@@ -1,6 +1,7 @@
-"""The status codes that the sidecar sends or understands.
+"""The status codes that the sidecar sends or interprets.
 
-They are plain numbers: the standard library's enumeration of all statuses would take memory in each process.
+They are plain integers, as the standard library's enumeration of all statuses would cost memory in each
+process.
 """
 
 from __future__ import annotations
