--- a/linetrack/server/active_request.py
+++ b/linetrack/server/active_request.py
@@ -1,6 +1,6 @@
-"""A request from the moment it is received until its last attempt has ended, and its attempts.
+"""A request and its attempts, from when it is received until its last attempt has ended.
 
-All times are microseconds of `linetrack.server.clock`.
+All times are in microseconds of `linetrack.server.clock`.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 
 @dataclass(slots=True)
 class FinalResponse:
-    """A request's one final response: an endpoint's, a rejection (503, with advice) or a failure (502)."""
+    """The final response to a request: an endpoint's response, a rejection (503) or a failure (502)."""
 
     status: int
     body: bytes = b""
     content_type: str = ""
-    retry_after: int = 0  # microseconds; 0: no advice
-    content_length: int | None = None  # of a body that exists and is not forwarded (HEAD)
-    stream: ResponseStream | None = None  # a long response, from its first bytes on
+    retry_after: int = 0  # the advice when to retry, in microseconds from now; 0: no advice
+    content_length: int | None = None  # the length of a body that is not forwarded (HEAD)
+    stream: ResponseStream | None = None  # the body of a long response, which is forwarded as it arrives
 
 
-#: Stands in for a request that has ended, so that its body can be freed.
+#: Replaces a request that has ended, so that its body can be freed.
 RELEASED_REQUEST = ClientRequest("", "")
 
 
 def ignore_response(final: FinalResponse) -> None:
-    """Drop a response that no client waits for."""
+    """Discard a response that no client waits for."""
 
 
 def never_disconnected() -> bool:
-    """Stand in for the check of a client whose connection cannot be looked at."""
+    """Return False; used where there is no client connection to check."""
     return False
 
 
 class ActiveRequest:
-    """A request from the moment it is received until it is completed and its last attempt has ended."""
+    """A request from when it is received until it is completed and its last attempt has ended."""
 
     __slots__ = (
         "attempts",
@@ -65,14 +65,15 @@
         reply: Callable[[FinalResponse], None],
         has_client_disconnected: Callable[[], bool] = never_disconnected,
     ) -> None:
-        """Begin the life of a request.
+        """Create a request without attempts.
 
         Args:
-            received: What the policy is notified of.
-            client_request: What is forwarded.
-            received_at: When its last byte was seen; its timeout runs from then on.
-            reply: Takes the final response.
-            has_client_disconnected: Called before the first byte of an attempt is written.
+            received: The event that the policy is notified of.
+            client_request: The request to forward.
+            received_at: When the last byte of the request was seen, which is when its timeout starts.
+            reply: Called with the final response.
+            has_client_disconnected: Called before the first byte of an attempt is written; if it returns
+                True, the attempt is not sent.
         """
         self.request_id = received.request_id
         self.timeout = received.timeout
@@ -81,21 +82,24 @@
         self.client_request = client_request
         self.reply = reply
         self.has_client_disconnected = has_client_disconnected
-        # a streamed body has limits of its own; the request's timeout begins with its last byte
+        # A streamed body has timeouts of its own; the request's timeout starts with the body's last byte.
         self.deadline = received_at + received.timeout if received.is_replayable else NEVER
         self.attempts: list[Attempt] = []
-        self.is_completed = False  # it has its final response, or its client has disconnected
+        self.is_completed = False  # whether it has its final response or its client has disconnected
         self.stream: ResponseStream | None = None  # the streamed response of one of its attempts
 
     def release_references(self) -> None:
-        """Drop what may hold the request's body: timers of its attempts refer to it until they are due."""
+        """Drop the references that may keep the body of the request in memory.
+
+        The timers of its attempts refer to the request until they are due.
+        """
         self.client_request = RELEASED_REQUEST
         self.reply = ignore_response
         self.has_client_disconnected = never_disconnected
 
 
 class Socket(Protocol):
-    """What aborting an attempt needs of its connection's socket."""
+    """The methods of a connection's socket that are needed to abort an attempt."""
 
     def shutdown(self, how: int, /) -> object:
         """Shut down one or both directions of the connection."""
@@ -105,7 +109,10 @@
 
 
 class Attempt:
-    """One attempt of a request.  Whoever ends it first, its greenlet or the dispatcher, reports its end."""
+    """One attempt of a request.
+
+    Either its greenlet or the dispatcher ends it; the one that does so first reports its end.
+    """
 
     __slots__ = (
         "deadline",
@@ -122,13 +129,13 @@
     def __init__(
         self, request: ActiveRequest, endpoint: str, sent_at: int, deadline: int, write_deadline: int = 0
     ) -> None:
-        """Begin an attempt; without a `write_deadline` it may be written until its deadline."""
+        """Create an attempt; without a `write_deadline` it may be written until its deadline."""
         self.request = request
         self.endpoint = endpoint
         self.sent_at = sent_at
         self.deadline = deadline
-        self.write_deadline = write_deadline or deadline  # after which none of it may be written
+        self.write_deadline = write_deadline or deadline  # after which its first byte must not be written
         self.index = len(request.attempts)
         self.has_ended = False
-        self.has_response_started = False  # its response is being streamed to the client
-        self.sock: Socket | None = None  # what its greenlet waits on: closing it aborts the attempt
+        self.has_response_started = False  # whether its response is being streamed to the client
+        self.sock: Socket | None = None  # its greenlet waits on it, so that closing it aborts the attempt
--- a/linetrack/server/address.py
+++ b/linetrack/server/address.py
@@ -1,4 +1,4 @@
-"""Addresses as they stand in configurations and endpoint lists."""
+"""Addresses in the form `address:port`, as configurations and endpoint lists contain them."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 
 
 class AddressError(LinetrackError, ValueError):
-    """A text that is no `address:port`."""
+    """Raised for a text that is not a valid `address:port`."""
 
     def __init__(self, text: str) -> None:
-        super().__init__(f"{text!r} is no address:port")
+        super().__init__(f"{text!r} is not a valid address:port")
         self.text = text
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Parse `address:port`, where the address is a number since there is no DNS; raises an `AddressError`."""
+    """Parse `address:port`; the address must be an IPv4 address, as there is no DNS.
+
+    Raises:
+        AddressError: The text has another form.
+    """
     host, _, port_text = text.rpartition(":")
     try:
         IPv4Address(host)
@@ -31,5 +35,5 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """Return `address:port`."""
+    """Format an address as `address:port`."""
     return f"{address[0]}:{address[1]}"
--- a/linetrack/server/attempt_runner.py
+++ b/linetrack/server/attempt_runner.py
@@ -1,8 +1,8 @@
-"""Runs attempts: a greenlet each, from the choice of a connection to the end of the response.
+"""Runs attempts, each in a greenlet of its own, from the choice of a connection to the end of the response.
 
-Each attempt that a greenlet ends is reported once.  The runner does not choose the endpoint, retries nothing
-and never calls the policy.  What must not be sent any more is checked at the last moment before the first
-byte, and the outcome then says that the attempt was never executed.
+Each attempt that its greenlet ends is reported once.  The runner does not choose the endpoint, does not retry
+and never calls the policy.  Whether an attempt may still be sent is checked immediately before its first byte
+is written; if it may not, its outcome says that it was never executed.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 
 log = structlog.get_logger()
 
-STREAM_STALL_TIMEOUT_SECONDS = 5.0  # without a byte, after which a streamed response is aborted
-#: Of a response that says, by a header, that its request was not processed.
+STREAM_STALL_TIMEOUT_SECONDS = 5.0  # without a byte from the upstream, until a streamed response is aborted
+#: The statuses that mean overload if a header of the response says that the request was not processed.
 OVERLOAD_STATUSES = (statuses.SERVICE_UNAVAILABLE, statuses.GATEWAY_TIMEOUT)
 
 Notify = Callable[[FinishedAttempt | SentBody | StartedResponse, int], None]
@@ -52,13 +52,14 @@
         notify: Notify,
         metrics: Metrics | None = None,
     ) -> None:
-        """Prepare to run attempts.
+        """Create a runner without attempts.
 
         Args:
             pool: The endpoints and their connections.
-            budget: Descriptors and memory.
+            budget: The budget of descriptors and memory.
             report_fields: The names of a load report's values, in the order of the policy's settings.
-            notify: Takes notifications for the dispatcher and when they were seen, in microseconds.
+            notify: Called with each notification for the dispatcher and the time at which its cause was
+                seen, in microseconds.
             metrics: The counters of the process.
         """
         self.pool = pool
@@ -68,25 +69,26 @@
         self.metrics = metrics or Metrics()
 
     def configure(self, report_fields: tuple[str, ...]) -> None:
-        """Use these names of a load report's values from here on."""
+        """Use these names of a load report's values from now on."""
         self.report_fields = report_fields
 
     def start(self, attempt: Attempt) -> None:
-        """Run an attempt in a greenlet of its own, which takes its first turn later."""
-        # without a Greenlet object: no other greenlet joins or kills it, and it raises nothing
+        """Run an attempt in a greenlet of its own, which starts in a later turn of the event loop."""
+        # A raw greenlet suffices: no other greenlet joins or kills it, and it raises nothing.
         gevent.spawn_raw(_AttemptRun(self, attempt).run)
 
     def abort(self, attempt: Attempt) -> None:
-        """Close the connection that the attempt is on, connected or connecting; its greenlet wakes up."""
+        """Close the connection of the attempt, even while it is connecting; this wakes its greenlet."""
         if attempt.sock is not None:
-            # closing alone waits until that greenlet has run; the endpoint must see the end before a retry
+            # `close` alone takes effect once that greenlet has run, but the endpoint must see the end of this
+            # attempt before it gets a retry.
             with contextlib.suppress(OSError):
                 attempt.sock.shutdown(socket.SHUT_RDWR)
             attempt.sock.close()
 
 
 class _AttemptRun:
-    """One attempt while its greenlet runs, and what was taken for it."""
+    """The state of one attempt's greenlet, with the connection and the memory that it uses."""
 
     __slots__ = ("attempt", "budget", "connection", "is_written", "pool", "reserved_bytes", "runner")
 
@@ -100,27 +102,27 @@
         self.reserved_bytes = 0
 
     def run(self) -> None:
-        """Run the attempt to its end; raise nothing, and give back what was taken."""
+        """Run the attempt to its end and release what it used; raises no exception."""
         try:
             self._exchange()
         except OSError:
-            self._finish_broken()
+            self._finish_after_connection_error()
         except MalformedMessageError as error:
-            self._finish_malformed(error)
+            self._finish_after_malformed_message(error)
         except Exception:
-            # a greenlet that ended without a report would leave its request without a response
+            # Without a report of the attempt's end, its request would never get a response.
             log.exception("attempt_failed", endpoint=self.attempt.endpoint)
-            self._finish_broken()
+            self._finish_after_connection_error()
         finally:
             self.budget.memory.release(self.reserved_bytes)
             if self.connection is not None:
                 self.pool.discard(self.connection)
 
     def _exchange(self) -> None:
-        """Send the request and take its response."""
+        """Send the request and handle its response."""
         upstream = self.pool.endpoints.get(self.attempt.endpoint)
         if upstream is None:
-            # it was removed between the policy's decision and this turn
+            # The endpoint was removed after the policy's decision, before this greenlet ran.
             self._finish(Outcome.NOT_SENT)
             return
         connection = self.pool.take_idle(upstream) or self._dial(upstream)
@@ -145,7 +147,7 @@
 
     # --- Connecting ----------------------------------------------------------------------------------
     def _dial(self, upstream: PooledUpstream) -> Connection | None:
-        """Return a new connection; None where the attempt has ended instead."""
+        """Return a new connection, or None if the attempt has ended instead."""
         if self._must_not_send(upstream):
             self._finish(Outcome.NOT_SENT)
             return None
@@ -159,10 +161,10 @@
         self.attempt.sock = sock
 
     def _must_not_send(self, upstream: PooledUpstream) -> bool:
-        """Return whether the attempt has become pointless while this greenlet waited.
+        """Return whether the attempt must not be sent any more.
 
-        The endpoint may have begun to drain, the client may have disconnected, or the request or its time may
-        have ended.
+        While this greenlet waited, the endpoint may have begun to drain, the client may have disconnected,
+        the request may have been completed or a deadline may have passed.
         """
         attempt = self.attempt
         request = attempt.request
@@ -170,12 +172,12 @@
             return True
         if clock() >= min(attempt.deadline, attempt.write_deadline):
             return True
-        # the client's disconnect may still be in the dispatcher's queue, or not have been seen at all
+        # A disconnect may not have been detected yet, or its notification may still be queued.
         return request.has_client_disconnected()
 
     # --- Writing -------------------------------------------------------------------------------------
     def _write_request(self, connection: Connection) -> bool:
-        """Write the whole request; return False where the attempt has ended instead."""
+        """Write the whole request; return False if the attempt has ended instead."""
         attempt = self.attempt
         remaining = attempt.deadline - clock()
         request = attempt.request.client_request
@@ -190,7 +192,7 @@
         return True
 
     def _write_long_body(self, connection: Connection, request: ClientRequest) -> bool:
-        """Write a body in its chunks; return False where the attempt has ended instead."""
+        """Write a body chunk by chunk; return False if the attempt has ended instead."""
         if request.body_stream is not None:
             with self.budget.memory.streaming():
                 return self._forward_body(connection, request.body_stream)
@@ -199,11 +201,11 @@
         return True
 
     def _forward_body(self, connection: Connection, body: BodyStream) -> bool:
-        """Forward a body as it comes; return False where the attempt has ended instead."""
+        """Forward a body as it arrives; return False if the attempt has ended instead."""
         is_chunked = body.content_length is None
         while body_chunks := body.read_chunks():
             if is_readable(connection.sock):
-                # a response before the end of the request, or a close: it was not executed
+                # The upstream responded or closed before the end of the request, so it was not executed.
                 self._finish(Outcome.CONNECT_FAILED)
                 return False
             for body_chunk in body_chunks:
@@ -214,20 +216,20 @@
 
     # --- Reading -------------------------------------------------------------------------------------
     def _reserve_memory(self, size: int) -> None:
-        """Wait for memory for a response of so many bytes."""
+        """Wait until there is memory for a response of `size` bytes, and reserve it."""
         self.reserved_bytes = self.budget.memory.wait_and_reserve(size)
 
     def _take_response(self, connection: Connection, response: Response, seen_at: int) -> None:
-        """End the attempt by its response, or stream the response."""
+        """Stream a successful long response, or end the attempt with its response."""
         outcome = _outcome(response)
         if connection.reader.exceeds_body_buffer and outcome is Outcome.SUCCESS:
-            # also where it is complete by now: its body is not in `response`
+            # Even if the response is already complete, its body is not stored in `response`.
             self._stream_response(connection, response, seen_at)
         else:
             self._finish(outcome, response, seen_at)
 
     def _stream_response(self, connection: Connection, response: Response, seen_at: int) -> None:
-        """Hand a long response over; the greenlet that writes it to the client also reads it."""
+        """Stream a long response; the greenlet of the client's connection reads it and writes it."""
         stream = ResponseStream(
             connection, response, STREAM_STALL_TIMEOUT_SECONDS, self.budget.memory.chunk_size
         )
@@ -239,7 +241,7 @@
         self._finish(outcome, response, self.attempt.sent_at + latency)
 
     def _keep_connection(self, connection: Connection, upstream: PooledUpstream) -> None:
-        """Make the connection idle if it can be reused; `run` closes it otherwise."""
+        """Return the connection to the pool if it can be reused; otherwise `run` closes it."""
         response = connection.reader.completed_response
         if response is None or not response.keep_alive or connection.reader.has_unexpected_data:
             return
@@ -249,15 +251,16 @@
             self.pool.keep_idle(connection, upstream, clock())
             self.connection = None
 
-    # --- The end -------------------------------------------------------------------------------------
-    def _finish_broken(self) -> None:
-        """End the attempt after a fault of its connection."""
+    # --- Reporting the end ---------------------------------------------------------------------------
+    def _finish_after_connection_error(self) -> None:
+        """End the attempt after an error of its connection."""
         self._finish(Outcome.RESET if self.is_written else Outcome.CONNECT_FAILED)
 
-    def _finish_malformed(self, error: MalformedMessageError) -> None:
-        """End the attempt after bytes that are no message.
+    def _finish_after_malformed_message(self, error: MalformedMessageError) -> None:
+        """End the attempt after malformed bytes.
 
-        They are the client's, of a streamed body, until the request is written, and then the endpoint's.
+        Until the request is written, these are bytes of the client's streamed body; afterwards, they are the
+        endpoint's.
         """
         if not self.is_written:
             self._finish(Outcome.CONNECT_FAILED)
@@ -266,7 +269,7 @@
         self._finish(Outcome.ERROR)
 
     def _finish(self, outcome: Outcome, response: Response | None = None, seen_at: int | None = None) -> None:
-        """Report the attempt's end, unless it has ended."""
+        """Report the end of the attempt, unless it has already ended."""
         attempt = self.attempt
         if attempt.has_ended:
             return
--- a/linetrack/server/client_connection.py
+++ b/linetrack/server/client_connection.py
@@ -1,7 +1,7 @@
 """One connection of the application: reads its requests and writes their responses, one at a time.
 
-It keeps the deadline for whatever the client sends or takes.  What becomes of a request is decided
-elsewhere: it goes to the dispatcher, whose final response is written.
+It sets the deadline by which the client must have sent or read something.  It does not decide about requests:
+each goes to the dispatcher, whose final response is written.
 """
 
 from __future__ import annotations
@@ -39,30 +39,30 @@
 
 log = structlog.get_logger()
 
-BODY_RESERVATION_BYTES = 256 * 1024  # reserved at a time for a body of unknown length
+BODY_RESERVATION_BYTES = 256 * 1024  # reserved at a time if the length of a body is unknown
 EVENT_LOOP_READ = 1  # the event loop's constant for "readable"
 
 
 class ConnectionMigratedError(Exception):
-    """Wakes a connection's greenlet that waits for a request: the connection goes to another process."""
+    """Raised in a connection's greenlet that waits for a request, so that the connection can be migrated."""
 
 
 class ConnectionHost(Protocol):
-    """What a connection needs of the listener that accepted it.
+    """The interface of the listener that its connections use.
 
     Attributes:
-        budget: Of the process.
-        dispatcher: Gets the requests.
+        budget: The budget of the process.
+        dispatcher: Receives the requests.
         slots: Decides which connections are kept.
-        validator: Checks the requests.
-        is_serving: Whether the process is ready for requests.
-        is_closing: Whether connections are closed once no request is on them.
-        rounds_retry_after: Whether advice to retry is given in whole seconds.
-        migrate: Hands a connection, by descriptor and number of responses, to another process and returns
-            whether that succeeded; None while connections stay here.
-        run_soon: Runs a function in the event loop.
-        unread_connections: Connections with a request pending and unread bytes behind it, which hide from
-            the event loop whether the client disconnects.
+        validator: Validates the requests.
+        is_serving: Returns whether the process is ready for requests.
+        is_closing: Whether connections are closed as soon as they are between requests.
+        rounds_retry_after: Whether `Retry-After` headers are rounded up to whole seconds.
+        migrate: Sends a connection, given its descriptor and its number of responses, to another process and
+            returns whether that succeeded; None if connections are not being migrated.
+        run_soon: Schedules a function in the event loop.
+        unread_connections: Connections with a pending request and unread bytes after it, because of which the
+            event loop does not notice that the client disconnects.
     """
 
     budget: Budget
@@ -76,8 +76,8 @@
     run_soon: Callable[[Callable[[], None]], object]
     unread_connections: dict[ClientConnection, PendingRequest]
 
-    def connection_ended(self, connection: ClientConnection) -> None:
-        """The connection is closed."""
+    def on_connection_closed(self, connection: ClientConnection) -> None:
+        """Handle the end of a connection, which was closed."""
         ...
 
 
@@ -85,14 +85,14 @@
     """One connection of the application.
 
     Attributes:
-        reader: Parses what arrives.
+        reader: Parses the bytes that arrive.
         pending_requests: Complete requests that are not served yet.
-        received_at: When the bytes that completed them were read; at first, when the connection was accepted.
-        timeout_started_at: From when on the time of the current request counts.
-        deadline: After which whoever holds the connection up is out of time.
+        received_at: When bytes were last read; initially, when the connection was accepted.
+        timeout_started_at: When the timeout of the current request started.
+        deadline: When the listener ends the current read or write.
         is_busy: Whether a request is being served.
-        reserved_bytes: Of memory, for a large request.
-        response_count: Responses of any kind that were written on it.
+        reserved_bytes: The memory reserved for a large request.
+        response_count: The number of responses of any kind that were written.
     """
 
     __slots__ = (
@@ -125,24 +125,24 @@
         self.reserved_bytes = 0
         self.response_count = 0
         self.greenlet = gevent.Greenlet(self.serve)
-        # One watcher for the connection in place of a greenlet for each request; its callback never waits.
+        # A watcher for the whole connection, which replaces a greenlet per request; its callback never waits.
         self.watcher = gevent.get_hub().loop.io(sock.fileno(), EVENT_LOOP_READ)
 
-    # --- State, as the listener sees it ------------------------------------------------------------------
+    # --- State that the listener checks ------------------------------------------------------------------
     def is_idle(self) -> bool:
-        """Whether it is between requests, as far as can be seen."""
+        """Return whether no request is being read or served and no unread bytes have arrived."""
         return not self.is_busy and not self.reader.has_partial_request and not is_readable(self.sock)
 
     def is_between_requests(self) -> bool:
-        """Whether no request is being served and nothing of the next one was read."""
+        """Return whether no request is pending or being served, and no byte of the next one was read."""
         return not (self.is_busy or self.pending_requests or self.reader.has_partial_request)
 
     def is_reading_request(self) -> bool:
-        """Whether it waits for the rest of a request."""
+        """Return whether it waits for the rest of a request."""
         return self.reader.has_partial_request and not self.is_busy
 
     def expire(self) -> None:
-        """Called by the listener once the deadline has passed: end whatever waits for the client."""
+        """Reject an incomplete request, or close the connection; called by the listener at the deadline."""
         if self.is_reading_request():
             error = MalformedMessageError("the request stalled", statuses.REQUEST_TIMEOUT)
             self.interrupt(error, ClientConnection.is_reading_request)
@@ -150,14 +150,13 @@
             self.sock.close()
 
     def interrupt(self, error: Exception, still_applies: Callable[[ClientConnection], bool]) -> None:
-        """Raise the error in the connection's greenlet, if that still applies once the event loop runs.
+        """Raise the error in the connection's greenlet, if it still applies when the event loop runs.
 
-        Until then a request may be complete, and a greenlet that waits for its response must not be
-        interrupted.
+        By then a request may be complete, and a greenlet that waits for its response must not be interrupted.
         """
 
         def raise_in_greenlet() -> None:
-            """Run by the event loop, later."""
+            """Run later, from the event loop."""
             if still_applies(self) and not self.greenlet.dead:
                 self.greenlet.throw(error)
 
@@ -173,16 +172,16 @@
             log.warning("request_malformed", fault=str(error), status=error.status)
             self._reject(error.status)
         except OSError:
-            pass  # the client has disconnected, takes nothing, or was closed by the listener
+            pass  # the client disconnected, or the listener closed the connection
         except Exception:
-            # A greenlet that fails would otherwise end silently.
+            # Without this, a greenlet that fails would end silently.
             log.exception("client_connection_failed")
         finally:
             self.watcher.close()
             self.sock.close()
             self.reader.close()
             self.release_memory()
-            self.host.connection_ended(self)
+            self.host.on_connection_closed(self)
 
     def _serve_requests(self) -> None:
         while not self._try_migrate():
@@ -195,22 +194,22 @@
                 pass  # interrupted while it waited for a request
 
     def _try_migrate(self) -> bool:
-        """Whether another process has the connection from here on, with all that is unread on it."""
+        """Migrate the connection with all its unread bytes, if requested; return whether it was migrated."""
         if self.host.migrate is None or not self.is_between_requests():
             return False
-        self.is_busy = True  # so that nothing else closes or interrupts it meanwhile
+        self.is_busy = True  # prevents the listener from closing or interrupting it meanwhile
         is_migrated = self.host.migrate(self.sock.fileno(), self.response_count)
         self.is_busy = False
         return is_migrated
 
     def release_memory(self) -> None:
-        """Give back what was reserved for a large request."""
+        """Release the memory that was reserved for a large request."""
         self.host.budget.memory.release(self.reserved_bytes)
         self.reserved_bytes = 0
 
     # --- Reading requests --------------------------------------------------------------------------------
     def _read_requests(self) -> bool:
-        """Read until there is a request to serve; False where the connection ends first."""
+        """Read until there is a request to serve; return False if the connection ends first."""
         reader = self.reader
         while not self.pending_requests:
             if reader.deferred_error is not None:
@@ -231,7 +230,7 @@
         return True
 
     def send_continue(self) -> None:
-        """Ask for the body, if the client waits to be asked."""
+        """Send a 100 response if the client waits for one before it sends the body."""
         request = self.reader.request
         is_reading_body = self.reader.has_partial_request and self.reader.is_head_complete
         if request.expects_continue and is_reading_body:
@@ -240,39 +239,39 @@
                 self.sock.sendall(CONTINUE_RESPONSE)
 
     def receive(self, data: bytes) -> None:
-        """Parse bytes that have arrived, and set the deadline of a request that is incomplete."""
+        """Parse bytes that have arrived, and set the deadline of an incomplete request."""
         reader = self.reader
         had_partial_request = reader.has_partial_request
-        had_head = reader.is_head_complete
+        was_head_complete = reader.is_head_complete
         self.received_at = clock()
         self.pending_requests.extend(reader.feed(data))
         if not reader.has_partial_request:
             return
         if self.pending_requests or (not had_partial_request and self.response_count):
-            # A new request has begun; the time of a connection's first one counts from when it was accepted.
+            # A new request has begun.  The timeout of the first one started when the connection was accepted.
             self.timeout_started_at = self.received_at
         if not self.is_busy:
-            self._set_request_deadline(had_head)
+            self._set_request_deadline(was_head_complete)
 
-    def _set_request_deadline(self, had_head: bool) -> None:
+    def _set_request_deadline(self, was_head_complete: bool) -> None:
         """Set the deadline for the rest of the incomplete request."""
         reader = self.reader
         if not reader.is_head_complete:
             self.deadline = self.timeout_started_at + client_timeouts.REQUEST_TIMEOUT_US
             return
-        earned = self.timeout_started_at + body_timeout(reader.body_size)
-        self.deadline = min(earned, self.received_at + client_timeouts.REQUEST_TIMEOUT_US)
-        if not had_head:
+        body_deadline = self.timeout_started_at + body_timeout(reader.body_size)
+        self.deadline = min(body_deadline, self.received_at + client_timeouts.REQUEST_TIMEOUT_US)
+        if not was_head_complete:
             body_start_deadline = self.received_at + client_timeouts.BODY_START_TIMEOUT_US
             self.deadline = max(self.deadline, body_start_deadline)
 
     def _reserve_for_body(self) -> bool:
-        """Whether the current body is buffered until it is complete, with memory reserved for it.
+        """Reserve memory for buffering the current body; return False if it must be streamed.
 
-        One that does not fit is forwarded as it arrives.
+        A body that does not fit the memory is forwarded as it arrives.
 
         Raises:
-            RejectedRequestError: The request of a large body is invalid, so that its body need not be read.
+            RejectedRequestError: The request has a large body and is invalid, so its body is not read.
         """
         reader = self.reader
         memory = self.host.budget.memory
@@ -287,15 +286,15 @@
                 return True
         if size <= self.reserved_bytes:
             return True
-        missing = size - self.reserved_bytes if length is not None else BODY_RESERVATION_BYTES
-        if not memory.try_reserve(missing):
+        additional_bytes = size - self.reserved_bytes if length is not None else BODY_RESERVATION_BYTES
+        if not memory.try_reserve(additional_bytes):
             return False
-        self.reserved_bytes += missing
+        self.reserved_bytes += additional_bytes
         return True
 
     # --- Serving a request -------------------------------------------------------------------------------
     def _serve_request(self, request: ClientRequest) -> bool:
-        """Serve one request; whether the connection is kept."""
+        """Serve one request; return whether the connection is kept open."""
         self.is_busy = True
         self.deadline = NEVER
         if request.path == READINESS_PATH:
@@ -308,7 +307,7 @@
         return response is not None and self._respond(request, response)
 
     def _dispatch(self, request: ClientRequest, event: RequestReceived) -> FinalResponse | None:
-        """Dispatch the request; return its final response, or None if the client disconnects first."""
+        """Dispatch the request and return its final response, or None if the client disconnects first."""
         pending = PendingRequest(
             self.host.dispatcher, self.sock, event.request_id, request.keep_alive, self.received_at
         )
@@ -316,8 +315,7 @@
         self.host.dispatcher.enqueue(incoming, self.received_at)
         upload = request.body_stream
         if isinstance(upload, RequestUpload):
-            # While the body is read, that shows whether the client is connected; the watcher takes over
-            # behind it.
+            # While the body is read, reading detects a disconnect; after its end, the watcher does.
             upload.on_aborted = pending.abandon
             upload.on_complete = partial(self.watcher.start, self._on_readable, pending)
         else:
@@ -333,11 +331,10 @@
         return response
 
     def _on_readable(self, pending: PendingRequest) -> None:
-        """Called by the event loop when something has arrived while a request is pending.
+        """Handle bytes or a disconnect while a request is pending; called by the event loop.
 
-        If the client has not disconnected, what has arrived stays unread and would hide a later disconnect
-        from the
-        watcher: the listener checks from here on.
+        If the client has not disconnected, the bytes stay unread and would hide a later disconnect from the
+        watcher, so that the listener checks for it from now on.
         """
         self.watcher.stop()
         if not pending.is_abandoned():
@@ -345,7 +342,7 @@
 
     # --- Writing the response ----------------------------------------------------------------------------
     def _respond(self, request: ClientRequest, response: FinalResponse) -> bool:
-        """Write the response; whether the connection is kept."""
+        """Write the response; return whether the connection is kept open."""
         keep_alive = self._decide_keep_alive(request)
         if response.stream is None:
             write_response(self, request, response, keep_alive, self.host.rounds_retry_after)
@@ -355,7 +352,7 @@
         return keep_alive
 
     def _decide_keep_alive(self, request: ClientRequest) -> bool:
-        """Whether the connection is kept after the response."""
+        """Return whether the connection is kept open after the response."""
         if not request.keep_alive or not request.is_complete:
             return False
         if self.host.is_closing and not self.pending_requests:
@@ -363,11 +360,11 @@
         has_next_request = bool(self.pending_requests) or self.reader.has_partial_request
         if self.slot.state is not SlotState.BUSY or has_next_request:
             return True
-        # A request that has arrived behind this one must not be lost by closing.
+        # The next request may have arrived already and must not be lost by closing.
         return self.host.slots.decide_keep_alive(self.slot, clock()) or is_readable(self.sock)
 
     def _finish_response(self, keep_alive: bool) -> None:
-        """The response was written: wait for the next request, or close."""
+        """After the response, prepare for the next request or for closing the connection."""
         self.is_busy = False
         self.response_count += 1
         self.release_memory()
@@ -376,13 +373,13 @@
             self.timeout_started_at = now
             self.deadline = now + client_timeouts.REQUEST_TIMEOUT_US
             if self.slot.state is SlotState.BUSY and not self.reader.has_partial_request:
-                self.deadline = NEVER  # the slots decide how long it is kept
+                self.deadline = NEVER  # `slots` decides how long the idle connection is kept
                 self.host.slots.mark_idle(self.slot, now)
         elif self.reader.has_partial_request or is_readable(self.sock):
             self._linger()
 
     def _reject(self, status: int) -> None:
-        """Respond to what is no valid request, and close."""
+        """Respond to an invalid request and prepare for closing the connection."""
         self.is_busy = True
         try:
             self.sock.sendall(encode_response(status, keep_alive=False))
@@ -391,7 +388,7 @@
             pass
 
     def _linger(self) -> None:
-        """Discard what the client still sends; nothing of it is taken for a request."""
+        """Discard what the client still sends, so that it is not parsed as a request."""
         self.is_busy = True
         is_body_incomplete = self.reader.has_partial_request and self.reader.request.body_stream is not None
         discard_until_close(self, is_body_incomplete)
--- a/linetrack/server/client_timeouts.py
+++ b/linetrack/server/client_timeouts.py
@@ -1,7 +1,7 @@
-"""How long a client may take, in microseconds, for what it sends and for what is sent to it.
+"""Timeouts for sending to clients and for receiving from them, in microseconds.
 
-A connection has one deadline at a time, and the listener closes whoever has passed it: a client costs no
-timer of its own.
+A connection has one deadline at a time, and the listener closes connections whose deadline has passed, so
+that no connection needs a timer of its own.
 """
 
 from __future__ import annotations
@@ -12,34 +12,35 @@
 
 from linetrack.policy.time_units import SECOND
 
-#: For a request to be complete (the first one's from connecting, a later one's from its first byte), and
-#: for a response to be taken.  A client that sends nothing must be closed within 3 s.
+#: The time within which a request must be complete, and within which the client must accept a complete
+#: response.  It starts when the connection is accepted for the first request, and with the first byte for
+#: later ones.  A client that sends nothing must be closed within 3 s.
 REQUEST_TIMEOUT_US = 2_250_000
-#: Bytes of a body that extend the time for the rest of it by a second.
+#: The minimum rate of a body: each second's worth of bytes that arrives extends its timeout by a second.
 MIN_BODY_BYTES_PER_SECOND = 16 * 1024
-#: After its head, for a body to begin, if the head took long.
+#: The time for a body to begin after its head, even if the head used up the time of the request.
 BODY_START_TIMEOUT_US = 500_000
-#: For a client to take some of a streamed response.
+#: The time within which a client must accept the next part of a streamed response.
 STREAM_WRITE_TIMEOUT_US = 10_000_000
-#: For a client whose request was rejected to read why.
+#: The time for a client to read the last response, such as a rejection, before its connection is closed.
 LINGER_TIMEOUT_US = 500_000
-#: After its request, for which attempts are still started for a client that has closed its sending side, as
-#: it had announced.  It may have disconnected, and nothing may be started more than 0.1 s after a client
-#: has disconnected.
+#: The time after a request during which attempts are started although the client, as it had announced, has
+#: closed its sending side.  It may have disconnected instead, and no attempt may be started more than 0.1 s
+#: after a client has disconnected.
 HALF_CLOSE_GRACE_US = 80_000
 
 
 class DeadlineSocket(Protocol):
-    """A client's socket and the moment after which it is closed."""
+    """A client's socket and the time after which it is closed, in microseconds of the clock."""
 
     sock: socket.socket
     deadline: int
 
 
 def body_timeout(body_bytes: int) -> int:
-    """How long a request may take of whose body so many bytes have arrived.
+    """Return the time that a request may take, given how many bytes of its body have arrived.
 
-    A slow client is served, and one that sends a few bytes now and then does not hold its connection for
-    ever.
+    It grows with the bytes, so that slow clients are served while a client that sends a few bytes now and
+    then cannot hold its connection forever.
     """
     return REQUEST_TIMEOUT_US + body_bytes * SECOND // MIN_BODY_BYTES_PER_SECOND
--- a/linetrack/server/connection.py
+++ b/linetrack/server/connection.py
@@ -1,6 +1,6 @@
-"""One outgoing connection, to an upstream or to discovery: connecting, and reading one response at a time.
+"""An outgoing connection to an upstream or to discovery: connecting, and reading one response at a time.
 
-It does not know who is on the other side, nor when to connect or to give up.
+Its caller decides when to connect and when to give up.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class StalledError(MalformedMessageError):
-    """A response has begun, and then nothing of it arrived for `timeout` seconds."""
+    """Raised if a response has begun and then no byte of it arrived for `timeout` seconds."""
 
     def __init__(self, timeout: float) -> None:
         super().__init__("the response stalled")
@@ -26,9 +26,9 @@
     """A TCP connection that carries one request and its response at a time.
 
     Args:
-        address: Of the other side.
-        max_body_bytes: Of a response.
-        max_buffered_body_bytes: Up to which a response's body is held until it is complete.
+        address: The address of the peer.
+        max_body_bytes: The maximum size of a response's body.
+        max_buffered_body_bytes: The maximum size of a body that is buffered until it is complete.
     """
 
     __slots__ = ("address", "idle_depth", "idle_since", "idle_until", "reader", "sock")
@@ -37,18 +37,18 @@
         self.address = address
         self.reader = ResponseReader(max_body_bytes, max_buffered_body_bytes)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        # set by the pool while the connection is idle
+        # Set by the pool when the connection becomes idle.  Times are microseconds of the clock.
         self.idle_since = 0
         self.idle_until = 0
-        self.idle_depth = 0  # how many connections were idle beside it
+        self.idle_depth = 0  # how many connections to the endpoint were idle already, capped by the pool
 
     def connect(self, timeout: float) -> None:
-        """Connect within so many seconds; the connection is closed where that fails."""
+        """Connect within `timeout` seconds; on failure, close the connection and raise the error."""
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.sock.settimeout(timeout)
             self.sock.connect(self.address)
-            # A response may take longer to begin than a connection may to be established.
+            # The timeout is for connecting only: a response may take longer to begin.
             self.sock.settimeout(None)
         except BaseException:
             self.close()
@@ -60,25 +60,26 @@
         self.reader.close()
 
     def write(self, data: bytes | bytearray) -> None:
-        """Write all of it, waiting where needed."""
+        """Write all of the data, waiting if necessary."""
         sockets.write(self.sock, data)
 
     def read_response(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
-        """Wait for the response: a complete one, or a long one that has begun.
+        """Wait until the response is complete or, if its body is too long to be buffered, has begun.
 
-        A response that has begun and then stalls would otherwise hold the connection and its request for as
-        long as the client waits.
+        Without the stall timeout, a response that has begun and then stalls would occupy the connection and
+        the request until the client's timeout.
 
         Args:
-            stall_timeout: Seconds for which a response that has begun may stand still.
-            on_large_body: Called once, with the size of the body, where it does not arrive with its head.
+            stall_timeout: Seconds without a byte after which a response that has begun is given up.
+            on_large_body: Called once with the expected size of the body, if the body does not arrive
+                together with its head.
 
         Returns:
-            None where the connection ended first.
+            The response, or None if the connection ended first.
 
         Raises:
-            StalledError: The response stood still.
-            MalformedMessageError: It is no response.
+            StalledError: The response stalled.
+            MalformedMessageError: The bytes are not a valid response.
             OSError: The connection failed.
         """
         reader = self.reader
@@ -89,7 +90,7 @@
         return response or (reader.response if reader.exceeds_body_buffer else None)
 
     def _read_rest(self, stall_timeout: float, on_large_body: Callable[[int], None]) -> Response | None:
-        """Read on until the response is complete or long, or the connection ends."""
+        """Read until the response is complete or exceeds the buffer, or the connection ends."""
         reader = self.reader
         response: Response | None = None
         has_more = True
--- a/linetrack/server/descriptor_budget.py
+++ b/linetrack/server/descriptor_budget.py
@@ -1,6 +1,6 @@
-"""The file descriptors that connections may use, shared by clients and upstreams.
+"""The budget of file descriptors for connections, which clients and upstreams share.
 
-It counts, and opens or closes nothing itself: whoever wants a connection acquires its descriptor here first.
+It only counts: a descriptor is acquired here before a connection is opened, and released after it is closed.
 """
 
 from __future__ import annotations
@@ -10,24 +10,25 @@
 from linetrack.control.connection_demand import UNCONTENDED_SHARE, UpstreamReserve
 from linetrack.server.clock import clock
 
-#: Not for connections: standard streams, the event loop's own, listeners, discovery, admin, files read at
-#: the start.
+#: Descriptors that are not available to connections: standard streams, those of the event loop, listening
+#: sockets, discovery, admin, and files read at startup.
 RESERVED_DESCRIPTORS = 40
-DESCRIPTORS_PER_CLIENT_SLOT = 3  # clients may hold one descriptor in so many for requests
-HANDOVER_DESCRIPTORS = 8  # beyond those in use, for a process whose successor takes over
+DESCRIPTORS_PER_CLIENT_SLOT = 3  # one in three descriptors is available to clients that send requests
+# Descriptors beyond those in use that a process keeps while its successor takes over.
+HANDOVER_DESCRIPTORS = 8
 
 
-def _never() -> bool:
-    """Nothing can be closed."""
+def _nothing_to_close() -> bool:
+    """Report that no connection was closed; used until a callback is set."""
     return False
 
 
 class DescriptorBudget:
-    """How many connections are open, and how many may be.
+    """Counts the open connections and limits their number.
 
     Args:
-        sockets: The process's limit.
-        max_clients: As many client connections as memory allows.
+        sockets: The descriptor limit of the process.
+        max_clients: The number of client connections that memory allows.
     """
 
     def __init__(self, sockets: int, max_clients: int) -> None:
@@ -38,13 +39,17 @@
         self.in_use = 0
         self.client_count = 0
         self.upstream_reserve = UpstreamReserve()
-        # Each closes one connection, if there is one that may be closed, and returns whether it did.
-        self.close_idle_upstream: Callable[[], bool] = _never
-        self.evict_client: Callable[[], bool] = _never
+        # Each closes one connection if one may be closed, and returns whether it did.
+        self.close_idle_upstream: Callable[[], bool] = _nothing_to_close
+        self.evict_client: Callable[[], bool] = _nothing_to_close
 
     # --- Connections to upstreams ------------------------------------------------------------------------
     def try_acquire(self) -> bool:
-        """Count one more connection to an upstream, closing an idle one or evicting a client's if need be."""
+        """Acquire a descriptor for a connection to an upstream.
+
+        If none is free, an idle connection to an upstream is closed or a client connection evicted.  Returns
+        False if neither is possible.
+        """
         if self.in_use >= self.limit and not self.close_idle_upstream() and not self.evict_client():
             return False
         self.in_use += 1
@@ -52,17 +57,21 @@
         return True
 
     def release(self) -> None:
-        """A connection to an upstream was closed."""
+        """Release the descriptor of a connection to an upstream, which was closed."""
         self.in_use -= 1
 
     @property
     def is_contended(self) -> bool:
-        """Whether more descriptors are in use than are free."""
+        """Whether the share of descriptors in use exceeds `UNCONTENDED_SHARE`."""
         return self.in_use > self.limit * UNCONTENDED_SHARE
 
     # --- Client connections ------------------------------------------------------------------------------
     def try_acquire_client(self) -> bool:
-        """Count one more client connection, closing an idle one to an upstream if need be."""
+        """Acquire a descriptor for a client connection.
+
+        If none is free, an idle connection to an upstream is closed.  Returns False if that is not possible
+        or if there are too many client connections.
+        """
         capacity = self.upstream_reserve.client_capacity(clock(), self.limit)
         if self.client_count >= min(self.max_clients, capacity):
             return False
@@ -73,30 +82,30 @@
         return True
 
     def release_client(self) -> None:
-        """A client connection was closed."""
+        """Release the descriptor of a client connection, which was closed."""
         self.client_count -= 1
         self.release()
 
     # --- Hot restart -------------------------------------------------------------------------------------
     def adopt_client(self) -> None:
-        """A client connection was migrated to this process, and its descriptor with it."""
+        """Count a client connection that was migrated to this process together with its descriptor."""
         self.limit += 1
         self.in_use += 1
         self.client_count += 1
 
     def migrate_client(self) -> None:
-        """A client connection was migrated to another process, and its descriptor with it."""
+        """Give up the descriptor of a client connection that was migrated to another process."""
         self.limit -= 1
 
     def yield_to_successor(self) -> int:
-        """Keep what is in use and a few more; return how many descriptors a successor may use meanwhile."""
+        """Keep the descriptors in use and a few more; return how many of the others a successor may use."""
         self.limit = min(self.limit, self.in_use + HANDOVER_DESCRIPTORS)
         return self.sockets - self.limit - RESERVED_DESCRIPTORS
 
     def limit_to(self, sockets: int) -> None:
-        """Another process beside this one uses the other descriptors."""
+        """Limit this process to `sockets` descriptors, as another process uses the others."""
         self.limit = max(0, sockets - RESERVED_DESCRIPTORS)
 
     def restore(self) -> None:
-        """All descriptors are this process's."""
+        """Use all descriptors again."""
         self.limit = self.sockets - RESERVED_DESCRIPTORS
--- a/linetrack/server/dispatcher.py
+++ b/linetrack/server/dispatcher.py
@@ -1,9 +1,9 @@
-"""The one greenlet that calls the policy: a queue of notifications, the policy's timers and its clock.
+"""The dispatcher, the only greenlet that calls the policy: it owns the notification queue and the timers.
 
 Every notification reaches the policy through `Dispatcher.enqueue`, with the time at which it was seen, and
-every action that the policy returns becomes one call here.  The dispatcher touches no socket, waits for
-nothing but its queue (save one turn of the event loop, so that a response is written first), and does not
-decide what becomes of a request.
+the dispatcher performs every action that the policy returns.  It uses no socket and makes no decisions about
+requests.  It waits only for its queue, except for one turn of the event loop in which a response is written
+before the policy is called.
 """
 
 from __future__ import annotations
@@ -58,11 +58,14 @@
 
 
 def _ignore_endpoint(endpoint: str) -> None:
-    """Do nothing: there are no idle connections to close."""
+    """Do nothing; used where there are no idle connections to close."""
 
 
 class Dispatcher:
-    """Feeds one policy and performs its actions.  Times are microseconds of `linetrack.server.clock`."""
+    """Passes events to one policy and performs its actions.
+
+    Times are in microseconds of `linetrack.server.clock`.
+    """
 
     def __init__(
         self,
@@ -73,12 +76,12 @@
         close_idle_connections: Callable[[str], None] = _ignore_endpoint,
         metrics: Metrics | None = None,
     ) -> None:
-        """Prepare a dispatcher that `run` starts.
+        """Create a dispatcher, which does not process anything until `run` is called.
 
         Args:
             policy: Decides about every request.
             start_attempt: Starts sending an attempt, without waiting.
-            abort_attempt: Closes the connection of an attempt that has ended here, without waiting.
+            abort_attempt: Closes the connection of an attempt that the dispatcher has ended, without waiting.
             watch_endpoints: Subscribes to endpoint lists.
             close_idle_connections: Closes the idle connections to an endpoint.
             metrics: The counters of the process.
@@ -88,7 +91,7 @@
         self.queue: deque[tuple[int, Notification]] = deque()
         self.active_requests: dict[int, ActiveRequest] = {}
         self.timers: TimerQueue[TimerFired | Attempt] = TimerQueue()
-        self.shutdown_deadline = NEVER  # when all requests must be answered, once the process is to exit
+        self.shutdown_deadline = NEVER  # during shutdown, when all requests must have their responses
         self._start_attempt = start_attempt
         self._abort_attempt = abort_attempt
         self._watch_endpoints = watch_endpoints
@@ -100,12 +103,12 @@
         self._alarm_at = NEVER
 
     def enqueue(self, notification: Notification, seen_at: int) -> None:
-        """Add what was seen on a socket at `seen_at`; may be called from any greenlet."""
+        """Add a notification whose cause was seen at `seen_at`; may be called from any greenlet."""
         self.queue.append((seen_at, notification))
         self._wakeup.set()
 
     def next_request_id(self) -> int:
-        """Return the identifier of a new request; none is used twice."""
+        """Return an identifier for a new request, unique within the process."""
         return next(self._request_ids)
 
     def run(self) -> None:
@@ -121,7 +124,7 @@
 
     # --- The queue and the timers --------------------------------------------------------------------
     def _next_notification(self) -> tuple[int, Notification] | None:
-        """Wait for the next notification; return None once a timer is due before it."""
+        """Wait for the next notification and return it, or return None as soon as a timer is due."""
         while not self.queue:
             due_at = self.timers.next_due_at()
             if due_at is not None and due_at <= clock():
@@ -130,10 +133,10 @@
         return self.queue.popleft()
 
     def _wait(self, due_at: int | None) -> None:
-        """Wait until something is enqueued or the next timer is due.
+        """Wait until a notification is enqueued or the next timer is due.
 
-        There is one alarm for all timers.  It is set anew only for an earlier one, as most waits end long
-        before it.
+        All timers share one timer of the event loop, the alarm.  It is replaced only if the next timer is due
+        earlier, as most waits end long before the alarm.
         """
         if due_at is not None and due_at < self._alarm_at:
             self._alarm_at = due_at
@@ -148,7 +151,7 @@
         self._wakeup.set()
 
     def _fire_due_timers(self, now: int) -> None:
-        """Fire the timers that are due by now, in their order, each at its own time."""
+        """Fire the timers that are due by now in order, passing each one's due time as the current time."""
         while (timer := self.timers.pop_due(now)) is not None:
             due_at, item = timer
             if isinstance(item, Attempt):
@@ -194,9 +197,9 @@
         self._forget_if_finished(request)
 
     def _on_body_sent(self, seen_at: int, attempt: Attempt) -> None:
-        """Begin an attempt's time with the last byte of its long body.
+        """Measure an attempt's latency from the last byte of its long body.
 
-        Where the body was streamed, the request's time begins with it too.
+        If the body was streamed, the timeout of the request starts with that byte, too.
         """
         request = attempt.request
         if attempt.has_ended or request.is_completed:
@@ -209,7 +212,7 @@
         self._notify_policy(seen_at, RequestBodySent(request.request_id, attempt.index))
 
     def _on_response_started(self, seen_at: int, started: StartedResponse) -> None:
-        """Make a streamed response the request's response, unless it has one."""
+        """Reply with a streamed response, unless the request has a response or the attempt has ended."""
         attempt = started.attempt
         request = attempt.request
         stream = started.stream
@@ -243,7 +246,7 @@
         self._forget_if_finished(request)
 
     def _on_stream_finished(self, request: ActiveRequest, outcome: Outcome) -> None:
-        """Count the end of a request whose response was streamed."""
+        """Complete a request whose response was streamed, and count its outcome."""
         if request.is_completed:
             return
         request.is_completed = True
@@ -261,12 +264,12 @@
             statuses.OK, response.body, response.content_type, content_length=response.content_length
         )
         self._reply(request, final, RequestOutcome.SERVED)
-        # the client's greenlet writes it before the policy does its work on the attempt's end; what others
-        # enqueue meanwhile is processed after that
+        # The client's greenlet writes the response before the policy processes the end of the attempt.
+        # Notifications that arrive meanwhile are processed after it.
         gevent.sleep(0)
 
     def _complete(self, request_id: int, final: FinalResponse, outcome: RequestOutcome) -> None:
-        """Send the policy's own final response; a request that is completed stays as it is."""
+        """Send a final response that the policy decided on, unless the request is already completed."""
         request = self.active_requests.get(request_id)
         if request is not None and not request.is_completed:
             self._reply(request, final, outcome)
@@ -282,10 +285,10 @@
             self.active_requests.pop(request.request_id, None)
             request.release_references()
 
-    # --- Attempts that end here ----------------------------------------------------------------------
+    # --- Attempts that the dispatcher ends -----------------------------------------------------------
     def time_out(self, attempt: Attempt, due_at: int) -> None:
-        """End an attempt at its deadline: its connection is closed at once and the policy is notified."""
-        # a streamed response has limits of its own; a deadline that was moved has a timer of its own
+        """End an attempt at its deadline: close its connection at once and notify the policy."""
+        # A streamed response has timeouts of its own, and a deadline that was moved has another timer.
         if attempt.has_ended or attempt.has_response_started or attempt.deadline > due_at:
             return
         attempt.has_ended = True
@@ -294,7 +297,7 @@
         self._on_attempt_finished(due_at, FinishedAttempt(attempt, Outcome.TIMEOUT, latency))
 
     def _cancel(self, request_id: int, attempt_index: int) -> None:
-        """Cancel an attempt; its end is enqueued, as the policy's own actions are still being performed."""
+        """Cancel an attempt; its end is enqueued, as actions of the policy are still being performed."""
         request = self.active_requests.get(request_id)
         if request is None or request.attempts[attempt_index].has_ended:
             return
@@ -307,7 +310,7 @@
 
     # --- The policy ----------------------------------------------------------------------------------
     def _notify_policy(self, now: int, event: Event) -> None:
-        """Hand an event to the policy, whose time never goes back, and perform the actions it returns."""
+        """Pass an event to the policy with a time that never decreases, and perform the returned actions."""
         self._policy_time = max(self._policy_time, now)
         for action in self.policy.handle(self._policy_time, event):
             self.perform(action)
@@ -316,7 +319,7 @@
         """Perform one action of the policy.
 
         Raises:
-            NotImplementedError: The policy of this program returns no such action.
+            NotImplementedError: The action is one that the policies of this program do not return.
         """
         match action:
             case StartAttempt():
@@ -335,7 +338,7 @@
             case CloseIdleConnections(endpoint):
                 self._close_idle_connections(endpoint)
             case _:
-                raise NotImplementedError(f"the policy never returned {action!r} before")
+                raise NotImplementedError(f"unsupported action of the policy: {action!r}")
 
     def _start(self, action: StartAttempt) -> None:
         request = self.active_requests[action.request_id]
--- a/linetrack/server/lingering_close.py
+++ b/linetrack/server/lingering_close.py
@@ -1,4 +1,4 @@
-"""Closing a connection to a client that may still be sending."""
+"""Closing a connection whose client may still be sending."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 from linetrack.server.http1.limits import MAX_BODY_BYTES
 from linetrack.server.sockets import READ_SIZE
 
-MAX_DISCARDED_BYTES = 256 * 1024  # of what a client still sends, unless it is in the middle of a body
+# The most bytes that are read and discarded before closing, unless the client is in the middle of a body.
+MAX_DISCARDED_BYTES = 256 * 1024
 
 
 def discard_until_close(client: DeadlineSocket, is_body_incomplete: bool) -> None:
     """After the last response, read and discard what the client still sends.
 
-    Closing at once would reset the connection, and the reset could overtake the response.  A client in the
-    middle of a body that is not wanted may go on at the pace of any other.
+    Closing at once would reset the connection, and the client could lose the response because of the reset.
+    A client in the middle of a body, which is discarded, gets the same time as for a body that is used.
     """
-    began = clock()
+    started_at = clock()
     max_discarded = MAX_BODY_BYTES if is_body_incomplete else MAX_DISCARDED_BYTES
-    client.deadline = began + client_timeouts.LINGER_TIMEOUT_US
+    client.deadline = started_at + client_timeouts.LINGER_TIMEOUT_US
     discarded = 0
     try:
         client.sock.shutdown(socket.SHUT_WR)
         while discarded < max_discarded and (data := client.sock.recv(READ_SIZE)):
             discarded += len(data)
             if is_body_incomplete:
-                earned = discarded * SECOND // client_timeouts.MIN_BODY_BYTES_PER_SECOND
-                client.deadline = min(clock(), began + earned) + client_timeouts.REQUEST_TIMEOUT_US
+                extension = discarded * SECOND // client_timeouts.MIN_BODY_BYTES_PER_SECOND
+                client.deadline = min(clock(), started_at + extension) + client_timeouts.REQUEST_TIMEOUT_US
     except OSError:
         pass
--- a/linetrack/server/listener.py
+++ b/linetrack/server/listener.py
@@ -1,8 +1,8 @@
-"""The application's listener and the connections that it has accepted.
+"""The listener for the application's connections, and the connections that it has accepted.
 
-It accepts connections within the budget, and closes those that are evicted, have expired or are out of
-time.  What happens on one connection is `client_connection.py`'s, what a valid request is
-`request_validation.py`'s.
+It accepts connections within the budget, and closes those that are evicted, were idle for too long or have
+passed their deadlines.  A single connection is handled in `client_connection.py`, the validation of requests
+in `request_validation.py`.
 """
 
 from __future__ import annotations
@@ -28,21 +28,21 @@
 log = structlog.get_logger()
 
 LISTEN_BACKLOG = 1024
-SWEEP_INTERVAL_SECONDS = 0.1  # between checks for connections that are out of time
-ACCEPT_BATCH_SIZE = 64  # connections accepted in one turn of the event loop
-ACCEPT_RETRY_SECONDS = 0.01  # until accepting is tried again where the budget or the process had no room
+SWEEP_INTERVAL_SECONDS = 0.1  # between checks for connections that have passed their deadlines
+ACCEPT_BATCH_SIZE = 64  # the maximum number of connections accepted in one turn of the event loop
+ACCEPT_RETRY_SECONDS = 0.01  # the delay before accepting is retried if no descriptor was available
 
 
 class Listener:
-    """Accepts connections and keeps all that are open; the `ConnectionHost` of its connections.
+    """Accepts connections and keeps track of the open ones, as their `ConnectionHost`.
 
     Args:
-        dispatcher: Gets the requests.
-        budget: Of the process.
+        dispatcher: Receives the requests.
+        budget: The budget of the process.
         class_names: The request classes, in the order of their indices.
-        deadlines: Microseconds that a request of each class may take.
-        is_serving: Whether the process is ready for requests.
-        rounds_retry_after: Whether advice to retry is given in whole seconds.
+        deadlines: The maximum duration of a request of each class, in microseconds.
+        is_serving: Returns whether the process is ready for requests.
+        rounds_retry_after: Whether `Retry-After` headers are rounded up to whole seconds.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
 
     # --- Accepting ---------------------------------------------------------------------------------------
     def listen(self, address: tuple[str, int], reuse_port: bool = False) -> None:
-        """Open the listening socket; with `reuse_port` another process can listen on the same address."""
+        """Open the listening socket; with `reuse_port`, another process can listen on the same address."""
         self.listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if reuse_port:
@@ -80,18 +80,18 @@
         self.listening_socket.listen(LISTEN_BACKLOG)
 
     def accept(self) -> None:
-        """Accept connections, for ever; beyond the budget they wait in the backlog."""
+        """Run forever and accept connections; those beyond the budget wait in the backlog."""
         assert self.listening_socket is not None
         while True:
-            # Connections are evicted only once another one waits.
+            # Wait first, as a connection is evicted only for another one that is in the backlog.
             socket.wait_read(self.listening_socket.fileno())
             self._accept_batch(self.listening_socket)
 
     def _accept_batch(self, listening_socket: socket.socket) -> None:
         """Accept several connections in one turn of the event loop.
 
-        A turn is long when there is much to do, and clients that wait a turn each would give up and come
-        again.
+        Under load a turn takes long.  If each connection had to wait for a turn of its own, clients would
+        time out and reconnect.
         """
         for _ in range(ACCEPT_BATCH_SIZE):
             if not is_readable(listening_socket):
@@ -107,46 +107,46 @@
                 gevent.sleep(ACCEPT_RETRY_SECONDS)
 
     def _accept_one(self) -> None:
-        """Accept one connection, whose descriptor was acquired; it is released where that fails."""
+        """Accept one connection, for which a descriptor was acquired; release the descriptor on failure."""
         assert self.listening_socket is not None
         try:
             sock, _ = self.listening_socket.accept()
         except BaseException:
             self.budget.descriptors.release_client()
             raise
-        self._serve(sock)
+        self._start_connection(sock)
 
-    def _serve(self, sock: socket.socket) -> ClientConnection:
+    def _start_connection(self, sock: socket.socket) -> ClientConnection:
         connection = ClientConnection(sock, self)
         self.connections[connection.slot] = connection
         connection.greenlet.start()
         return connection
 
-    def connection_ended(self, connection: ClientConnection) -> None:
-        """The connection is closed: free its slot and its descriptor."""
+    def on_connection_closed(self, connection: ClientConnection) -> None:
+        """Free the slot and the descriptor of a connection that was closed."""
         del self.connections[connection.slot]
         self.slots.close(connection.slot, clock())
         self.budget.descriptors.release_client()
 
     # --- Closing -----------------------------------------------------------------------------------------
     def sweep(self) -> None:
-        """Close connections that are out of time, for ever."""
-        sweeps_since_forgetting = 0
+        """Run forever and close expired connections; also discard old request identifiers."""
+        sweeps_since_discard = 0
         while True:
             gevent.sleep(SWEEP_INTERVAL_SECONDS)
             self.close_expired(clock())
-            sweeps_since_forgetting += 1
-            elapsed = sweeps_since_forgetting * SWEEP_INTERVAL_SECONDS * SECOND
+            sweeps_since_discard += 1
+            elapsed = sweeps_since_discard * SWEEP_INTERVAL_SECONDS * SECOND
             if elapsed >= client_timeouts.REQUEST_TIMEOUT_US:
-                sweeps_since_forgetting = 0
+                sweeps_since_discard = 0
                 self.validator.recent_ids.forget_older()
 
     def close_expired(self, now: int) -> None:
-        """Close whoever is out of time or not worth its slot, and find clients that have disconnected."""
-        out_of_time = [connection for connection in self.connections.values() if connection.deadline <= now]
-        for connection in out_of_time:
+        """Close connections past their deadline or not worth their slot, and detect disconnected clients."""
+        expired = [connection for connection in self.connections.values() if connection.deadline <= now]
+        for connection in expired:
             is_reading = connection.is_busy or connection.reader.has_partial_request
-            # A request may have arrived just as the time was over.
+            # A request may have arrived just before the deadline and be unread: that connection is kept.
             if is_reading or not is_readable(connection.sock):
                 connection.expire()
         for connection, pending in list(self.unread_connections.items()):
@@ -156,7 +156,7 @@
             pass
 
     def _evict(self) -> bool:
-        """Close a connection for another one; False where none may be closed yet."""
+        """Close a connection to make room for another one; return False if none may be closed yet."""
         return self._close_selected(self.slots.select_eviction)
 
     def _close_selected(self, select: Callable[[int], ConnectionSlot | None]) -> bool:
@@ -164,7 +164,7 @@
         while slot := select(now):
             connection = self.connections[slot]
             if slot.state is not SlotState.PARTIAL_REQUEST and not connection.is_idle():
-                # Something has arrived that its greenlet has not read yet.
+                # Bytes have arrived that its greenlet has not read yet.
                 self.slots.begin_request(slot, now)
                 continue
             self.slots.close(slot, now)
@@ -174,9 +174,9 @@
 
     # --- Hot restart and shutdown ------------------------------------------------------------------------
     def adopt(self, fd: int, response_count: int) -> None:
-        """Serve a connection that another process has served so far."""
+        """Serve a connection that was migrated from another process."""
         self.budget.descriptors.adopt_client()
-        connection = self._serve(socket.socket(fileno=fd))
+        connection = self._start_connection(socket.socket(fileno=fd))
         if response_count:
             now = clock()
             connection.response_count = response_count
@@ -185,19 +185,19 @@
             self.slots.mark_idle(connection.slot, now)
 
     def migrate_connections(self, migrate: Callable[[int, int], bool]) -> None:
-        """From now on hand each connection to another process as soon as no request is on it."""
+        """From now on, migrate each connection to another process as soon as it is between requests."""
         self.migrate = migrate
-        # A greenlet that was interrupted before it began would never begin.
+        # Let new greenlets start: one that is interrupted before its start would never run.
         gevent.sleep(0)
         for connection in list(self.connections.values()):
             if connection.is_between_requests():
                 connection.interrupt(ConnectionMigratedError(), ClientConnection.is_between_requests)
 
     def stop_accepting(self) -> None:
-        """Accept what is in the backlog, then close the listening socket.
+        """Accept the connections in the backlog, then close the listening socket.
 
-        A request in the backlog must not be lost because other connections have all the slots: until the
-        process ends there is time to evict one of them.
+        A request in the backlog must not be lost because other connections occupy all slots: until the
+        shutdown deadline, one of them can be evicted.
         """
         assert self.listening_socket is not None
         self.listening_socket.setblocking(False)
@@ -213,7 +213,7 @@
         self.listening_socket.close()
 
     def close_between_requests(self) -> None:
-        """From now on close each connection as soon as no request is on it."""
+        """From now on, close each connection as soon as it is between requests."""
         self.is_closing = True
         for connection in list(self.connections.values()):
             if connection.is_idle():
--- a/linetrack/server/memory_budget.py
+++ b/linetrack/server/memory_budget.py
@@ -1,6 +1,6 @@
-"""The memory that large messages may use, shared by clients and upstreams.
+"""The budget of memory for large messages, which clients and upstreams share.
 
-It counts and does not allocate: whoever holds a large body reserves its bytes here and releases them.
+It only counts: memory is reserved here before a large body is held, and released afterwards.
 """
 
 from __future__ import annotations
@@ -11,47 +11,53 @@
 import gevent
 
 MIB = 1024 * 1024
-BASE_MEMORY_MB = 20  # the program itself, with nothing on its connections
-SMALL_BODY_BYTES = 8 * 1024  # up to which a body is part of its connection's memory; most are far smaller
-COPIES_PER_LARGE_BODY = 4  # held at once: as received, joined, as forwarded, as sent
-#: Of the memory for large messages; the rest is for responses that are buffered until they are complete.
+BASE_MEMORY_MB = 20  # the memory of the program without any connections
+# The largest body that counts as part of its connection's memory; most bodies are far smaller.
+SMALL_BODY_BYTES = 8 * 1024
+COPIES_PER_LARGE_BODY = 4  # held at the same time: as received, joined, as forwarded, as sent
+#: The share of the memory for large messages that long request bodies may use; the rest remains for responses
+#: that are buffered until they are complete.
 MAX_LONG_BODY_SHARE = 0.75
-STREAM_MEMORY_DIVISOR = 8  # the chunks of all streamed messages together are at most this part of the memory
-MIN_CHUNK_BYTES = 4 * 1024  # of a streamed message, read at once
+# The chunks of all streamed messages together use at most one part in eight of the memory for large messages.
+STREAM_MEMORY_DIVISOR = 8
+# The limits of the chunk size, which is the number of bytes read at a time from a streamed message.
+MIN_CHUNK_BYTES = 4 * 1024
 MAX_CHUNK_BYTES = 64 * 1024
-POLL_INTERVAL_SECONDS = 0.005  # until it is checked again whether a large body fits
+POLL_INTERVAL_SECONDS = 0.005  # between checks whether a large body fits
 
 
-def connection_memory(memory_mb: int) -> int:
-    """Half of what the program leaves of its memory, in bytes.
+def connection_memory_bytes(memory_mb: int) -> int:
+    """Return the memory for client connections in bytes: half of what the program itself does not need.
 
-    One half is for connections, the other for large bodies.
+    The other half is for large bodies.
     """
     return max(0, memory_mb - BASE_MEMORY_MB) * MIB // 2
 
 
 class MemoryBudget:
-    """Bytes for large bodies, and the size of the chunks in which messages are streamed."""
+    """Counts the bytes reserved for large bodies, and sets the chunk size of streamed messages."""
 
     def __init__(self, memory_mb: int) -> None:
         self.memory_mb = memory_mb
-        self.max_bytes = connection_memory(memory_mb)
+        self.max_bytes = connection_memory_bytes(memory_mb)
         self.reserved_bytes = 0
         self.stream_count = 0
 
     def share_with_other_process(self) -> None:
-        """Another process beside this one has a base of its own and its large bodies."""
+        """Leave memory for another process: for its base memory and its large bodies."""
         self.max_bytes = max(0, self.memory_mb - 2 * BASE_MEMORY_MB) * MIB // 2
 
     def restore(self) -> None:
-        """All of the memory is this process's."""
-        self.max_bytes = connection_memory(self.memory_mb)
+        """Use all of the memory again."""
+        self.max_bytes = connection_memory_bytes(self.memory_mb)
 
     def wait_and_reserve(self, body_bytes: int) -> int:
-        """Wait until a body of this size fits, and reserve memory for it; one alone always fits.
+        """Wait until a body of this size fits, and reserve memory for it.
+
+        If nothing else is reserved, a body of any size fits.
 
         Returns:
-            The bytes to release later; none for a small body.
+            The number of bytes to release later; 0 for a small body.
         """
         if body_bytes <= SMALL_BODY_BYTES:
             return 0
@@ -61,20 +67,20 @@
         self.reserved_bytes += reservation
         return reservation
 
-    def try_reserve(self, count: int) -> bool:
-        """Reserve so many more bytes of a long body, if they fit."""
-        if self.reserved_bytes + count > self.max_bytes * MAX_LONG_BODY_SHARE:
+    def try_reserve(self, byte_count: int) -> bool:
+        """Reserve more bytes for a long body if they fit; return whether they do."""
+        if self.reserved_bytes + byte_count > self.max_bytes * MAX_LONG_BODY_SHARE:
             return False
-        self.reserved_bytes += count
+        self.reserved_bytes += byte_count
         return True
 
-    def release(self, count: int) -> None:
-        """Give reserved bytes back."""
-        self.reserved_bytes -= count
+    def release(self, byte_count: int) -> None:
+        """Release reserved bytes."""
+        self.reserved_bytes -= byte_count
 
     @contextmanager
     def streaming(self) -> Iterator[None]:
-        """Count one more message that is streamed."""
+        """Count one more streamed message while the context is active."""
         self.stream_count += 1
         try:
             yield
@@ -82,6 +88,6 @@
             self.stream_count -= 1
 
     def chunk_size(self) -> int:
-        """Bytes to read at once of each streamed message."""
+        """Return how many bytes to read at a time from each streamed message."""
         share = self.max_bytes // STREAM_MEMORY_DIVISOR // max(1, self.stream_count)
         return max(MIN_CHUNK_BYTES, min(MAX_CHUNK_BYTES, share))
--- a/linetrack/server/notifications.py
+++ b/linetrack/server/notifications.py
@@ -1,7 +1,7 @@
-"""What the network code notifies the dispatcher of.
+"""The notifications that the network code sends to the dispatcher.
 
-The notifications that come with each request are not frozen, as constructing a frozen one takes three times
-as long; nothing changes them either.  Latencies are microseconds.
+None of them is modified.  Those that every request causes are not declared frozen all the same, as it takes
+three times as long to construct a frozen instance.  Latencies are in microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class IncomingRequest:
-    """A client's request has been read; where its body is streamed, its head has."""
+    """A client's request has been read or, if its body is streamed, its head has been read."""
 
     request: ClientRequest
     received: RequestReceived
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class StartedResponse:
-    """The response of an attempt has begun and is streamed."""
+    """The response of an attempt has begun and will be streamed."""
 
     attempt: Attempt
     latency: int
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class FinishedAttempt:
-    """An attempt has ended; `response` is set where it is to go to the client as a whole."""
+    """An attempt has ended; `response` is set if it is complete and successful, to be sent to the client."""
 
     attempt: Attempt
     outcome: Outcome
@@ -62,7 +62,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SerializedCallback:
-    """A callback that runs between two notifications, in the order of the queue."""
+    """A callback that the dispatcher runs in the order of its queue, between other notifications."""
 
     callback: Callable[[], None]
 
--- a/linetrack/server/pending_request.py
+++ b/linetrack/server/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that the dispatcher has, and whether its client is still connected."""
+"""A request that waits for its final response, and the check whether its client is still connected."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class PendingRequest:
-    """A request from when it is dispatched until its final response, or until its client has disconnected.
+    """A request from when it is dispatched until its final response, or until its client disconnects.
 
     Args:
-        dispatcher: Notified once the client has disconnected.
-        sock: The client's.
-        request_id: The dispatcher's number of the request.
+        dispatcher: Notified if the client disconnects.
+        sock: The socket of the client.
+        request_id: The dispatcher's identifier of the request.
         keep_alive: Whether the client may send further requests; otherwise it may close its sending side.
-        received_at: When the request was complete.
+        received_at: When the request was complete, in microseconds of the clock.
     """
 
     __slots__ = ("dispatcher", "keep_alive", "received_at", "request_id", "result", "sock")
@@ -42,11 +42,14 @@
         self.result: AsyncResult[FinalResponse | None] = AsyncResult()
 
     def is_abandoned(self) -> bool:
-        """Whether nothing more is to be started for the client, as far as its socket shows.
+        """Return whether no further attempt may be started for the client, judging by its socket.
 
-        If it has disconnected, the dispatcher is notified before whatever is reported to it later.  A
-        client that announced that it would send nothing more may have closed its sending side only and is
-        still owed a response; but nothing more is started for it once it may as well have disconnected.
+        If the client has disconnected, the dispatcher is notified at once, ahead of anything that is reported
+        to it later.
+
+        A client that announced this request as its last may have closed only its sending side.  It still gets
+        a response, but after `HALF_CLOSE_GRACE_US` no further attempt is started for it, as it may have
+        disconnected instead.
         """
         if self.result.ready():
             return True
@@ -54,10 +57,10 @@
         if state is PeerState.BROKEN or (self.keep_alive and state is PeerState.HALF_CLOSED):
             self.abandon()
             return True
-        time_pending = clock() - self.received_at
-        return state is PeerState.HALF_CLOSED and time_pending > client_timeouts.HALF_CLOSE_GRACE_US
+        pending_time = clock() - self.received_at
+        return state is PeerState.HALF_CLOSED and pending_time > client_timeouts.HALF_CLOSE_GRACE_US
 
     def abandon(self) -> None:
-        """The client has disconnected: notify the dispatcher, and wake whoever waits for the response."""
+        """Notify the dispatcher that the client has disconnected, and wake the greenlet that waits."""
         self.dispatcher.enqueue(DisconnectedClient(self.request_id), clock())
         self.result.set(None)
--- a/linetrack/server/request_validation.py
+++ b/linetrack/server/request_validation.py
@@ -1,7 +1,7 @@
-"""Checks of what clients send, which turn a message into the event that the policy handles.
+"""Validation of the requests that clients send, and their conversion to events for the policy.
 
-A message that fails a check raises a `RejectedRequestError` with the status to respond with; nothing is
-read from or written to a socket here.
+A request that fails a check raises a `RejectedRequestError` with the status to respond with.  Nothing here
+reads from sockets or writes to them.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from linetrack.server.http1.requests import ClientRequest
 from linetrack.server.recent_request_ids import RecentRequestIds
 
-MAX_LOGGED_PATH_LENGTH = 80
+MAX_LOGGED_PATH_LENGTH = 80  # characters
 MAX_INTEGER_DIGITS = 15
 
-# Names on the wire, in the header of properties.
+# The names and values of properties on the wire, in the header `X-Props`.
 TENANT_PROPERTY = "party"
 WORK_PROPERTY = "workUs"
 WRITE_PROPERTY = "update"
@@ -30,7 +30,7 @@
 
 
 class RejectionReason(Enum):
-    """Why a message is no request that the policy could handle."""
+    """Why a request is rejected before it reaches the policy."""
 
     UNKNOWN_CLASS = auto()
     MISSING_REQUEST_ID = auto()
@@ -51,11 +51,11 @@
 
 
 class RejectedRequestError(MalformedMessageError):
-    """A message that is not forwarded.
+    """Raised for a request that is rejected before it reaches the policy.
 
     Attributes:
-        rejection: Which check it failed.
-        path: Its path.
+        rejection: Which check the request failed.
+        path: The path of the request.
     """
 
     def __init__(self, rejection: RejectionReason, path: str) -> None:
@@ -67,22 +67,22 @@
 
 @dataclass(slots=True, frozen=True)
 class ValidRequest:
-    """What a message that passed the checks says."""
+    """The values parsed from a request that passed the checks."""
 
     class_name: str
     class_index: int
     affinity_key: str
     timeout: int
-    """Microseconds for which the client waits."""
+    """How long the client waits, in microseconds."""
 
 
 class RequestValidator:
-    """The checks of one process.
+    """Validates the requests of one process.
 
     Args:
-        dispatcher: Numbers the requests, counts them and has the moment at which the process ends.
+        dispatcher: Assigns the identifiers of requests, counts requests and knows the shutdown deadline.
         class_names: The request classes, in the order of their indices.
-        deadlines: Microseconds that a request of each class may take.
+        deadlines: The maximum duration of a request of each class, in microseconds.
     """
 
     def __init__(
@@ -93,12 +93,12 @@
         self.configure(class_names, deadlines)
 
     def configure(self, class_names: tuple[str, ...], deadlines: tuple[int, ...]) -> None:
-        """Use these classes and deadlines for what is checked from here on."""
+        """Use these classes and deadlines for requests that are checked from now on."""
         self.class_indices = {name: index for index, name in enumerate(class_names)}
         self.deadlines = deadlines
 
     def validate(self, request: ClientRequest) -> ValidRequest:
-        """Return what a message says; raises a `RejectedRequestError` where it fails a check."""
+        """Return the values parsed from a request; raises a `RejectedRequestError` if it fails a check."""
         segments = request.path_segments()
         class_index = self.class_indices.get(segments[0]) if segments else None
         timeout = parse_timeout(request.expires_in)
@@ -109,7 +109,7 @@
         if timeout is None or timeout < 0:
             raise RejectedRequestError(RejectionReason.INVALID_TIMEOUT, request.path)
         if request.trace_id in self.recent_ids:
-            # It could be executed twice, or get the response to the other request of this identifier.
+            # It could be executed twice, or get the response to the other request with this identifier.
             raise RejectedRequestError(RejectionReason.DUPLICATE_REQUEST_ID, request.path)
         if timeout == 0:
             raise RejectedRequestError(RejectionReason.TIMEOUT_EXPIRED, request.path)
@@ -117,16 +117,18 @@
         return ValidRequest(segments[0], class_index, affinity_key, timeout)
 
     def accept(self, request: ClientRequest) -> RequestReceived:
-        """Return the event for the policy; the request is open until `finish` is called with its identifier.
+        """Validate a request and return its event for the policy.
+
+        The request is open until `finish` is called with its identifier.
 
         Raises:
-            RejectedRequestError: It fails a check, or there is no time left to serve it.
+            RejectedRequestError: The request fails a check, or the process ends before it could be served.
         """
         valid = self._validate_and_count(request)
         request.class_name = valid.class_name
-        # A request that arrives while the process ends must get its response before the end.
-        time_left = self.dispatcher.shutdown_deadline - clock()
-        timeout = min(valid.timeout, self.deadlines[valid.class_index], time_left)
+        # A request that arrives during the shutdown must get its response before the process ends.
+        time_until_shutdown = self.dispatcher.shutdown_deadline - clock()
+        timeout = min(valid.timeout, self.deadlines[valid.class_index], time_until_shutdown)
         if timeout <= 0:
             self._count(request.class_name, RequestOutcome.REJECTED)
             raise RejectedRequestError(RejectionReason.PROCESS_ENDING, request.path)
@@ -145,11 +147,11 @@
         )
 
     def finish(self, request_id: str) -> None:
-        """The request with this identifier is finished."""
+        """Mark the request with this identifier as finished."""
         self.recent_ids.finish(request_id)
 
     def _validate_and_count(self, request: ClientRequest) -> ValidRequest:
-        """Validate, and count a request whose time was over when it arrived."""
+        """Validate a request; if its timeout had expired when it arrived, count it as failed."""
         try:
             return self.validate(request)
         except RejectedRequestError as error:
@@ -158,11 +160,11 @@
             raise
 
     def _count(self, class_name: str, outcome: RequestOutcome) -> None:
-        """Count a request that ends here."""
+        """Count a request that does not reach the policy, with its outcome."""
         self.dispatcher.metrics.requests_received += 1
         self.dispatcher.metrics.record_outcome(class_name, outcome)
 
 
 def _parse_integer(text: str) -> int:
-    """The value of a property that is a number of at most 15 digits; 0 for anything else."""
+    """Return the value of a property that is a number of at most 15 digits, and 0 for any other text."""
     return int(text) if text.isdecimal() and len(text) <= MAX_INTEGER_DIGITS else 0
--- a/linetrack/server/response_stream.py
+++ b/linetrack/server/response_stream.py
@@ -1,4 +1,4 @@
-"""A long response on its way from an upstream to a client."""
+"""A long response that is forwarded from an upstream to a client as it arrives."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class ResponseStream:
-    """Read by whoever writes it to the client, who also reports how it ended.
+    """The body of a long response; the client's connection reads it, writes it and reports its outcome.
 
     Args:
-        connection: The upstream's, on which the response has begun.
-        response: Its head.
-        stall_timeout: Seconds for which the upstream may send nothing.
-        read_size: Returns how many bytes to read at once.
+        connection: The connection to the upstream, on which the response has begun.
+        response: The head of the response.
+        stall_timeout: Seconds without a byte from the upstream after which reading fails.
+        read_size: Returns how many bytes to read at a time.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         connection.sock.settimeout(stall_timeout)
 
     def read_chunks(self) -> list[bytes | bytearray]:
-        """Wait for the next chunks of the body; empty once it is complete.
+        """Wait for the next chunks of the body and return them; returns an empty list once it is complete.
 
         Raises:
             OSError: The connection failed or ended early, or the upstream stalled.
@@ -52,6 +52,6 @@
         return chunks
 
     def finish(self, outcome: Outcome) -> None:
-        """Report how it ended; the first report counts."""
+        """Report the outcome of the stream; only the first report counts."""
         if not self.outcome.ready():
             self.outcome.set(outcome)
--- a/linetrack/server/response_writer.py
+++ b/linetrack/server/response_writer.py
@@ -1,4 +1,4 @@
-"""Writing a request's final response to its client."""
+"""Writing the final response of a request to its client."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 log = structlog.get_logger()
 
-#: SO_LINGER with no time: closing resets the connection.
+#: The value of SO_LINGER (on, 0 seconds) with which closing resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
@@ -38,10 +38,10 @@
     keep_alive: bool,
     rounds_retry_after: bool,
 ) -> None:
-    """Write a complete response; `rounds_retry_after` rounds its advice up to whole seconds.
+    """Write a complete response; `rounds_retry_after` rounds its `Retry-After` up to whole seconds.
 
     Raises:
-        OSError: The client has disconnected, or was closed as it did not take the response in time.
+        OSError: The client disconnected, or its connection was closed as it did not read in time.
     """
     retry_after = response.retry_after
     if rounds_retry_after:
@@ -65,26 +65,26 @@
     """Write a streamed response as it arrives from the upstream.
 
     Returns:
-        Whether it was written completely and the connection can be used further.
+        Whether the response was written completely and the connection can be used for further requests.
 
     Raises:
-        OSError: As `write_response`.
+        OSError: As for `write_response`.
     """
     framing = select_framing(stream.content_length, request.is_http10)
     keep_alive = keep_alive and framing is not BodyFraming.CONNECTION_CLOSE
     head = encode_response_head(
         framing, stream.content_length, keep_alive, stream.content_type, request.is_http10
     )
-    outcome = Outcome.CANCELLED  # unless the stream ends below: the client has disconnected
+    outcome = Outcome.CANCELLED  # if writing fails, the client has disconnected
     try:
-        _write_part(client, head)
+        _write_with_deadline(client, head)
         while chunks := _read_chunks(client, stream):
             for chunk in chunks:
-                _write_part(client, encode_chunk(chunk) if framing is BodyFraming.CHUNKED else chunk)
+                _write_with_deadline(client, encode_chunk(chunk) if framing is BodyFraming.CHUNKED else chunk)
         if chunks is None:
             outcome = Outcome.RESET
             if framing is BodyFraming.CONNECTION_CLOSE:
-                # An ordinary close would look like the end of a complete response.
+                # An ordinary close would mark the response as complete.
                 client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             return False
         if framing is BodyFraming.CHUNKED:
@@ -96,8 +96,8 @@
 
 
 def _read_chunks(client: DeadlineSocket, stream: ResponseStream) -> list[bytes | bytearray] | None:
-    """The next chunks from the upstream; none at the end, None where it aborted the response."""
-    client.deadline = NEVER  # the upstream has a timeout of its own
+    """Return the next chunks from the upstream: none at the end, None if the response was aborted."""
+    client.deadline = NEVER  # reading from the upstream has a timeout of its own
     try:
         return stream.read_chunks()
     except (OSError, MalformedMessageError) as error:
@@ -105,6 +105,6 @@
         return None
 
 
-def _write_part(client: DeadlineSocket, data: bytes | bytearray) -> None:
+def _write_with_deadline(client: DeadlineSocket, data: bytes | bytearray) -> None:
     client.deadline = clock() + client_timeouts.STREAM_WRITE_TIMEOUT_US
     write(client.sock, data)
--- a/linetrack/server/sockets.py
+++ b/linetrack/server/sockets.py
@@ -1,4 +1,4 @@
-"""What sockets of any kind need: writing completely, and looking at their state without waiting."""
+"""Helpers for sockets: writing all of the data, and checking a socket's state without waiting."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 from gevent import socket
 
-#: Bytes to read from a socket at once.
+#: The number of bytes to read from a socket at a time.
 READ_SIZE = 64 * 1024
 
 _TRANSIENT_ACCEPT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.ECONNABORTED)
 
 
 class PeerState(Enum):
-    """What the other side of a connection has done with it, whatever it sent before."""
+    """The state of the peer's side of a connection, regardless of unread bytes."""
 
     OPEN = auto()
     HALF_CLOSED = auto()
-    """It sends no more: it may have closed the connection, or may still read."""
+    """The peer sends no more; it may have closed the connection or may still read."""
     BROKEN = auto()
-    """Nothing can be sent to it any more."""
+    """Nothing can be sent to the peer any more."""
 
 
 def write(sock: socket.socket, data: bytes | bytearray) -> None:
-    """Write all of it, waiting where needed.
+    """Write all of the data, waiting if necessary.
 
-    Usually it fits the socket's buffer and goes out with one `send`, without what `sendall` prepares for
-    the rest.
+    Usually the data fits the socket's buffer, so that one `send` suffices and the overhead of `sendall` is
+    saved.
     """
     sent = sock.send(data)
     if sent < len(data):
@@ -36,20 +36,20 @@
 
 
 def is_transient_accept_error(error: OSError) -> bool:
-    """Whether accepting failed for a reason that passes, which must not end the listener or the process.
+    """Return whether accepting failed for a temporary reason, which must not end the listener or the process.
 
-    No descriptor or memory was left, or the connection was aborted in the backlog.
+    There was no descriptor or memory left, or the connection was aborted in the backlog.
     """
     return error.errno in _TRANSIENT_ACCEPT_ERRORS
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Whether a read would not wait: bytes or the end have arrived, or the socket is already closed here."""
+    """Return whether a read would not wait: bytes or an end of file have arrived, or the socket is closed."""
     return bool(_poll_events(sock, select.POLLIN))
 
 
 def peer_state(sock: socket.socket) -> PeerState:
-    """The other side's state, as far as can be seen without waiting."""
+    """Return the state of the peer, as far as it is known without waiting."""
     events = _poll_events(sock, select.POLLRDHUP)
     if events & ~select.POLLRDHUP:
         return PeerState.BROKEN
@@ -57,7 +57,10 @@
 
 
 def _poll_events(sock: socket.socket, events: int) -> int:
-    """Which of these events hold now, or that the connection is broken; all of them for a closed socket."""
+    """Return the given events that have occurred, plus `POLLHUP` or `POLLERR` if the connection is broken.
+
+    For a closed socket, all of the events and `POLLHUP` are returned.
+    """
     if sock.fileno() < 0:
         return events | select.POLLHUP
     poll = select.poll()
--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -1,8 +1,8 @@
-"""The endpoints that requests can be forwarded to, and the idle connections to each.
+"""The pool of endpoints that requests can be forwarded to, with the idle connections to each.
 
-The pool holds what discovery last said of each endpoint, and every connection that waits for its next
-request.  It does not choose an endpoint and sends nothing: `linetrack.server.attempt_runner` takes a
-connection from it for each attempt, and gives it back once the response is complete.
+The pool holds the latest record that discovery sent of each endpoint, and all idle connections.  It does not
+choose endpoints and sends nothing: `linetrack.server.attempt_runner` takes a connection from it for each
+attempt and returns the connection once the response is complete.
 """
 
 from __future__ import annotations
@@ -26,54 +26,58 @@
 from linetrack.server.http1.limits import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 from linetrack.server.sockets import is_readable
 
-MAX_IDLE_SHARE = 0.8  # of the endpoint's keep-alive, past which it may close under the next request
-REUSE_DELAY_US = 5_000  # after a response in which a connection is not reused: stray bytes may follow it
-EXPIRY_INTERVAL_SECONDS = 1.0  # between two looks for connections that were idle for too long
-IDLE_DEPTH_GROUPS = 4  # of idle times, by how many connections were idle before (0, 1, 2, 3 or more)
+# The share of the upstream's keep-alive timeout for which a connection may be idle.  After a longer time, the
+# upstream could close it just as the next request is sent.
+MAX_IDLE_SHARE = 0.8
+REUSE_DELAY_US = 5_000  # the time after a response in which stray bytes may follow and prevent reuse
+EXPIRY_INTERVAL_SECONDS = 1.0  # between checks for connections that were idle for too long
+# Idle times are recorded in groups by how many connections were idle already: 0, 1, 2, or 3 and more.
+IDLE_DEPTH_GROUPS = 4
 
 
 @dataclass(slots=True)
 class PooledUpstream:
-    """An endpoint and its idle connections, the one that became idle last at the end.
+    """An endpoint and its idle connections; the one that became idle last is at the end.
 
-    An attempt keeps the record that it began with.  Once the endpoint is removed the record says so, so that
-    the attempt's connection is never reused, whichever endpoint has the name or the address by then.
+    An attempt keeps a reference to the object with which it began.  When the endpoint is removed, its status
+    is set here, so that the attempt's connection is never reused, even if another endpoint has the same name
+    or address by then.
     """
 
     address: tuple[str, int]
     status: EndpointStatus
     idle: list[Connection]
-    record: EndpointRecord  # as discovery sent it last
+    record: EndpointRecord  # the latest record from discovery
 
 
 class UpstreamPool:
-    """The endpoints by name, and their idle connections.  Times are microseconds."""
+    """The endpoints by name, and their idle connections.  Times are in microseconds."""
 
     def __init__(self, descriptors: DescriptorBudget, dial_timeout: int, keep_alive_timeout: int) -> None:
-        """Start without endpoints; `descriptors` closes idle connections here when none is left."""
+        """Create an empty pool, whose idle connections `descriptors` closes when it runs out."""
         self.endpoints: dict[str, PooledUpstream] = {}
         self.dial_timeout = 0
         self._max_idle = 0
         self.configure(dial_timeout, keep_alive_timeout)
         self._descriptors = descriptors
-        # all idle connections, the one that has been idle longest first
+        # All idle connections; the one that has been idle longest comes first.
         self._idle_connections: OrderedDict[Connection, PooledUpstream] = OrderedDict()
         self._idle_times = IdleTimeModel((None,) * IDLE_DEPTH_GROUPS)
         self._dial_rate = DecayingRate()
         descriptors.close_idle_upstream = self.close_oldest
 
     def configure(self, dial_timeout: int, keep_alive_timeout: int) -> None:
-        """Use these times from here on.
+        """Use these timeouts from now on.
 
-        An idle connection is not closed before its expiry, but is not reused once it was idle for longer than
-        the new keep-alive allows.
+        Connections that are idle already keep their expiry times, but are not reused once they were idle for
+        longer than the new keep-alive timeout allows.
         """
         self.dial_timeout = dial_timeout
         self._max_idle = int(keep_alive_timeout * MAX_IDLE_SHARE)
 
     # --- Endpoints -----------------------------------------------------------------------------------
     def update_endpoints(self, records: tuple[EndpointRecord, ...], is_snapshot: bool) -> None:
-        """Take in records from discovery; a snapshot removes all endpoints that it does not list."""
+        """Update the endpoints from records of discovery; a snapshot removes all that it does not list."""
         for record in records:
             self._update_endpoint(record)
         if is_snapshot:
@@ -95,27 +99,27 @@
         upstream.record = record
 
     def _remove_endpoint(self, name: str) -> None:
-        """Forget an endpoint, as new ones keep coming for as long as the process runs."""
+        """Remove an endpoint entirely, as otherwise the endpoints of a long-running process would pile up."""
         if upstream := self.endpoints.pop(name, None):
             upstream.status = EndpointStatus.REMOVED
             self._close_idle(upstream)
 
     def records(self) -> list[EndpointRecord]:
-        """Return the endpoint list as it is now."""
+        """Return the current endpoint list."""
         return [upstream.record for upstream in self.endpoints.values()]
 
     # --- Connections in use --------------------------------------------------------------------------
     def take_idle(self, upstream: PooledUpstream) -> Connection | None:
-        """Return the newest idle connection that can be reused, or None; it is no longer idle then."""
+        """Remove and return the newest idle connection that can be reused, or return None."""
         now = clock()
         index = len(upstream.idle) - 1
-        # bytes that follow right behind a response would be read as the next request's response
+        # Stray bytes that follow a response would be read as the response to the next request.
         while index >= 0 and upstream.idle[index].idle_since > now - REUSE_DELAY_US:
             index -= 1
         while index >= 0:
             connection = upstream.idle[index]
             index -= 1
-            # readable while idle means closed, or bytes that belong to no request
+            # An idle connection that is readable was closed, or holds bytes that belong to no request.
             is_fresh = connection.idle_since >= now - self._max_idle
             can_reuse = is_fresh and not is_readable(connection.sock)
             self._end_idle(connection, upstream, can_reuse)
@@ -127,14 +131,14 @@
     def dial(self, upstream: PooledUpstream, on_socket: Callable[[socket.socket], None]) -> Connection:
         """Return a new connection, for which the caller has acquired a descriptor.
 
-        The descriptor is released where connecting fails.
+        If connecting fails, the descriptor is released.
 
         Args:
             upstream: The endpoint to connect to.
             on_socket: Called with the socket before it connects, so that connecting can be aborted.
 
         Raises:
-            OSError: The connection was refused, timed out, or there is no descriptor.
+            OSError: The connection was refused or timed out, or there was no descriptor.
         """
         try:
             connection = Connection(upstream.address, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
@@ -152,13 +156,13 @@
         self._descriptors.release()
 
     def keep_idle(self, connection: Connection, upstream: PooledUpstream, now: int) -> None:
-        """Keep a connection whose response is complete, for as long as its next use is likely enough."""
+        """Make a connection idle after its response, and decide how long it is worth keeping."""
         connection.idle_since = now
         connection.idle_depth = min(len(upstream.idle), IDLE_DEPTH_GROUPS - 1)
         connection.idle_until = now + self._max_idle
         descriptors = self._descriptors
         if descriptors.is_contended:
-            # otherwise idle connections would hold the descriptors that clients need for a whole keep-alive
+            # Otherwise idle connections would occupy descriptors that clients need for the whole keep-alive.
             dials_per_second = self._dial_rate.per_second(now)
             price = slot_price(descriptors.in_use, descriptors.limit, dials_per_second)
             keep_time = self._idle_times.best_keep_time(connection.idle_depth, price, 0, self._max_idle)
@@ -192,7 +196,7 @@
             pass
 
     def close_oldest(self) -> bool:
-        """Close the connection that has been idle longest; return False where none is idle."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         if not self._idle_connections:
             return False
         connection, upstream = next(iter(self._idle_connections.items()))
@@ -200,7 +204,7 @@
         return True
 
     def run_expiry(self) -> None:
-        """Close the connections that were idle for too long, forever."""
+        """Run forever and close connections that have been idle for too long."""
         while True:
             gevent.sleep(EXPIRY_INTERVAL_SECONDS)
             now = clock()
