--- a/tests/server/in_process.py
+++ b/tests/server/in_process.py
@@ -1,7 +1,7 @@
-"""The sidecar's network code in the test's own process: its greenlets run only where the test waits.
+"""The sidecar's network code in the test's own process, where its greenlets run only while the test waits.
 
-So a test knows what has arrived in the kernel and was not read yet, and can force two things to happen at
-once.
+This lets a test control which bytes have arrived in the kernel without being read, and so provoke race
+conditions.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class ScriptedPolicy:
-    """Takes the policy's place: records the events and returns what the test says."""
+    """Stands in for the policy: records the events and returns the actions that the test sets."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
@@ -49,13 +49,13 @@
         return self.respond(event)
 
     def forward_all(self) -> None:
-        """Start an attempt for each request from here on."""
+        """Start an attempt for each request from now on."""
         self.respond = lambda event: (
             [StartAttempt(event.request_id, ENDPOINT)] if isinstance(event, RequestReceived) else []
         )
 
     def forward_nothing(self) -> None:
-        """Do nothing by itself from here on."""
+        """Return no actions from now on."""
         self.respond = lambda _event: []
 
     def attempt_outcomes(self) -> list[Outcome]:
@@ -69,7 +69,7 @@
 
 
 class InProcessSidecar:
-    """Listener, dispatcher and upstream pool as the program connects them, with one upstream."""
+    """A listener, a dispatcher and an upstream pool, connected as in the program, with one upstream."""
 
     def __init__(self, sockets: int = 1024) -> None:
         self.upstream = UpstreamServer(ENDPOINT)
@@ -77,7 +77,10 @@
         self.budget = Budget(sockets, 192)
         self.pool = UpstreamPool(self.budget.descriptors, 250 * MS, 30 * SECOND)
         self.runner = AttemptRunner(
-            self.pool, self.budget, (), lambda notification, at: self.dispatcher.enqueue(notification, at)
+            self.pool,
+            self.budget,
+            (),
+            lambda notification, seen_at: self.dispatcher.enqueue(notification, seen_at),
         )
         self.pool.update_endpoints((self.endpoint_record(),), True)
         self.dispatcher = Dispatcher(self.policy, self.runner.start, self.runner.abort, lambda: None)
@@ -91,21 +94,21 @@
         return EndpointRecord(ENDPOINT, address, "north", "plain", 1, status, 1.0, 0)
 
     def connect(self) -> Any:
-        """A client's socket."""
+        """Return the socket of a new client."""
         assert self.listener.listening_socket is not None
         sock = gevent.socket.create_connection(self.listener.listening_socket.getsockname())
         sock.settimeout(TIMEOUT_SECONDS)
         return sock
 
     def send_request(self, sock: Any, data: bytes | None = None) -> int:
-        """Send a request and wait until the policy has it; return its identifier."""
+        """Send a request, wait until the policy has received it, and return its identifier."""
         count = len(self.policy.received_requests())
         sock.sendall(data or class_request(expires="20.0"))
         run_until(lambda: len(self.policy.received_requests()) > count)
         return self.policy.received_requests()[-1].request_id
 
-    def connect_and_be_served(self) -> Any:
-        """A client that got a response, so that a connection is idle on either side."""
+    def connect_and_exchange(self) -> Any:
+        """Return the socket of a client that got a response; a connection is then idle on each side."""
         self.policy.forward_all()
         sock = self.connect()
         sock.sendall(class_request(expires="20.0"))
@@ -119,11 +122,11 @@
         run_until(lambda: self.pool.endpoints[ENDPOINT].idle)
 
     def start_attempt(self, request_id: int) -> None:
-        """Start an attempt at this moment, ahead of what is in the dispatcher's queue."""
+        """Start an attempt immediately, ahead of the notifications in the dispatcher's queue."""
         self.dispatcher.perform(StartAttempt(request_id, ENDPOINT))
 
     def only_connection(self) -> ClientConnection:
-        """The sidecar's side of the one client connection."""
+        """Return the sidecar's side of the only client connection."""
         (connection,) = self.listener.connections.values()
         return connection
 
@@ -136,7 +139,7 @@
 
 
 def wait_in_kernel(sock: Any, events: int) -> None:
-    """Wait until the kernel shows one of the events on a socket, while no greenlet runs."""
+    """Wait until the kernel reports one of the events on a socket, without letting any greenlet run."""
     poll = select.poll()
     poll.register(sock.fileno(), events)
     assert poll.poll(TIMEOUT_SECONDS * 1000)
--- a/tests/server/listener_client.py
+++ b/tests/server/listener_client.py
@@ -1,4 +1,4 @@
-"""Clients of a listener in the test's own process, and what takes the dispatcher's place."""
+"""Clients of a listener in the test's own process, and a stand-in for its dispatcher."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 def _do_nothing(*_: object) -> None:
-    """Take the place of what a running dispatcher would call."""
+    """Stand in for the callbacks of a dispatcher that runs."""
 
 
 class StoppedDispatcher(Dispatcher):
-    """A dispatcher that does not run: it keeps what is enqueued, and the test responds."""
+    """A dispatcher that does not run: it keeps its queue, and the test responds to the requests."""
 
     def __init__(self) -> None:
         super().__init__(ScriptedPolicy(), _do_nothing, _do_nothing, _do_nothing)
 
     @property
     def requests(self) -> list[Any]:
-        """What was enqueued: `IncomingRequest`, or `DisconnectedClient` once a client disconnects."""
+        """The enqueued notifications: `IncomingRequest`, and `DisconnectedClient` if a client disconnects."""
         return [notification for _, notification in self.queue]
 
 
 def connect(listener: Listener) -> Any:
-    """A client's socket."""
+    """Return the socket of a new client."""
     assert listener.listening_socket is not None
     sock = gevent.socket.create_connection(listener.listening_socket.getsockname())
     sock.settimeout(TIMEOUT_SECONDS)
@@ -39,7 +39,7 @@
 
 
 def exchange(dispatcher: StoppedDispatcher, sock: Any) -> None:
-    """Send one request on this connection and get its response."""
+    """Send one request on this connection and receive its response."""
     count = len(dispatcher.requests)
     sock.sendall(class_request())
     run_until(lambda: len(dispatcher.requests) > count)
--- a/tests/server/long_messages.py
+++ b/tests/server/long_messages.py
@@ -1,4 +1,4 @@
-"""Long messages as bytes: encoding them for a peer, and reading a response by whichever framing it has."""
+"""Helpers for long messages: encoding them, and reading responses with any framing."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 def request_head(class_name: str, request_id: str, *headers: str, method: str = "GET") -> bytes:
-    """The head of a valid request."""
+    """Return the head of a valid request."""
     return http_request(
         f"/{class_name}/k", method, f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0", *headers
     )
 
 
 def encode_chunks(body: bytes, size: int = 10_000, extension: bytes = b"", trailer: bytes = b"") -> bytes:
-    """A body in chunked transfer coding, in chunks of `size` bytes."""
-    parts = [body[at : at + size] for at in range(0, len(body), size)]
+    """Return a body in chunked transfer coding, in chunks of `size` bytes."""
+    parts = [body[start : start + size] for start in range(0, len(body), size)]
     framed = b"".join(b"%x%b\r\n%b\r\n" % (len(part), extension, part) for part in parts)
     return framed + b"0\r\n" + trailer + b"\r\n"
 
@@ -34,14 +34,14 @@
 
 
 def read_response(sock: socket.socket, has_body: bool = True) -> tuple[bytes, bytes]:
-    """Head and body of one response; raises an AssertionError where it is cut short."""
-    # unbuffered, so that no bytes of the next response are lost with this reader
+    """Return the head and the body of one response; raises an AssertionError if it is truncated."""
+    # Unbuffered, so that no bytes of the next response are lost with this reader.
     file = sock.makefile("rb", buffering=0)
 
     def read_exactly(size: int) -> bytes:
         data = bytearray()
-        while len(data) < size and (more := file.read(size - len(data))):
-            data += more
+        while len(data) < size and (chunk := file.read(size - len(data))):
+            data += chunk
         return bytes(data)
 
     lines = []
@@ -52,17 +52,17 @@
         return head, b""
     if found := re.search(rb"content-length: (\d+)", head):
         body = read_exactly(int(found[1]))
-        assert len(body) == int(found[1]), "cut short of its length"
+        assert len(body) == int(found[1]), "the body is shorter than its declared length"
         return head, body
     if b"chunked" not in head:
         return head, file.read()
     body = b""
     while size := int(file.readline() or b"-1", 16):
-        assert size > 0, "cut short of its last chunk"
+        assert size > 0, "the response ends before its last chunk"
         body += read_exactly(size)
         file.readline()
     while file.readline() not in (b"\r\n", b""):
-        pass  # a trailer
+        pass  # skip the trailer
     return head, body
 
 
@@ -77,7 +77,7 @@
 
 
 def resident_bytes(sidecar: SidecarProcess) -> int:
-    """The program's resident memory."""
+    """Return the resident memory of the program."""
     assert sidecar.process
     status = Path(f"/proc/{sidecar.process.pid}/status").read_text()
     found = re.search(r"VmRSS:\s+(\d+) kB", status)
--- a/tests/server/running_attempts.py
+++ b/tests/server/running_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts against stand-in endpoints, with the notifications that the dispatcher would get."""
+"""Runs attempts against stand-in endpoints and records the notifications for the dispatcher."""
 
 import gevent
 
@@ -27,11 +27,11 @@
 
 
 class RunningAttempts:
-    """A pool and a runner under test, and what they notified."""
+    """A pool and a runner under test, and the notifications that they sent."""
 
     def __init__(self, *servers: UpstreamServer, sockets: int = 1024, keep_alive: int = 30 * SECOND) -> None:
         self.finished: list[FinishedAttempt] = []
-        self.others: list[SentBody | StartedResponse] = []
+        self.other_notifications: list[SentBody | StartedResponse] = []
         self.budget = Budget(sockets, 192)
         self.pool = UpstreamPool(self.budget.descriptors, DIAL_TIMEOUT, keep_alive)
         self.runner = AttemptRunner(self.pool, self.budget, ("depth",), self.notify)
@@ -41,13 +41,13 @@
         if isinstance(notification, FinishedAttempt):
             self.finished.append(notification)
             return
-        self.others.append(notification)
+        self.other_notifications.append(notification)
         if isinstance(notification, StartedResponse):
             notification.attempt.has_response_started = True
             gevent.spawn(self.read_to_end, notification.stream)
 
     def read_to_end(self, stream: ResponseStream) -> None:
-        """Read a streamed response as the client's connection would."""
+        """Read a streamed response as the connection of a client would."""
         try:
             while stream.read_chunks():
                 pass
@@ -63,23 +63,22 @@
         self.runner.start(attempt)
         return attempt
 
-    def outcomes(self, count: int = 1) -> list[Outcome]:
-        """Wait until so many attempts have ended; how all did."""
+    def wait_for_outcomes(self, count: int = 1) -> list[Outcome]:
+        """Wait until `count` attempts have ended; return the outcomes of all that have."""
         run_until(lambda: len(self.finished) >= count)
         gevent.sleep(0)
         return [finished.outcome for finished in self.finished]
 
-    def bodies(self) -> list[bytes]:
+    def response_bodies(self) -> list[bytes]:
         return [finished.response.body for finished in self.finished if finished.response]
 
-    def used(self) -> int:
-        """Descriptors in use."""
+    def descriptors_in_use(self) -> int:
         return self.budget.descriptors.in_use
 
-    def idle(self, endpoint: str = "a") -> int:
+    def idle_count(self, endpoint: str = "a") -> int:
         return len(self.pool.endpoints[endpoint].idle)
 
 
 def wait_until_reusable() -> None:
-    """Wait until a connection that became idle just now can be reused."""
+    """Wait until a connection that has just become idle can be reused."""
     gevent.sleep(2 * REUSE_DELAY_US / SECOND)
--- a/tests/server/test_attempt_end.py
+++ b/tests/server/test_attempt_end.py
@@ -1,4 +1,4 @@
-"""Attempts that end just as something arrives on their connection."""
+"""Race conditions between the end of an attempt and events on its connection."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 @pytest.mark.parametrize(
     "reply", [b"HTTP/1.1 2", http_response(b"late"), b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal"]
 )
-def test_a_response_that_arrives_as_its_attempt_ends_reaches_nobody(
+def test_a_response_that_arrives_as_its_attempt_times_out_is_discarded(
     sidecar: InProcessSidecar, reply: bytes
 ) -> None:
-    """A part of a line, a complete response or a part of one has arrived unread as the attempt times out.
+    """The attempt times out while a status line, a whole response or a part of one is unread.
 
-    There must be no second final response, and the connection must not be used again with the rest of it.
+    There must be no second final response, and the connection must not be reused, as the next request could
+    get the rest of the response.
     """
     sidecar.upstream.script = never_respond
     sock = sidecar.connect()
@@ -50,13 +51,13 @@
 def test_nothing_is_sent_if_the_attempt_ends_while_it_connects(
     sidecar: InProcessSidecar, reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No first byte may follow a drain, a cancellation or a disconnect that was known by then."""
+    """No byte may be sent after a drain, a cancellation or a disconnect that happens during the connect."""
     sock = sidecar.connect()
     request_id = sidecar.send_request(sock)
     server_side = sidecar.only_connection().sock
     connect = Connection.connect
 
-    def connect_and_end(self: Connection, timeout: float) -> None:
+    def connect_and_end_attempt(self: Connection, timeout: float) -> None:
         connect(self, timeout)
         (attempt,) = sidecar.dispatcher.active_requests[request_id].attempts
         if reason == "attempt cancelled":
@@ -68,7 +69,7 @@
             sock.close()
             wait_in_kernel(server_side, select.POLLRDHUP)
 
-    monkeypatch.setattr(Connection, "connect", connect_and_end)
+    monkeypatch.setattr(Connection, "connect", connect_and_end_attempt)
     sidecar.start_attempt(request_id)
     run_until(lambda: sidecar.upstream.closed == 1)
     descriptors = sidecar.budget.descriptors
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -1,4 +1,4 @@
-"""Attempts against a stand-in endpoint: their outcomes, and what is checked before the first byte."""
+"""Attempts against a stand-in endpoint: their outcomes, and the checks before the first byte is sent."""
 
 import socket
 from collections.abc import Callable
@@ -17,30 +17,30 @@
 from tests.support.units import MS, SECOND
 from tests.support.waiting import TIMEOUT_SECONDS, run_until, wait_until
 
-ENDLESS = (
+ENDLESS_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"ffff\r\n" + b"x" * 0xFFFF + b"\r\nffff\r\n"
 )
 OUTCOMES: list[tuple[str, bytes | None, Outcome]] = [
-    ("served", http_response(b"ok"), Outcome.SUCCESS),
-    ("an error", http_response(b"", 500), Outcome.ERROR),
-    ("overloaded", http_response(b"", 503, "X-Never-Ran: 1"), Outcome.OVERLOADED),
-    ("expired and not executed", http_response(b"", 504, "X-Never-Ran: 1"), Outcome.OVERLOADED),
-    ("a 503 that may have run", http_response(b"", 503), Outcome.ERROR),
-    ("a 500 that says it never ran", http_response(b"", 500, "X-Never-Ran: 1"), Outcome.ERROR),
-    ("another status", http_response(b"", 404), Outcome.ERROR),
-    ("closed", None, Outcome.RESET),
-    ("no HTTP", b"SMTP\r\n\r\n", Outcome.ERROR),
-    ("large", http_response(b"x" * 400_000), Outcome.SUCCESS),
+    ("success", http_response(b"ok"), Outcome.SUCCESS),
+    ("error", http_response(b"", 500), Outcome.ERROR),
+    ("503, not executed", http_response(b"", 503, "X-Never-Ran: 1"), Outcome.OVERLOADED),
+    ("504, not executed", http_response(b"", 504, "X-Never-Ran: 1"), Outcome.OVERLOADED),
+    ("503, possibly executed", http_response(b"", 503), Outcome.ERROR),
+    ("500, not executed", http_response(b"", 500, "X-Never-Ran: 1"), Outcome.ERROR),
+    ("other status", http_response(b"", 404), Outcome.ERROR),
+    ("connection closed", None, Outcome.RESET),
+    ("not HTTP", b"SMTP\r\n\r\n", Outcome.ERROR),
+    ("large body", http_response(b"x" * 400_000), Outcome.SUCCESS),
     (
-        "announced as too large",
+        "declared body too large",
         b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 9000,
         Outcome.ERROR,
     ),
-    ("endless", ENDLESS + 520 * (b"x" * 0xFFFF + b"\r\nffff\r\n"), Outcome.RESET),
-    ("endless head", b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 50_000, Outcome.ERROR),
-    ("two lengths", http_response(b"ok", 200, "Content-Length: 9"), Outcome.ERROR),
+    ("body too large", ENDLESS_RESPONSE + 520 * (b"x" * 0xFFFF + b"\r\nffff\r\n"), Outcome.RESET),
+    ("head too large", b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 50_000, Outcome.ERROR),
+    ("conflicting lengths", http_response(b"ok", 200, "Content-Length: 9"), Outcome.ERROR),
     (
-        "a nonsensical load report",
+        "invalid load report",
         http_response(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=lots"),
         Outcome.SUCCESS,
     ),
@@ -50,21 +50,23 @@
 @pytest.mark.parametrize(
     ("reply", "outcome"), [case[1:] for case in OUTCOMES], ids=[case[0] for case in OUTCOMES]
 )
-def test_each_response_becomes_its_outcome(
+def test_a_response_determines_the_outcome_of_its_attempt(
     server: UpstreamServer, reply: bytes | None, outcome: Outcome
 ) -> None:
     server.script = lambda _request, _wire: reply
     attempts = RunningAttempts(server)
     attempts.start()
-    assert attempts.outcomes() == [outcome]
-    # a long one was streamed, and is not handed over a second time
-    has_complete_response = outcome is Outcome.SUCCESS and not attempts.others
+    assert attempts.wait_for_outcomes() == [outcome]
+    # A long response was streamed, so the notification of the attempt's end does not contain it.
+    has_complete_response = outcome is Outcome.SUCCESS and not attempts.other_notifications
     assert (attempts.finished[0].response is not None) == has_complete_response
     assert attempts.finished[0].load_report == ()
-    assert attempts.used() == attempts.idle()  # closed or idle, never lost
+    assert attempts.descriptors_in_use() == attempts.idle_count()  # closed or idle, never lost
 
 
-def cut_off(data: bytes) -> Callable[[HttpMessage, HttpConnection], bytes | None]:
+def send_and_close(data: bytes) -> Callable[[HttpMessage, HttpConnection], bytes | None]:
+    """Return an upstream's script that sends these bytes and closes the connection."""
+
     def script(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(data)
 
@@ -72,69 +74,69 @@
 
 
 @pytest.mark.parametrize(
-    "data", [b"HTTP/1.1 200", http_response(b"whole")[:-1], ENDLESS, b"HTTP/1.1 200 OK\r\n\r\n"]
+    "data", [b"HTTP/1.1 200", http_response(b"whole")[:-1], ENDLESS_RESPONSE, b"HTTP/1.1 200 OK\r\n\r\n"]
 )
-def test_a_response_cut_off_may_have_run_and_goes_to_nobody(server: UpstreamServer, data: bytes) -> None:
-    server.script = cut_off(data[:60_000])
+def test_a_truncated_response_is_a_reset_and_is_not_forwarded(server: UpstreamServer, data: bytes) -> None:
+    server.script = send_and_close(data[:60_000])
     attempts = RunningAttempts(server)
     attempts.start()
-    assert attempts.outcomes() == [Outcome.RESET]
+    assert attempts.wait_for_outcomes() == [Outcome.RESET]
     assert attempts.finished[0].response is None
-    assert attempts.used() == 0
+    assert attempts.descriptors_in_use() == 0
 
 
-def test_a_load_report_comes_with_the_response(server: UpstreamServer) -> None:
+def test_a_load_report_is_parsed_from_the_response(server: UpstreamServer) -> None:
     server.script = lambda _request, _wire: http_response(b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=4")
     attempts = RunningAttempts(server)
     attempts.start()
-    attempts.outcomes()
+    attempts.wait_for_outcomes()
     assert attempts.finished[0].load_report == (4.0,)
 
 
-def test_a_refused_connection_never_ran(server: UpstreamServer) -> None:
+def test_a_refused_connection_ends_the_attempt_as_connect_failed(server: UpstreamServer) -> None:
     server.close()
     attempts = RunningAttempts(server)
     attempts.start()
-    assert attempts.outcomes() == [Outcome.CONNECT_FAILED]
-    assert attempts.used() == 0
+    assert attempts.wait_for_outcomes() == [Outcome.CONNECT_FAILED]
+    assert attempts.descriptors_in_use() == 0
 
 
 def test_a_connection_that_is_never_accepted_ends_at_the_dial_timeout() -> None:
-    with socket.socket() as full:
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        waiting = [socket.socket() for _ in range(4)]
-        for sock in waiting:
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        backlog_clients = [socket.socket() for _ in range(4)]
+        for sock in backlog_clients:
             sock.setblocking(False)
-            sock.connect_ex(full.getsockname())
+            sock.connect_ex(listener.getsockname())
         attempts = RunningAttempts()
-        address = f"127.0.0.1:{full.getsockname()[1]}"
+        address = f"127.0.0.1:{listener.getsockname()[1]}"
         attempts.pool.update_endpoints((endpoint_record("a", address),), True)
         attempts.start()
-        assert attempts.outcomes() == [Outcome.CONNECT_FAILED]
-        assert attempts.used() == 0
+        assert attempts.wait_for_outcomes() == [Outcome.CONNECT_FAILED]
+        assert attempts.descriptors_in_use() == 0
         assert attempts.finished[0].latency >= DIAL_TIMEOUT
-        for sock in waiting:
+        for sock in backlog_clients:
             sock.close()
 
 
-def test_a_response_that_has_begun_must_go_on(server: UpstreamServer) -> None:
-    """It would hold its request and a descriptor until the request's deadline."""
+def test_a_stalled_response_fails_its_attempt(server: UpstreamServer) -> None:
+    """Otherwise it would occupy a descriptor until the deadline of its request."""
 
-    def stop(_request: HttpMessage, wire: HttpConnection) -> None:
+    def stall(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nx")
         wire.ended()
 
-    server.script = stop
+    server.script = stall
     attempts = RunningAttempts(server)
     attempts.start()
-    assert attempts.outcomes() == [Outcome.ERROR]
-    assert attempts.used() == attempts.budget.memory.reserved_bytes == 0
+    assert attempts.wait_for_outcomes() == [Outcome.ERROR]
+    assert attempts.descriptors_in_use() == attempts.budget.memory.reserved_bytes == 0
     assert 250 * MS <= attempts.finished[0].latency < 10 * SECOND
 
 
 def test_large_responses_wait_for_memory(server: UpstreamServer) -> None:
-    """Together they would need more memory than there is."""
+    """All of them at the same time would need more memory than there is."""
     server.script = lambda _request, _wire: http_response(b"x" * 300_000)
     attempts = RunningAttempts(server)
     memory = attempts.budget.memory
@@ -146,7 +148,7 @@
         while len(attempts.finished) < 5 or memory.reserved_bytes:
             peak_bytes = max(peak_bytes, memory.reserved_bytes)
             gevent.sleep(0)
-    assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5
+    assert attempts.wait_for_outcomes(5) == [Outcome.SUCCESS] * 5
     assert peak_bytes <= COPIES_PER_LARGE_BODY * 300_000
 
 
@@ -157,33 +159,35 @@
     run_until(lambda: server.seen)
     attempt.has_ended = True
     attempts.runner.abort(attempt)
-    # no other greenlet has run yet: a retry must not overtake the end of this attempt
+    # No other greenlet has run yet: the endpoint must see the end of this attempt before it gets a retry.
     wait_until(lambda: server.closed)
-    run_until(lambda: not attempts.used())
+    run_until(lambda: not attempts.descriptors_in_use())
     assert not attempts.finished
 
 
-def test_a_silent_endpoint_holds_up_nothing_else(server: UpstreamServer) -> None:
+def test_a_silent_endpoint_does_not_delay_other_attempts(server: UpstreamServer) -> None:
     other = UpstreamServer("b")
     server.script = never_respond
     attempts = RunningAttempts(server, other)
     for _ in range(10):
         attempts.start("a")
     attempts.start("b")
-    assert attempts.outcomes() == [Outcome.SUCCESS]
+    assert attempts.wait_for_outcomes() == [Outcome.SUCCESS]
     other.close()
 
 
 @pytest.mark.parametrize("status", [EndpointStatus.DRAINING, EndpointStatus.REMOVED])
-def test_nothing_is_written_to_what_began_to_drain(server: UpstreamServer, status: EndpointStatus) -> None:
+def test_nothing_is_written_to_an_endpoint_that_drains_or_was_removed(
+    server: UpstreamServer, status: EndpointStatus
+) -> None:
     attempts = RunningAttempts(server)
     attempts.start()
     attempts.pool.update_endpoints((endpoint_record("a", server.address, status),), False)
-    assert attempts.outcomes() == [Outcome.NOT_SENT]
+    assert attempts.wait_for_outcomes() == [Outcome.NOT_SENT]
     assert not server.seen
 
 
-def test_nothing_is_written_once_a_drain_is_announced_while_dialling(
+def test_nothing_is_written_if_the_endpoint_starts_to_drain_while_dialling(
     server: UpstreamServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     attempts = RunningAttempts(server)
@@ -199,30 +203,30 @@
         return connection
 
     monkeypatch.setattr(attempts.pool, "dial", dial_slowly)
-    assert attempts.outcomes() == [Outcome.NOT_SENT]
+    assert attempts.wait_for_outcomes() == [Outcome.NOT_SENT]
     assert not server.seen
-    assert attempts.used() == 0
+    assert attempts.descriptors_in_use() == 0
 
 
-def test_nothing_is_written_once_the_time_or_the_request_is_over(server: UpstreamServer) -> None:
+def test_nothing_is_written_after_the_deadline_or_for_a_completed_request(server: UpstreamServer) -> None:
     attempts = RunningAttempts(server)
     attempts.start(timeout=0)
     attempts.start().request.is_completed = True
-    assert attempts.outcomes(2) == [Outcome.NOT_SENT] * 2
+    assert attempts.wait_for_outcomes(2) == [Outcome.NOT_SENT] * 2
     assert not server.seen
 
 
-def test_without_a_descriptor_an_attempt_never_ran(server: UpstreamServer) -> None:
+def test_without_a_free_descriptor_an_attempt_ends_as_connect_failed(server: UpstreamServer) -> None:
     server.script = never_respond
     attempts = RunningAttempts(server, sockets=RESERVED_DESCRIPTORS + 1)
     attempts.start()
     attempts.start()
-    assert attempts.outcomes() == [Outcome.CONNECT_FAILED]
+    assert attempts.wait_for_outcomes() == [Outcome.CONNECT_FAILED]
 
 
-def test_nothing_is_sent_to_an_endpoint_removed_since_the_decision(server: UpstreamServer) -> None:
+def test_nothing_is_sent_to_an_endpoint_removed_after_the_decision(server: UpstreamServer) -> None:
     attempts = RunningAttempts(server)
     attempts.start()
     attempts.pool.update_endpoints((), True)
-    assert attempts.outcomes() == [Outcome.NOT_SENT]
+    assert attempts.wait_for_outcomes() == [Outcome.NOT_SENT]
     assert not server.connections
--- a/tests/server/test_budget.py
+++ b/tests/server/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of descriptors and memory."""
+"""The budgets of descriptors and of memory."""
 
 import pytest
 from hypothesis import given
@@ -14,11 +14,11 @@
     ("sockets", "memory_mb", "clients", "large_bodies_mb"),
     [(1024, 192, 500, 80), (256, 64, 120, 20), (256, 32, 85, 5)],
 )
-def test_a_small_memory_limit_leaves_room_for_ordinary_clients(
+def test_a_small_memory_limit_allows_enough_ordinary_clients(
     sockets: int, memory_mb: int, clients: int, large_bodies_mb: int
 ) -> None:
-    # a connection must not be counted by the largest request there may be: clients hold up to a third of the
-    # descriptors for requests, and most requests are small
+    # A connection must not count with the memory of the largest possible request: clients that send requests
+    # use up to a third of the descriptors, and most requests are small.
     budget = Budget(sockets, memory_mb)
     max_clients, max_bytes = budget.descriptors.max_clients, budget.memory.max_bytes
     assert max_clients >= clients
@@ -30,7 +30,7 @@
 
 @pytest.mark.parametrize("memory_mb", [32, 64, 192])
 @given(steps=st.lists(st.tuples(st.integers(1, 32 * MB), st.booleans()), max_size=30))
-def test_reserved_bytes_never_exceed_the_share_of_long_bodies(
+def test_reserved_bytes_never_exceed_the_share_for_long_bodies(
     memory_mb: int, steps: list[tuple[int, bool]]
 ) -> None:
     budget, reserved = MemoryBudget(memory_mb), 0
--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -1,6 +1,7 @@
-"""Clients that disconnect while their requests are pending: nothing more is started for them.
+"""Clients that disconnect while their requests are pending: no further attempt is started for them.
 
-Each crossing is forced over loopback sockets in this process; `docs/design/termination.md` lists all of them.
+Each race condition is provoked over loopback sockets in this process; `docs/design/termination.md` lists all
+of them.
 """
 
 from __future__ import annotations
@@ -22,30 +23,30 @@
 
 
 @pytest.mark.parametrize("has_earlier_attempt", [False, True])
-@pytest.mark.parametrize("behind", [b"", b"GET /look HTTP/1.1\r\n"])
-def test_no_attempt_starts_for_a_client_that_has_disconnected(
-    sidecar: InProcessSidecar, has_earlier_attempt: bool, behind: bytes
+@pytest.mark.parametrize("unread_bytes", [b"", b"GET /look HTTP/1.1\r\n"])
+def test_no_attempt_starts_for_a_disconnected_client(
+    sidecar: InProcessSidecar, has_earlier_attempt: bool, unread_bytes: bytes
 ) -> None:
-    """Before the first attempt, and between attempts.
+    """Neither a first attempt nor a retry may start.
 
-    The disconnect may still be in the dispatcher's queue, or hidden by what the client had sent behind its
-    request.
+    The notification of the disconnect may still be queued, or the disconnect may be hidden by unread bytes
+    that the client sent after its request.
     """
-    sock = sidecar.connect_and_be_served()
+    sock = sidecar.connect_and_exchange()
     request_id = sidecar.send_request(sock)
     if has_earlier_attempt:
         sidecar.upstream.script = lambda _message, _wire: http_response(b"", 500)
         sidecar.start_attempt(request_id)
         run_until(lambda: Outcome.ERROR in sidecar.policy.attempt_outcomes())
         sidecar.wait_for_idle_upstream_connection()
-    if behind:
-        sock.sendall(behind)
+    if unread_bytes:
+        sock.sendall(unread_bytes)
         run_until(lambda: sidecar.listener.unread_connections)
     count = len(sidecar.upstream.seen)
     server_side = sidecar.only_connection().sock
     sock.close()
     wait_in_kernel(server_side, select.POLLRDHUP)
-    sidecar.start_attempt(request_id)  # at this moment no greenlet has noticed
+    sidecar.start_attempt(request_id)  # no greenlet has detected the disconnect yet
     run_until(sidecar.policy.disconnect_count)
     ended = (Outcome.NOT_SENT, Outcome.CANCELLED)
     run_until(lambda: any(outcome in ended for outcome in sidecar.policy.attempt_outcomes()))
@@ -54,10 +55,10 @@
     run_until(lambda: not sidecar.listener.connections)
 
 
-def test_a_disconnect_behind_unread_bytes_is_noticed_and_the_attempt_cancelled(
+def test_a_disconnect_after_unread_bytes_is_detected(
     sidecar: InProcessSidecar,
 ) -> None:
-    """Bytes behind a request must not hide that their sender closes."""
+    """Unread bytes after a request must not hide from the listener that the client has disconnected."""
     sidecar.upstream.script = never_respond
     sock = sidecar.connect()
     request_id = sidecar.send_request(sock)
@@ -72,11 +73,11 @@
     assert not sidecar.listener.unread_connections
 
 
-def test_no_attempt_starts_for_a_client_that_disconnected_behind_a_streamed_body(
+def test_no_attempt_starts_for_a_client_that_disconnected_after_a_streamed_body(
     sidecar: InProcessSidecar,
 ) -> None:
-    """Once the body is complete nobody reads from the client any more."""
-    sidecar.connect_and_be_served().close()
+    """Once the body is complete, nothing reads from the client any more and would detect the disconnect."""
+    sidecar.connect_and_exchange().close()
     run_until(lambda: not sidecar.listener.connections)
     sidecar.budget.memory.max_bytes = 0
     sock = sidecar.connect()
@@ -91,7 +92,7 @@
     assert len(sidecar.upstream.seen) == count
 
 
-def test_a_disconnect_after_a_streamed_body_is_noticed(sidecar: InProcessSidecar) -> None:
+def test_a_disconnect_after_a_streamed_body_is_detected(sidecar: InProcessSidecar) -> None:
     sidecar.upstream.script = never_respond
     sidecar.budget.memory.max_bytes = 0
     sock = sidecar.connect()
@@ -101,14 +102,14 @@
     run_until(sidecar.policy.disconnect_count)
 
 
-def test_a_half_closed_client_is_forwarded_for_at_first_and_always_gets_a_response(
+def test_a_half_closed_client_gets_attempts_for_a_grace_period_and_always_a_response(
     sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A client that said `Connection: close` and sends no more may have disconnected, or may wait.
+    """A client that sent `Connection: close` and then an end of file may have disconnected or may wait.
 
-    After a while nothing is started for it; what the policy responds then still reaches it.
+    After a grace period no attempt is started for it, but it still gets the final response.
     """
-    sidecar.connect_and_be_served().close()
+    sidecar.connect_and_exchange().close()
     data = http_request("/look/k", "GET", "X-Trace-Id: h", "X-Expires-In: 20", "Connection: close")
     first, second = sidecar.connect(), sidecar.connect()
     request_id = sidecar.send_request(first, data)
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -1,4 +1,4 @@
-"""Requests that arrive just as their connection is closed or migrated, or as the process ends."""
+"""Race conditions between the arrival of a request and the end or migration of its connection."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 def test_a_request_that_arrives_as_its_connection_is_closed_is_served(
     sidecar: InProcessSidecar, reason: str
 ) -> None:
-    """Closing over bytes that have arrived unread would reset the connection and lose the request."""
+    """Closing a connection with unread bytes would reset it and lose the request."""
     if reason == "deadline":
         sock = sidecar.connect()
         run_until(lambda: sidecar.listener.connections)
     else:
-        sock = sidecar.connect_and_be_served()
+        sock = sidecar.connect_and_exchange()
     connection = sidecar.only_connection()
     sidecar.policy.forward_all()
     gevent.sleep(0)
@@ -43,32 +43,32 @@
     assert sock.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_a_connection_in_the_backlog_is_served_at_shutdown_although_all_slots_are_taken(
+def test_a_connection_in_the_backlog_is_served_at_shutdown_although_no_slot_is_free(
     sidecar: InProcessSidecar,
 ) -> None:
-    """A request in the backlog must not be lost because clients that send nothing have all the slots."""
+    """A request in the backlog must not be lost because clients that send nothing occupy all slots."""
     sidecar.budget.descriptors.max_clients = 2
     silent_clients = [sidecar.connect(), sidecar.connect()]
     run_until(lambda: len(sidecar.listener.connections) == 2)
     assert sidecar.listener.listening_socket is not None
     address = sidecar.listener.listening_socket.getsockname()
-    waiting = sidecar.connect()
+    backlog_client = sidecar.connect()
     sidecar.policy.forward_all()
-    waiting.sendall(class_request(expires="20.0"))
+    backlog_client.sendall(class_request(expires="20.0"))
     sidecar.accepting.kill()
     sidecar.listener.close_between_requests()
     sidecar.listener.stop_accepting()
-    assert waiting.recv(65536).startswith(b"HTTP/1.1 200")
+    assert backlog_client.recv(65536).startswith(b"HTTP/1.1 200")
     for sock in silent_clients:
         assert sock.recv(1) == b""
     with pytest.raises(ConnectionRefusedError):
         gevent.socket.create_connection(address)
 
 
-def test_a_request_that_is_complete_late_in_the_shutdown_is_answered_before_its_end(
+def test_a_request_completed_during_the_shutdown_gets_its_response_before_the_deadline(
     sidecar: InProcessSidecar,
 ) -> None:
-    """Its own time must not end after the process has: nobody would respond to it."""
+    """Its timeout must not end after the process does, which would leave it without a response."""
     sock = sidecar.connect()
     sidecar.dispatcher.shutdown_deadline = clock() + SECOND
     sidecar.send_request(sock)
@@ -78,7 +78,7 @@
     late.sendall(class_request(expires="20.0"))
     assert late.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(sidecar.policy.received_requests()) == 1
-    # the time of a request with a streamed body starts with the body's last byte
+    # The timeout of a request with a streamed body starts with the body's last byte.
     sidecar.budget.memory.max_bytes = 0
     sidecar.dispatcher.shutdown_deadline = clock() + 2 * SECOND
     sidecar.upstream.script = never_respond
@@ -94,17 +94,17 @@
 
 
 @pytest.mark.parametrize("reason", ["deadline", "migration"])
-def test_a_request_that_is_complete_as_its_greenlet_is_interrupted_is_answered(
+def test_a_request_completed_as_its_greenlet_is_interrupted_gets_its_response(
     sidecar: InProcessSidecar, reason: str
 ) -> None:
-    """What is meant for a greenlet that waits for a request must not interrupt one that waits for a response.
+    """A greenlet must not be interrupted if it no longer waits for a request but for a response.
 
     The rest of a request may be read between the decision to interrupt and the interrupt.
     """
-    sock = sidecar.connect_and_be_served()
+    sock = sidecar.connect_and_exchange()
     connection = sidecar.only_connection()
-    planned: list[Callable[[], None]] = []
-    run_soon, sidecar.listener.run_soon = sidecar.listener.run_soon, planned.append
+    scheduled: list[Callable[[], None]] = []
+    run_soon, sidecar.listener.run_soon = sidecar.listener.run_soon, scheduled.append
     data = class_request(expires="20.0")
     if reason == "deadline":
         sock.sendall(data[:20])
@@ -113,7 +113,7 @@
         data = data[20:]
     else:
         sidecar.listener.migrate_connections(lambda _fd, _response_count: True)
-    (interrupt,) = planned
+    (interrupt,) = scheduled
     request_id = sidecar.send_request(sock, data)
     run_soon(interrupt)
     gevent.sleep(0)
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""The program with fewer descriptors than its clients would use."""
+"""The program with fewer descriptors than its clients need."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tests.support.waiting import wait_until
 
 
-def test_with_no_descriptor_left_idle_connections_are_closed_and_no_client_is_dropped(tmp_path: Path) -> None:
+def test_with_no_free_descriptor_idle_connections_are_closed_and_requests_are_served(tmp_path: Path) -> None:
     server = UpstreamServer("a")
-    world = Deployment(tmp_path, server)
-    world.sidecar.config["limits"]["sockets"] = 80
-    world.sidecar.prefix = "ulimit -n 80; "
-    with world as sidecar:
+    deployment = Deployment(tmp_path, server)
+    deployment.sidecar.config["limits"]["sockets"] = 80
+    deployment.sidecar.prefix = "ulimit -n 80; "
+    with deployment as sidecar:
         idle = [sidecar.connect() for _ in range(100)]
         assert [sidecar.ask().status for _ in range(5)] == [200] * 5
         process = sidecar.process
@@ -28,30 +28,30 @@
         assert "accept_failed" not in sidecar.log()
 
 
-def test_clients_that_send_one_request_and_stay_never_use_up_the_connection_slots(tmp_path: Path) -> None:
-    # idle connections are closed before clients can open no more of them: 64 here, a third of 192
-    world = Deployment(tmp_path, UpstreamServer("a"))
-    world.sidecar.config["limits"]["sockets"] = 192
-    held: list[HttpConnection] = []
-    with world as sidecar:
+def test_clients_that_stay_connected_after_one_request_do_not_exhaust_the_slots(tmp_path: Path) -> None:
+    # Idle connections are closed before clients occupy all slots: 64 here, a third of 192 descriptors.
+    deployment = Deployment(tmp_path, UpstreamServer("a"))
+    deployment.sidecar.config["limits"]["sockets"] = 192
+    open_clients: list[HttpConnection] = []
+    with deployment as sidecar:
         for _ in range(400):
-            held = [wire for wire in held if not is_readable(wire.sock)]
-            assert len(held) < 64
-            held.append(sidecar.connect())
-            held[-1].sock.sendall(class_request())
-            reply = held[-1].read()
+            open_clients = [wire for wire in open_clients if not is_readable(wire.sock)]
+            assert len(open_clients) < 64
+            open_clients.append(sidecar.connect())
+            open_clients[-1].sock.sendall(class_request())
+            reply = open_clients[-1].read()
             assert reply
             assert reply.status == 200
-        for wire in held:
+        for wire in open_clients:
             wire.sock.close()
 
 
-def test_pipelined_requests_are_served_although_connection_slots_are_short(tmp_path: Path) -> None:
-    # a connection must not be closed with a response while a request behind it has been read
-    world = Deployment(tmp_path, UpstreamServer("a"))
-    world.sidecar.config["limits"]["sockets"] = 128
+def test_pipelined_requests_are_served_although_connection_slots_are_scarce(tmp_path: Path) -> None:
+    # A connection must not be closed after a response if its next request has already been read.
+    deployment = Deployment(tmp_path, UpstreamServer("a"))
+    deployment.sidecar.config["limits"]["sockets"] = 128
     wires = []
-    with world as sidecar:
+    with deployment as sidecar:
         for _ in range(100):
             wires.append(sidecar.connect())
             wires[-1].sock.sendall(class_request() + class_request() + class_request())
@@ -64,30 +64,31 @@
             wire.sock.close()
 
 
-def test_idle_clients_that_use_up_the_descriptors_block_neither_discovery_nor_requests(
+def test_idle_clients_that_exhaust_the_descriptors_block_neither_discovery_nor_requests(
     tmp_path: Path,
 ) -> None:
     """While discovery is down, clients leave no descriptor free.
 
-    The process must neither end nor go on by an old list for want of a descriptor for a poll.
+    The process must not exit, and must not keep using an old endpoint list because it lacks a descriptor for
+    polling discovery.
     """
     a, b = UpstreamServer("a"), UpstreamServer("b")
-    world = Deployment(tmp_path, a, b)
-    world.discovery.scripted = [None] * 10_000
-    world.sidecar.config["limits"]["sockets"] = 96
-    world.sidecar.prefix = "ulimit -n 96; "
-    with world as sidecar:
-        idlers = [sidecar.connect() for _ in range(150)]
-        for wire in idlers[::2]:
+    deployment = Deployment(tmp_path, a, b)
+    deployment.discovery.scripted = [None] * 10_000
+    deployment.sidecar.config["limits"]["sockets"] = 96
+    deployment.sidecar.prefix = "ulimit -n 96; "
+    with deployment as sidecar:
+        idle_clients = [sidecar.connect() for _ in range(150)]
+        for wire in idle_clients[::2]:
             wire.sock.sendall(b"GET /look")
-        calls = len(world.discovery.calls)
-        wait_until(lambda: len(world.discovery.calls) > calls + 1, "called while it is down")
+        calls = len(deployment.discovery.calls)
+        wait_until(lambda: len(deployment.discovery.calls) > calls + 1, "polls while discovery is down")
         assert sidecar.ask().status == 200
-        world.discovery.change(a.entry(state="DRAINING"))
-        world.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
-        world.discovery.scripted.clear()
-        wait_until(lambda: {sidecar.ask().body for _ in range(10)} == {b"b"}, "what it tells at its return")
+        deployment.discovery.change(a.entry(state="DRAINING"))
+        deployment.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
+        deployment.discovery.scripted.clear()
+        wait_until(lambda: {sidecar.ask().body for _ in range(10)} == {b"b"}, "the new endpoint list is used")
         assert sidecar.process is not None
         assert sidecar.process.poll() is None
-        for wire in idlers:
+        for wire in idle_clients:
             wire.sock.close()
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -1,4 +1,4 @@
-"""Without a free descriptor the process goes on, and whoever waits is served once there is one."""
+"""A lack of descriptors must not end the process; whatever waits for one proceeds once one is free."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def fail_once(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str) -> list[int]:
-    """Let the first call of a function find no descriptor; the list has an item once it was called."""
+    """Make the first call of a function fail with EMFILE; returns a list that gets an item by that call."""
     function, calls = getattr(owner, name), []
 
     def fail(*_args: Any, **_kwargs: Any) -> Any:
@@ -42,7 +42,7 @@
 
 
 class FailingListener:
-    """A listening socket whose first `accept` finds no descriptor."""
+    """A listening socket whose first `accept` fails with EMFILE."""
 
     def __init__(self, sock: Any) -> None:
         self.sock = sock
@@ -55,7 +55,9 @@
         return self.sock.accept()
 
 
-def test_a_client_waits_and_is_served(sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_is_accepted_once_a_descriptor_is_free(
+    sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch
+) -> None:
     calls = fail_once(monkeypatch, sidecar.listener, "_accept_one")
     sock = sidecar.connect()
     sock.sendall(b"GET /_health HTTP/1.1\r\n\r\n")
@@ -63,7 +65,7 @@
     assert calls
 
 
-def test_an_attempt_ends_as_never_executed(
+def test_an_attempt_without_a_descriptor_ends_as_connect_failed(
     sidecar: InProcessSidecar, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sock = sidecar.connect()
@@ -78,7 +80,7 @@
     assert sock.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_an_operators_request_waits_and_is_answered() -> None:
+def test_an_admin_client_is_accepted_once_a_descriptor_is_free() -> None:
     admin = AdminServer(("127.0.0.1", 0), lambda: True, lambda: "")
     address = admin.listener.getsockname()
     admin.listener = failing = FailingListener(admin.listener)
@@ -92,8 +94,8 @@
     accepting.kill()
 
 
-def test_a_successor_waits_and_has_its_grant(tmp_path: Path) -> None:
-    """A process that serves must not end because one that would replace it connects."""
+def test_a_successor_gets_its_grant_once_a_descriptor_is_free(tmp_path: Path) -> None:
+    """A serving process must not end because accepting its successor's connection fails."""
     path, own = tmp_path / "link.sock", Identity(("look",), "1")
     grant = GrantedListener(0, Grant(own, endpoint_list=None, discovery_address=None))
     old = Predecessor(path, lambda: own, lambda: grant, lambda _command: None)
@@ -113,8 +115,8 @@
     failing.sock.close()
 
 
-def test_silent_clients_keep_no_attempt_from_its_descriptor() -> None:
-    """They have every slot, come at once for each that becomes free, and discovery is down."""
+def test_an_attempt_gets_a_descriptor_although_silent_clients_use_all_of_them() -> None:
+    """Silent clients occupy every slot and reconnect as soon as one is free, while discovery is down."""
     sidecar = InProcessSidecar(sockets=RESERVED_DESCRIPTORS + 8)
     descriptors = sidecar.budget.descriptors
     try:
@@ -132,8 +134,8 @@
         sidecar.close()
 
 
-def test_a_process_whose_successor_has_ended_has_all_descriptors_again() -> None:
-    """It accepts again, and must have room for the clients that come back to it."""
+def test_a_process_regains_all_descriptors_after_its_successor_has_ended() -> None:
+    """It accepts connections again and needs descriptors for the clients that reconnect to it."""
     values = sidecar_config("127.0.0.1:9", [])
     sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.listener.listen(("127.0.0.1", 0))
--- a/tests/server/test_dispatcher.py
+++ b/tests/server/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: order of events and timers, one response for each request, one end for each attempt."""
+"""The dispatcher: the order of events and timers, one response per request, one end per attempt."""
 
 import weakref
 from collections.abc import Callable
@@ -48,7 +48,7 @@
 
 
 class ScriptedPolicy:
-    """Records the events it is given and returns the actions that a test wants."""
+    """Stands in for the policy: records the events and returns the actions that the test sets."""
 
     def __init__(self) -> None:
         self.events: list[tuple[int, Event]] = []
@@ -58,13 +58,13 @@
         self.events.append((now, event))
         return self.decide(event)
 
-    def ended(self) -> list[tuple[int, Outcome, bool]]:
+    def attempt_ends(self) -> list[tuple[int, Outcome, bool]]:
         events = [event for _, event in self.events if isinstance(event, AttemptEnded)]
         return [(event.attempt, event.outcome, event.request_completed) for event in events]
 
 
 class DispatcherDriver:
-    """A dispatcher whose clock a test moves, and what it did."""
+    """A dispatcher whose clock the test controls, with records of its calls and responses."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 1000 * SECOND
@@ -89,14 +89,14 @@
         self.settle()
 
     def settle(self) -> None:
-        """Wait until the dispatcher has nothing left that is due."""
+        """Wait until the dispatcher has processed its queue and all due timers."""
         with gevent.Timeout(TIMEOUT_SECONDS):
             while self.dispatcher.queue:
                 gevent.sleep(0)
             gevent.sleep(0)
 
-    def wait(self, time: int) -> None:
-        """Move the clock on; the dispatcher looks at it once it is notified of anything."""
+    def advance_clock(self, time: int) -> None:
+        """Advance the clock, and enqueue a notification so that the dispatcher checks its timers."""
         self.now += time
         self.enqueue(EndpointListUpdate(ListForm.DELTA))
 
@@ -106,7 +106,7 @@
     return DispatcherDriver(monkeypatch)
 
 
-def send(event: Event) -> list[Action]:
+def start_one_attempt(event: Event) -> list[Action]:
     return [StartAttempt(event.request_id, "a")] if isinstance(event, RequestReceived) else []
 
 
@@ -116,48 +116,50 @@
 
 
 def test_the_first_response_goes_to_the_client_and_ends_the_request(driver: DispatcherDriver) -> None:
-    driver.policy.decide = send
+    driver.policy.decide = start_one_attempt
     driver.receive()
     driver.enqueue(succeed(driver.started[0]))
     assert driver.responses == [FinalResponse(200, b"body")]
-    assert driver.policy.ended() == [(0, Outcome.SUCCESS, True)]
+    assert driver.policy.attempt_ends() == [(0, Outcome.SUCCESS, True)]
     assert not driver.dispatcher.active_requests
 
 
-def test_a_response_is_written_before_the_policy_works_on_its_end(driver: DispatcherDriver) -> None:
-    """The client does not wait for what the policy learns from the response."""
+def test_a_response_is_written_before_the_policy_handles_the_end_of_its_attempt(
+    driver: DispatcherDriver,
+) -> None:
+    """The client must not wait for the policy to process the end of the attempt."""
     order: list[str] = []
 
     def decide(event: Event) -> list[Action]:
         order.append(type(event).__name__)
-        return send(event)
+        return start_one_attempt(event)
 
     result: AsyncResult[FinalResponse] = AsyncResult()
-    result.rawlink(lambda _given: order.append("written"))
+    result.rawlink(lambda _result: order.append("written"))
     driver.policy.decide = decide
     driver.enqueue(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), result.set))
     driver.enqueue(succeed(driver.started[0]))
     assert order == ["RequestReceived", "written", "AttemptEnded"]
 
 
-def test_a_hedged_attempt_ends_as_completed_and_its_response_goes_to_nobody(driver: DispatcherDriver) -> None:
-    driver.policy.decide = lambda event: 2 * send(event)
+def test_the_later_response_of_a_hedged_request_is_discarded(driver: DispatcherDriver) -> None:
+    driver.policy.decide = lambda event: 2 * start_one_attempt(event)
     driver.receive()
     first, second = driver.started
     driver.enqueue(succeed(second))
     driver.enqueue(succeed(first))
     assert len(driver.responses) == 1
-    assert driver.policy.ended() == [(1, Outcome.SUCCESS, True), (0, Outcome.SUCCESS, True)]
+    assert driver.policy.attempt_ends() == [(1, Outcome.SUCCESS, True), (0, Outcome.SUCCESS, True)]
     assert not driver.dispatcher.active_requests
 
 
-def test_a_cancelled_attempt_is_closed_at_once_and_its_end_comes_after_the_action(
+def test_a_cancelled_attempt_is_aborted_at_once_and_its_end_is_reported_after_the_action(
     driver: DispatcherDriver,
 ) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, AttemptEnded) and event.outcome is Outcome.SUCCESS:
             return [CancelAttempt(1, 0), CancelAttempt(1, 0)]
-        return 2 * send(event)
+        return 2 * start_one_attempt(event)
 
     driver.policy.decide = decide
     driver.receive()
@@ -165,50 +167,54 @@
     driver.now += 7 * MS
     driver.enqueue(succeed(second))
     assert driver.aborted == [first]
-    assert driver.policy.ended() == [(1, Outcome.SUCCESS, True), (0, Outcome.CANCELLED, True)]
+    assert driver.policy.attempt_ends() == [(1, Outcome.SUCCESS, True), (0, Outcome.CANCELLED, True)]
     assert not driver.dispatcher.active_requests
 
 
-def test_an_attempt_times_out_with_the_client_and_the_response_is_still_owed(
+def test_an_attempt_times_out_at_the_clients_timeout_and_the_client_gets_a_response(
     driver: DispatcherDriver,
 ) -> None:
     def decide(event: Event) -> list[Action]:
-        return [FailRequest(1)] if isinstance(event, AttemptEnded) else send(event)
+        return [FailRequest(1)] if isinstance(event, AttemptEnded) else start_one_attempt(event)
 
     driver.policy.decide = decide
     driver.receive(timeout=300 * MS)
-    driver.wait(299 * MS)
+    driver.advance_clock(299 * MS)
     assert not driver.aborted
-    driver.wait(1 * MS)
+    driver.advance_clock(1 * MS)
     assert driver.aborted == driver.started
-    assert driver.policy.ended() == [(0, Outcome.TIMEOUT, False)]
+    assert driver.policy.attempt_ends() == [(0, Outcome.TIMEOUT, False)]
     assert driver.responses == [FinalResponse(502)]
 
 
-def test_an_attempts_own_timeout_ends_it_sooner(driver: DispatcherDriver) -> None:
+def test_an_attempt_times_out_at_its_own_earlier_timeout(driver: DispatcherDriver) -> None:
     def decide(event: Event) -> list[Action]:
         return [StartAttempt(1, "a", 50 * MS)] if isinstance(event, RequestReceived) else []
 
     driver.policy.decide = decide
     driver.receive()
-    driver.wait(50 * MS)
-    assert driver.policy.ended() == [(0, Outcome.TIMEOUT, False)]
+    driver.advance_clock(50 * MS)
+    assert driver.policy.attempt_ends() == [(0, Outcome.TIMEOUT, False)]
 
 
-def test_a_rejection_carries_its_advice_and_a_late_response_changes_nothing(driver: DispatcherDriver) -> None:
+def test_a_rejection_carries_its_retry_after_and_a_later_response_is_discarded(
+    driver: DispatcherDriver,
+) -> None:
     def decide(event: Event) -> list[Action]:
-        return [*send(event), RejectRequest(1, 250 * MS)]
+        return [*start_one_attempt(event), RejectRequest(1, 250 * MS)]
 
     driver.policy.decide = decide
     driver.receive()
     driver.enqueue(succeed(driver.started[0]))
     assert driver.responses == [FinalResponse(503, retry_after=250 * MS)]
-    assert driver.policy.ended() == [(0, Outcome.SUCCESS, True)]
+    assert driver.policy.attempt_ends() == [(0, Outcome.SUCCESS, True)]
 
 
-def test_a_disconnected_client_is_notified_once_and_owed_nothing(driver: DispatcherDriver) -> None:
+def test_the_policy_is_notified_of_a_disconnect_once_and_no_response_is_sent(
+    driver: DispatcherDriver,
+) -> None:
     def decide(event: Event) -> list[Action]:
-        return [CancelAttempt(1, 0)] if isinstance(event, ClientDisconnected) else send(event)
+        return [CancelAttempt(1, 0)] if isinstance(event, ClientDisconnected) else start_one_attempt(event)
 
     driver.policy.decide = decide
     driver.receive()
@@ -220,34 +226,37 @@
     assert not driver.dispatcher.active_requests
 
 
-def test_due_timers_come_before_later_events_each_at_its_own_time(driver: DispatcherDriver) -> None:
+def test_due_timers_fire_before_later_events_each_at_its_own_time(driver: DispatcherDriver) -> None:
     def decide(event: Event) -> list[Action]:
         if isinstance(event, RequestReceived):
             return [SetTimer(30 * MS, "late"), SetTimer(10 * MS, "soon"), SetTimer(10 * MS, "then")]
         return []
 
     driver.policy.decide = decide
-    at = driver.now
+    start = driver.now
     driver.receive()
     driver.now += 100 * MS
-    driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=at + 20 * MS)
-    events = [(now - at, getattr(e, "token", type(e).__name__)) for now, e in driver.policy.events[1:]]
+    driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=start + 20 * MS)
+    events = [(now - start, getattr(e, "token", type(e).__name__)) for now, e in driver.policy.events[1:]]
     assert events[:3] == [(10 * MS, "soon"), (10 * MS, "then"), (20 * MS, "EndpointListUpdate")]
-    driver.wait(0)
-    late_at, late = driver.policy.events[4]
-    assert (late_at - at, late) == (30 * MS, TimerFired("late"))
+    driver.advance_clock(0)
+    last_fired_at, last_event = driver.policy.events[4]
+    assert (last_fired_at - start, last_event) == (30 * MS, TimerFired("late"))
 
 
-def test_the_policys_clock_never_goes_back(driver: DispatcherDriver) -> None:
+def test_the_time_passed_to_the_policy_never_decreases(driver: DispatcherDriver) -> None:
     driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=driver.now + 5)
     driver.enqueue(EndpointListUpdate(ListForm.REJECTED), seen_at=driver.now)
     times = [now for now, _ in driver.policy.events]
     assert times == sorted(times)
 
 
-def test_the_dispatchers_own_lag_does_not_count_as_latency(driver: DispatcherDriver) -> None:
-    """A busy moment would look like slow endpoints: an event has the time at which the socket showed it."""
-    driver.policy.decide = send
+def test_the_dispatchers_delay_does_not_count_as_latency(driver: DispatcherDriver) -> None:
+    """Otherwise a busy sidecar would look like slow endpoints.
+
+    The time of an event is when it was seen on the socket, not when the dispatcher processes it.
+    """
+    driver.policy.decide = start_one_attempt
     driver.receive()
     seen_at = driver.now + 5 * MS
     driver.now += 500 * MS
@@ -258,8 +267,8 @@
     assert now == seen_at
 
 
-def test_a_completed_request_frees_its_body_before_its_timers_are_due(driver: DispatcherDriver) -> None:
-    """The timer of an attempt remains for seconds after the response."""
+def test_a_completed_request_is_freed_before_its_timers_are_due(driver: DispatcherDriver) -> None:
+    """The timer of an attempt remains for seconds after the response and must not keep its body in memory."""
 
     class Reply:
         def __call__(self, final: FinalResponse) -> None:
@@ -267,7 +276,7 @@
 
     reply = Reply()
     reference = weakref.ref(reply)
-    driver.policy.decide = send
+    driver.policy.decide = start_one_attempt
     driver.enqueue(IncomingRequest(GET, RequestReceived(1, 0, 2 * SECOND), reply))
     del reply
     assert reference() is not None
@@ -284,7 +293,7 @@
     assert driver.watch_count == 1
 
 
-def test_an_action_never_seen_before_ends_the_greenlet(driver: DispatcherDriver) -> None:
+def test_an_unsupported_action_ends_the_greenlet(driver: DispatcherDriver) -> None:
     driver.policy.decide = lambda _event: [SendHealthCheck("a")]
     driver.enqueue(EndpointListUpdate(ListForm.CACHED))
     with gevent.Timeout(TIMEOUT_SECONDS):
@@ -293,20 +302,20 @@
 
 
 class RandomPolicy:
-    """Starts, cancels and completes at random, within what the policy's interface allows."""
+    """Starts and cancels attempts and completes requests at random, as the policy's interface allows."""
 
     def __init__(self, draw: Callable[[int], int]) -> None:
         self.draw = draw
         self.attempt_counts: dict[int, int] = {}
         self.completed: set[int] = set()
-        self.ended: list[tuple[int, int]] = []
+        self.attempt_ends: list[tuple[int, int]] = []
 
     def handle(self, _now: int, event: Event) -> list[Action]:
         if not isinstance(event, RequestReceived | AttemptEnded | ClientDisconnected):
             return []
         request_id = event.request_id
         if isinstance(event, AttemptEnded):
-            self.ended.append((request_id, event.attempt))
+            self.attempt_ends.append((request_id, event.attempt))
             is_completed = request_id in self.completed or event.outcome is Outcome.SUCCESS
             assert event.request_completed == is_completed
         if isinstance(event, ClientDisconnected) or (
@@ -334,8 +343,8 @@
 
 
 @given(st.integers(0, 2**32))
-def test_every_attempt_ends_once_and_every_request_is_answered_once(seed: int) -> None:
-    # not drawn from hypothesis itself: the dispatcher's greenlet, too, takes from it
+def test_every_attempt_ends_once_and_every_request_gets_one_response(seed: int) -> None:
+    # Random numbers are not drawn from Hypothesis directly, as the dispatcher's greenlet draws them, too.
     random = Random(seed)
     with pytest.MonkeyPatch.context() as patch:
         driver = DispatcherDriver(patch)
@@ -353,20 +362,20 @@
                 disconnected.add(request_id)
                 driver.enqueue(DisconnectedClient(request_id))
             finish_some(driver, random)
-            driver.wait(random.randrange(150) * MS)
+            driver.advance_clock(random.randrange(150) * MS)
         for _ in range(12):
-            driver.wait(300 * MS)
+            driver.advance_clock(300 * MS)
         assert all(attempt.has_ended for attempt in driver.started)
         started = sorted((attempt.request.request_id, attempt.index) for attempt in driver.started)
-        assert sorted(policy.ended) == started
-        assert all(responses.get(n, 0) == 1 for n in REQUEST_IDS if n not in disconnected)
+        assert sorted(policy.attempt_ends) == started
+        assert all(responses.get(number, 0) == 1 for number in REQUEST_IDS if number not in disconnected)
         assert all(count == 1 for count in responses.values())
         assert not driver.dispatcher.active_requests
         driver.greenlet.kill()
 
 
 def finish_some(driver: DispatcherDriver, random: Random) -> None:
-    """End two in five of the attempts in flight, half of them well."""
+    """End two in five of the attempts in flight, half of them successfully."""
     for attempt in driver.started:
         if not attempt.has_ended and random.random() < 0.4:
             attempt.has_ended = True
--- a/tests/server/test_http1.py
+++ b/tests/server/test_http1.py
@@ -1,4 +1,4 @@
-"""Requests and responses: bytes to values and back, complete, split and malformed."""
+"""Parsing and encoding of requests and responses: complete, split and malformed."""
 
 import itertools
 import math
@@ -35,7 +35,7 @@
         reader.feed(data[start : start + 1000])
 
 
-def test_a_request_is_read_into_its_fields() -> None:
+def test_a_request_is_parsed_into_its_fields() -> None:
     (request,) = RequestReader().feed(POST)
     assert request == ClientRequest(
         method="POST",
@@ -54,7 +54,7 @@
 
 
 @given(st.lists(st.integers(0, 2 * len(POST + CHUNKED_POST)), max_size=8))
-def test_requests_split_anywhere_or_pipelined_are_read_the_same(cuts: list[int]) -> None:
+def test_requests_split_anywhere_or_pipelined_are_parsed_the_same(cuts: list[int]) -> None:
     stream = POST + CHUNKED_POST + POST
     offsets = [0, *sorted(cut for cut in cuts if cut < len(stream)), len(stream)]
     reader = RequestReader()
@@ -89,14 +89,14 @@
 
 
 @pytest.mark.parametrize("data", MALFORMED_REQUESTS)
-def test_a_malformed_request_has_a_status(data: bytes) -> None:
+def test_a_malformed_request_is_rejected_with_its_status(data: bytes) -> None:
     with pytest.raises(MalformedMessageError) as error:
         feed_in_pieces(RequestReader(), data)
     assert error.value.status == MALFORMED_REQUESTS[data]
 
 
 @given(st.binary(max_size=400))
-def test_any_bytes_are_a_message_or_malformed(data: bytes) -> None:
+def test_arbitrary_bytes_raise_no_other_error_than_malformed_message(data: bytes) -> None:
     for reader in (RequestReader(), response_reader()):
         try:
             reader.feed(data)
@@ -110,7 +110,9 @@
     st.binary(max_size=2000),
     st.integers(-5, 5_000_000),
 )
-def test_a_request_is_forwarded_as_it_came(method: str, name: str, body: bytes, timeout: int) -> None:
+def test_an_encoded_request_is_parsed_to_the_same_values(
+    method: str, name: str, body: bytes, timeout: int
+) -> None:
     sent = ClientRequest(method, f"/look/{name}?q=1", name, name, "text/plain", body=body)
     (request,) = RequestReader().feed(encode_request(sent, ("127.0.0.1", 1), timeout))
     assert (request.method, request.target) == (method, sent.target)
@@ -120,7 +122,7 @@
 
 
 @given(st.sampled_from(sorted(REASON_PHRASES)), st.binary(max_size=2000), st.integers(0, 10_000_000))
-def test_a_response_is_read_as_it_was_written(status: int, body: bytes, retry_after: int) -> None:
+def test_an_encoded_response_is_parsed_to_the_same_values(status: int, body: bytes, retry_after: int) -> None:
     data = encode_response(status, body, retry_after, keep_alive=False)
     response = response_reader().feed(data)
     assert response is not None
@@ -128,10 +130,10 @@
     assert (b"Retry-After" in data) == bool(retry_after)
 
 
-def test_a_response_comes_complete_or_not_at_all() -> None:
+def test_a_response_is_returned_only_once_it_is_complete() -> None:
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     reader = response_reader()
-    assert all(reader.feed(data[n : n + 1]) is None for n in range(len(data) - 1))
+    assert all(reader.feed(data[start : start + 1]) is None for start in range(len(data) - 1))
     response = reader.feed(data[-1:])
     assert response
     assert response.body == b"ok"
@@ -147,7 +149,7 @@
 
 
 @pytest.mark.parametrize("after", [b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", b"HTTP/1.1", b"x"])
-def test_unexpected_data_makes_the_connection_unusable_not_the_response(after: bytes) -> None:
+def test_unexpected_data_makes_the_connection_unusable_but_not_the_response(after: bytes) -> None:
     reader = response_reader()
     response = reader.feed(OK_RESPONSE + after)
     assert response
@@ -169,7 +171,9 @@
         ("", ()),
     ],
 )
-def test_a_load_report_is_read_in_the_order_of_the_settings(text: str, values: tuple[float, ...]) -> None:
+def test_the_values_of_a_load_report_are_returned_in_the_order_of_the_fields(
+    text: str, values: tuple[float, ...]
+) -> None:
     report = parse_load_report(text, ("depth", "tps"))
     assert tuple(None if math.isnan(value) else value for value in report) == values
 
@@ -187,5 +191,5 @@
         ("1e999", None),
     ],
 )
-def test_a_timeout_is_a_finite_number_or_none(text: str, timeout: int | None) -> None:
+def test_a_timeout_that_is_not_a_finite_number_is_parsed_as_none(text: str, timeout: int | None) -> None:
     assert parse_timeout(text) == timeout
--- a/tests/server/test_http1_long_bodies.py
+++ b/tests/server/test_http1_long_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies in the parsers: split anywhere, counted by their bytes, and limited."""
+"""Parsing of long bodies: split anywhere, merged into few chunks, and limited in size."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     st.sampled_from(sorted(RESPONSE_FORMS)),
     st.booleans(),
 )
-def test_a_response_split_anywhere_loses_no_byte(
+def test_a_long_response_split_anywhere_is_parsed_completely(
     size: int, step: int, form: str, has_stray_response: bool
 ) -> None:
     body = (LONG_BODY * 2)[:size]
@@ -30,8 +30,8 @@
         data += http_response(b"another")
     reader = ResponseReader(32 * MB, MAX_BUFFERED_BODY_BYTES)
     streamed, response = b"", None
-    for at in range(0, len(data), step):
-        response = reader.feed(data[at : at + step])
+    for start in range(0, len(data), step):
+        response = reader.feed(data[start : start + step])
         if reader.exceeds_body_buffer:
             streamed += b"".join(reader.take_body_chunks())
         if response:
@@ -44,19 +44,19 @@
 
 
 @given(st.lists(st.integers(1, 5000), min_size=1, max_size=60))
-def test_a_body_in_small_parts_costs_no_more_than_its_bytes(part_sizes: list[int]) -> None:
+def test_small_parts_of_a_body_are_merged_into_few_chunks(part_sizes: list[int]) -> None:
     reader = RequestReader()
     head = request_head("look", "1", f"Content-Length: {sum(part_sizes) + 1}", method="POST")
     reader.feed(head)
     for size in part_sizes:
         reader.feed(bytes(size))
-        separate = sum(size >= 4096 for size in part_sizes)
-        assert len(reader.body_chunks) <= 1 + separate + reader.body_size // MAX_BUFFERED_BODY_BYTES
+        separate_count = sum(size >= 4096 for size in part_sizes)
+        assert len(reader.body_chunks) <= 1 + separate_count + reader.body_size // MAX_BUFFERED_BODY_BYTES
     (request,) = reader.feed(b"x")
     assert len(request.body) + sum(map(len, request.body_chunks)) == sum(part_sizes) + 1
 
 
-def test_a_body_beyond_the_limit_is_rejected_at_its_head_or_at_its_first_byte_too_many() -> None:
+def test_a_body_over_the_limit_is_rejected_by_its_declared_or_its_received_length() -> None:
     with pytest.raises(MalformedMessageError) as error:
         RequestReader().feed(request_head("look", "1", f"Content-Length: {32 * MB + 1}", method="POST"))
     assert error.value.status == 413
--- a/tests/server/test_invalid_requests.py
+++ b/tests/server/test_invalid_requests.py
@@ -1,4 +1,4 @@
-"""Bytes that are no valid request, sent to the program over sockets."""
+"""Invalid requests, sent to the program over sockets."""
 
 from __future__ import annotations
 
@@ -16,79 +16,79 @@
 VALID_HEADERS = ("X-Trace-Id: 1", "X-Expires-In: 2.0")
 
 
-CONTRADICTORY_LENGTHS = ("Content-Length: 5", "Transfer-Encoding: chunked")
+CONFLICTING_FRAMINGS = ("Content-Length: 5", "Transfer-Encoding: chunked")
 
 
 INVALID_REQUESTS: list[tuple[str, bytes, int]] = [
     ("not HTTP", b"HELLO\r\n\r\n", 400),
-    ("an unknown class", http_request("/other/k", "GET", *VALID_HEADERS), 400),
+    ("unknown class", http_request("/other/k", "GET", *VALID_HEADERS), 400),
     ("no class", http_request("/", "GET", *VALID_HEADERS), 400),
-    ("no id", http_request("/look/k", "GET", "X-Expires-In: 2.0"), 400),
-    ("no deadline", http_request("/look/k", "GET", "X-Trace-Id: 1"), 400),
-    ("a deadline that is no number", class_request(expires="soon"), 400),
-    ("a deadline that is not finite", class_request(expires="nan"), 400),
-    ("a negative deadline", class_request(expires="-1"), 400),
-    ("a deadline already over", class_request(expires="0"), 504),
+    ("no request id", http_request("/look/k", "GET", "X-Expires-In: 2.0"), 400),
+    ("no timeout", http_request("/look/k", "GET", "X-Trace-Id: 1"), 400),
+    ("non-numeric timeout", class_request(expires="soon"), 400),
+    ("non-finite timeout", class_request(expires="nan"), 400),
+    ("negative timeout", class_request(expires="-1"), 400),
+    ("expired timeout", class_request(expires="0"), 504),
     (
-        "two lengths",
+        "conflicting lengths",
         http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1", "Content-Length: 2"),
         400,
     ),
     (
-        "a length twice",
+        "repeated length",
         http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 0", "Content-Length: 0"),
         400,
     ),
     (
-        "a length with a sign",
+        "length with a sign",
         http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: +1") + b"x",
         400,
     ),
-    ("a negative length", http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: -1") + b"x", 400),
+    ("negative length", http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: -1") + b"x", 400),
     (
-        "a length with a space",
+        "length with a space",
         http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 1 1") + b"x",
         400,
     ),
     (
-        "a length and chunks",
-        http_request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS)
+        "length, then chunked coding",
+        http_request("/look/k", "POST", *VALID_HEADERS, *CONFLICTING_FRAMINGS)
         + b"0\r\n\r\n"
         + class_request(),
         400,
     ),
     (
-        "chunks and a length",
-        http_request("/look/k", "POST", *VALID_HEADERS, *CONTRADICTORY_LENGTHS[::-1])
+        "chunked coding, then length",
+        http_request("/look/k", "POST", *VALID_HEADERS, *CONFLICTING_FRAMINGS[::-1])
         + b"0\r\n\r\n"
         + class_request(),
         400,
     ),
     (
-        "a wrong chunk size",
-        http_request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"zz\r\n",
+        "invalid chunk size",
+        http_request("/look/k", "POST", *VALID_HEADERS, CONFLICTING_FRAMINGS[1]) + b"zz\r\n",
         400,
     ),
     (
-        "a huge chunk size",
-        http_request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1])
+        "huge chunk size",
+        http_request("/look/k", "POST", *VALID_HEADERS, CONFLICTING_FRAMINGS[1])
         + b"fffffff\r\n"
         + b"x" * 70_000,
         408,
     ),
     (
-        "a chunk size beyond all",
-        http_request("/look/k", "POST", *VALID_HEADERS, CONTRADICTORY_LENGTHS[1]) + b"f" * 40 + b"\r\n",
+        "overflowing chunk size",
+        http_request("/look/k", "POST", *VALID_HEADERS, CONFLICTING_FRAMINGS[1]) + b"f" * 40 + b"\r\n",
         400,
     ),
-    ("a deadline with other signs", class_request(expires="1_0"), 400),
-    ("a body too large", http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 33554433"), 413),
+    ("timeout with an underscore", class_request(expires="1_0"), 400),
+    ("body too large", http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 33554433"), 413),
     (
-        "a body too large, sent",
+        "body too large, partly sent",
         http_request("/look/k", "POST", *VALID_HEADERS, "Content-Length: 33600000") + b"x" * 200_000,
         413,
     ),
-    ("a head too large", http_request("/look/k", "GET", *VALID_HEADERS, "X-A: " + "y" * 50_000), 431),
+    ("head too large", http_request("/look/k", "GET", *VALID_HEADERS, "X-A: " + "y" * 50_000), 431),
 ]
 
 
@@ -102,7 +102,7 @@
 @pytest.mark.parametrize(
     ("data", "status"), [bad[1:] for bad in INVALID_REQUESTS], ids=[bad[0] for bad in INVALID_REQUESTS]
 )
-def test_an_invalid_request_is_rejected_without_the_policy(
+def test_an_invalid_request_is_rejected_and_not_forwarded(
     serving: tuple[SidecarProcess, UpstreamServer], data: bytes, status: int
 ) -> None:
     sidecar, server = serving
@@ -112,10 +112,10 @@
     assert sidecar.ask().status == 200
 
 
-def test_a_complete_request_is_served_before_invalid_bytes_behind_it_are_rejected(
+def test_complete_requests_are_served_before_invalid_bytes_after_them_are_rejected(
     serving: tuple[SidecarProcess, UpstreamServer],
 ) -> None:
-    # what comes behind a request in the same bytes must not lose it
+    # Invalid bytes that arrive together with complete requests must not cause these to be lost.
     wire = serving[0].connect()
     wire.sock.sendall(class_request() + class_request() + b"NONSENSE\r\n\r\n")
     assert [reply and reply.status for reply in (wire.read(), wire.read(), wire.read())] == [200, 200, 400]
@@ -123,12 +123,12 @@
     wire.sock.close()
 
 
-def test_a_request_id_that_is_in_flight_or_ended_lately_is_rejected(tmp_path: Path) -> None:
-    # one client's request must not run, nor be answered, under the id of another's
-    let = threading.Event()
+def test_a_request_id_that_is_in_flight_or_was_used_recently_is_rejected(tmp_path: Path) -> None:
+    # A request must neither be executed nor get a response under the identifier of another client's request.
+    may_respond = threading.Event()
 
     def script(request: HttpMessage, _wire: HttpConnection) -> bytes:
-        let.wait(20)
+        may_respond.wait(20)
         return http_response(request.target.encode())
 
     server = UpstreamServer("a", script)
@@ -138,7 +138,7 @@
         wait_until(lambda: server.seen)
         copy = http_request("/look/theirs", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0")
         assert sidecar.talk(copy).status == 409
-        let.set()
+        may_respond.set()
         reply = first.read()
         assert reply
         assert reply.body == b"/look/mine"
@@ -147,7 +147,7 @@
         first.sock.close()
 
 
-def test_nothing_behind_an_invalid_request_is_served(serving: tuple[SidecarProcess, UpstreamServer]) -> None:
+def test_a_request_after_an_invalid_one_is_not_served(serving: tuple[SidecarProcess, UpstreamServer]) -> None:
     sidecar, server = serving
     seen = len(server.seen)
     for data in (http_request("/other/k", "GET", *VALID_HEADERS), http_request("/look/k", "GET")):
@@ -161,7 +161,7 @@
     assert len(server.seen) == seen
 
 
-def test_a_client_that_closes_within_a_request_does_no_harm(
+def test_a_client_that_closes_within_a_request_does_not_affect_others(
     serving: tuple[SidecarProcess, UpstreamServer],
 ) -> None:
     sidecar, _ = serving
--- a/tests/server/test_listener.py
+++ b/tests/server/test_listener.py
@@ -1,4 +1,4 @@
-"""Client connections of a listener in this process: accepting, eviction, timeouts, large requests."""
+"""The client connections of a listener in this process: accepting, eviction, timeouts, large requests."""
 
 import contextlib
 import socket
@@ -23,8 +23,8 @@
 # --- Accepting and eviction --------------------------------------------------------------------------
 
 
-def test_the_oldest_idle_connection_is_evicted_and_only_for_one_that_waits(listener: Listener) -> None:
-    # an idle connection must not be closed while nobody needs its slot, nor a newer one before it
+def test_the_oldest_idle_connection_is_evicted_only_for_one_in_the_backlog(listener: Listener) -> None:
+    # No idle connection may be closed while no other needs its slot, nor a newer one before an older one.
     listener.budget.descriptors.max_clients = 3
     first, second, third = (connect(listener) for _ in range(3))
     run_until(lambda: len(listener.connections) >= 3)
@@ -37,26 +37,26 @@
         assert sock.recv(65536).startswith(b"HTTP/1.1 200")
 
 
-def test_connections_without_a_request_are_evicted_before_any_other(
+def test_connections_without_a_request_are_evicted_first(
     listener: Listener, dispatcher: StoppedDispatcher
 ) -> None:
-    # hundreds of connections that send nothing must not take the slots of those that send requests
+    # Hundreds of connections that send nothing must not take the slots of those that send requests.
     listener.budget.descriptors.max_clients = 20
     active = connect(listener)
     exchange(dispatcher, active)
-    silent = [connect(listener) for _ in range(100)]
-    late = connect(listener)
-    late.sendall(READINESS_CHECK)
-    assert late.recv(65536).startswith(b"HTTP/1.1 200")
+    silent_clients = [connect(listener) for _ in range(100)]
+    newest = connect(listener)
+    newest.sendall(READINESS_CHECK)
+    assert newest.recv(65536).startswith(b"HTTP/1.1 200")
     assert not is_readable(active)
-    assert is_readable(silent[0])
+    assert is_readable(silent_clients[0])
     exchange(dispatcher, active)
 
 
-def test_idle_connections_are_evicted_although_new_ones_arrive(
+def test_idle_connections_are_evicted_although_newer_ones_arrive(
     listener: Listener, dispatcher: StoppedDispatcher
 ) -> None:
-    # new connections, too young to be evicted, must not protect those that sent one request and stayed
+    # New connections, which are not evicted yet, must not protect those that stay open after one request.
     listener.budget.descriptors.max_clients = 10
     for _ in range(30):
         exchange(dispatcher, connect(listener))
@@ -64,25 +64,25 @@
     assert len(listener.connections) <= 10
 
 
-def test_all_waiting_connections_are_accepted_in_one_turn(listener: Listener) -> None:
-    # connections in the backlog must not wait for a turn of a busy event loop each
+def test_all_connections_in_the_backlog_are_accepted_in_one_turn(listener: Listener) -> None:
+    # Each connection in the backlog must not have to wait for a turn of its own of a busy event loop.
     gevent.sleep(0.01)
     assert listener.listening_socket is not None
-    waiting = [socket.create_connection(listener.listening_socket.getsockname()) for _ in range(40)]
+    clients = [socket.create_connection(listener.listening_socket.getsockname()) for _ in range(40)]
     gevent.sleep(0.001)
-    accepted = len(listener.connections)
-    for sock in waiting:
+    accepted_count = len(listener.connections)
+    for sock in clients:
         sock.close()
-    assert accepted == 40
+    assert accepted_count == 40
 
 
 # --- Timeouts ----------------------------------------------------------------------------------------
 
 
-def test_a_silent_client_is_closed_and_never_one_whose_request_is_pending(
+def test_a_silent_client_is_closed_and_one_with_a_pending_request_is_not(
     listener: Listener, dispatcher: StoppedDispatcher, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # slots must not be held for ever, and no connection may be closed under a request
+    # Silent clients must not hold their slots forever, but connections with pending requests stay open.
     monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 150 * MS)
     gevent.spawn(listener.sweep)
     silent, active = connect(listener), connect(listener)
@@ -92,7 +92,7 @@
     gevent.sleep(0.4)
     dispatcher.requests[0].reply(FinalResponse(200, b"late"))
     assert active.recv(65536).endswith(b"late")
-    assert active.recv(1) == b""  # idle since
+    assert active.recv(1) == b""  # closed after it was idle
     run_until(lambda: not listener.connections)
 
 
@@ -103,14 +103,14 @@
     monkeypatch: pytest.MonkeyPatch,
     is_first_request: bool,
 ) -> None:
-    # the timeout must not start again with each byte
+    # The timeout must not start again with each byte.
     monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 300 * MS)
     gevent.spawn(listener.sweep)
     sock = connect(listener)
     if not is_first_request:
         sock.sendall(READINESS_CHECK)
         sock.recv(65536)
-    began = clock()
+    started_at = clock()
     data = iter(class_request(body=b"x" * 10_000))
     with gevent.Timeout(TIMEOUT_SECONDS), contextlib.suppress(OSError):
         while not is_readable(sock):
@@ -119,10 +119,10 @@
     assert sock.recv(65536).startswith(b"HTTP/1.1 408")
     assert sock.recv(1) == b""
     assert not dispatcher.requests
-    assert clock() - began >= 150 * MS
+    assert clock() - started_at >= 150 * MS
 
 
-def test_a_client_that_reads_no_response_is_closed(
+def test_a_client_that_reads_no_responses_is_closed(
     listener: Listener, dispatcher: StoppedDispatcher, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 50 * MS)
@@ -147,7 +147,7 @@
 def test_large_requests_wait_for_memory_and_small_ones_do_not(
     listener: Listener, dispatcher: StoppedDispatcher
 ) -> None:
-    # large requests together must not need more memory than there is
+    # All large requests together must not need more memory than there is.
     memory = listener.budget.memory
     memory.max_bytes = 300_000
     first, second, small = (connect(listener) for _ in range(3))
--- a/tests/server/test_long_responses.py
+++ b/tests/server/test_long_responses.py
@@ -1,4 +1,4 @@
-"""Long responses: forwarded as they arrive in any framing, and aborted so that the client can tell."""
+"""Long responses: forwarded as they arrive, with any framing, and aborted recognisably for the client."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("form", RESPONSE_FORMS)
 @pytest.mark.parametrize("size", [1000, MAX_BUFFERED_BODY_BYTES, 66_000, 131_000, len(LONG_BODY)])
 def test_a_response_of_any_framing_and_size_arrives_unchanged(tmp_path: Path, form: str, size: int) -> None:
-    # one that exceeds the buffer and ends within the same bytes must not lose its body
+    # A response that exceeds the buffer and ends within the same read must not lose its body.
     def script(_message: HttpMessage, wire: HttpConnection) -> bytes | None:
         data = RESPONSE_FORMS[form](LONG_BODY[:size])
         if form in ("until close", "1.0"):
@@ -50,7 +50,7 @@
             assert version == "1.1" or b"chunked" not in head
 
 
-def test_first_bytes_are_forwarded_at_once_and_the_deadline_cuts_nothing_off(tmp_path: Path) -> None:
+def test_a_long_response_is_forwarded_from_its_first_bytes_and_beyond_the_timeout(tmp_path: Path) -> None:
     may_continue = threading.Event()
 
     def script(_message: HttpMessage, wire: HttpConnection) -> bytes:
@@ -58,50 +58,50 @@
         assert may_continue.wait(20)
         return http_response(LONG_BODY)[100_000:]
 
-    world = Deployment(tmp_path, UpstreamServer("a", script))
-    address = enable_admin(world.sidecar)
-    with world as sidecar:
+    deployment = Deployment(tmp_path, UpstreamServer("a", script))
+    address = enable_admin(deployment.sidecar)
+    with deployment as sidecar:
         wire = sidecar.connect()
         with wire.sock:
-            line = request_head("look", "1").replace(b"X-Expires-In: 2.0", b"X-Expires-In: 0.2")
-            wire.sock.sendall(line)
-            first = wire.sock.recv(60_000)
-            assert first.startswith(b"HTTP/1.1 200")
+            request = request_head("look", "1").replace(b"X-Expires-In: 2.0", b"X-Expires-In: 0.2")
+            wire.sock.sendall(request)
+            first_bytes = wire.sock.recv(60_000)
+            assert first_bytes.startswith(b"HTTP/1.1 200")
             assert read_metrics(address)["app_open_requests"] == 1
-            time.sleep(0.4)  # past its deadline
+            time.sleep(0.4)  # until after the timeout of the request
             may_continue.set()
-            got = first
-            while len(got) < len(LONG_BODY):
-                got += wire.sock.recv(100_000)
-        assert got.endswith(LONG_BODY)
+            received = first_bytes
+            while len(received) < len(LONG_BODY):
+                received += wire.sock.recv(100_000)
+        assert received.endswith(LONG_BODY)
         wait_until(lambda: read_metrics(address)[outcome_metric("look", "fulfilled")] == 1)
         assert read_metrics(address)["app_open_requests"] == 0
 
 
 @pytest.mark.parametrize("form", ["length", "chunks", "1.0 client"])
-def test_an_aborted_response_ends_so_that_the_client_can_tell(tmp_path: Path, form: str) -> None:
+def test_an_aborted_response_is_recognisable_as_incomplete(tmp_path: Path, form: str) -> None:
     def script(_message: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(
             (http_response(LONG_BODY) if form == "length" else chunked_response(LONG_BODY))[:150_000]
         )
 
-    world = Deployment(tmp_path, server := UpstreamServer("a", script))
-    address = enable_admin(world.sidecar)
-    with world as sidecar:
+    deployment = Deployment(tmp_path, server := UpstreamServer("a", script))
+    address = enable_admin(deployment.sidecar)
+    with deployment as sidecar:
         wire = sidecar.connect()
         with wire.sock:
-            line = request_head("look", "1")
-            wire.sock.sendall(line.replace(b"HTTP/1.1", b"HTTP/1.0") if form == "1.0 client" else line)
+            request = request_head("look", "1")
+            wire.sock.sendall(request.replace(b"HTTP/1.1", b"HTTP/1.0") if form == "1.0 client" else request)
             with pytest.raises((AssertionError, ConnectionResetError)):
                 read_response(wire.sock)
-        assert len(server.seen) == 1, "a response that has started is not requested again"
+        assert len(server.seen) == 1, "a request whose response has begun was retried"
         wait_until(lambda: read_metrics(address)[outcome_metric("look", "faulted")] == 1)
 
 
-def test_a_slow_client_gets_everything_and_a_disconnect_ends_the_upstreams_response(
+def test_a_slow_client_gets_the_whole_body_and_a_disconnect_ends_the_upstreams_response(
     tmp_path: Path,
 ) -> None:
-    body = LONG_BODY * 96  # 24 MiB, more than the kernel holds
+    body = LONG_BODY * 96  # 24 MiB, more than the socket buffers of the kernel hold
     ended = threading.Event()
 
     def script(_message: HttpMessage, wire: HttpConnection) -> None:
@@ -110,26 +110,26 @@
         finally:
             ended.set()
 
-    world = Deployment(tmp_path, UpstreamServer("a", script))
-    world.sidecar.config["limits"]["memory_mb"] = 32
-    with world as sidecar:
+    deployment = Deployment(tmp_path, UpstreamServer("a", script))
+    deployment.sidecar.config["limits"]["memory_mb"] = 32
+    with deployment as sidecar:
         wire = sidecar.connect()
         with wire.sock:
             wire.sock.sendall(request_head("look", "1"))
             time.sleep(0.3)
-            assert not ended.is_set(), "the upstream is read faster than the client reads"
-            _, got = read_response(wire.sock)
-            assert got == body
+            assert not ended.is_set(), "the sidecar read the response faster than the client did"
+            _, received = read_response(wire.sock)
+            assert received == body
         ended.clear()
         disconnecting = sidecar.connect()
         disconnecting.sock.sendall(request_head("look", "2"))
         disconnecting.sock.recv(1000)
         disconnecting.sock.close()
-        assert ended.wait(20), "the upstream still writes for nobody"
+        assert ended.wait(20), "the upstream still writes after the client has disconnected"
         assert resident_bytes(sidecar) < 64 * MB
 
 
-def test_a_connection_is_used_further_after_the_response_to_head(tmp_path: Path) -> None:
+def test_a_client_connection_is_reused_after_the_response_to_head(tmp_path: Path) -> None:
     def script(message: HttpMessage, _wire: HttpConnection) -> bytes:
         if message.start.startswith("HEAD"):
             return b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
@@ -146,7 +146,7 @@
             assert read_response(wire.sock)[1] == b"/look/k"
 
 
-def test_responses_that_arrive_together_are_read_one_by_one() -> None:
+def test_the_helper_reads_responses_that_arrive_together_one_by_one() -> None:
     ours, theirs = socket.socketpair()
     with ours, theirs:
         theirs.sendall(http_response(b"one") + chunked_response(b"two") + http_response(b"three"))
--- a/tests/server/test_request_validation.py
+++ b/tests/server/test_request_validation.py
@@ -1,4 +1,4 @@
-"""What a valid request becomes, and how long its identifier is remembered."""
+"""The event of a valid request, and how long the identifier of a request is kept."""
 
 import gevent
 import pytest
@@ -12,7 +12,7 @@
 from tests.support.waiting import run_until
 
 
-def test_identifiers_are_forgotten_once_no_copy_can_be_on_its_way(
+def test_request_identifiers_are_discarded_after_the_request_timeout(
     listener: Listener, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_timeouts, "REQUEST_TIMEOUT_US", 100 * MS)
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -1,4 +1,4 @@
-"""Requests that pass through the program, started by the command of `run`, over sockets."""
+"""Requests over sockets through the program, which is started by its `run` command."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return http_response(b"", 503, "X-Never-Ran: 1")
 
 
-def test_a_request_is_forwarded_and_its_response_comes_back_unchanged(tmp_path: Path) -> None:
+def test_a_request_and_its_response_are_forwarded_unchanged(tmp_path: Path) -> None:
     body = bytes(range(256)) * 256
     server = UpstreamServer(
         "a", lambda request, _wire: http_response(request.body[::-1], 200, "Content-Type: x/y")
@@ -35,36 +35,38 @@
         assert 0 < float(seen.headers["x-expires-in"]) <= 1.5
 
 
-def test_kept_connections_take_split_chunked_and_pipelined_requests(tmp_path: Path) -> None:
+def test_a_persistent_connection_accepts_split_chunked_and_pipelined_requests(tmp_path: Path) -> None:
     server = UpstreamServer("a", lambda request, _wire: http_response(request.target.encode() + request.body))
     with Deployment(tmp_path, server) as sidecar:
         wire = sidecar.connect()
-        for at in range(len(data := class_request(body=b"hello"))):
-            wire.sock.sendall(data[at : at + 1])
+        for start in range(len(data := class_request(body=b"hello"))):
+            wire.sock.sendall(data[start : start + 1])
         first = wire.read()
         chunked = http_request(
             "/look/c", "POST", "X-Trace-Id: 2", "X-Expires-In: 2", "Transfer-Encoding: chunked"
         )
         wire.sock.sendall(chunked + b"2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n" + class_request() + class_request())
-        rest = [wire.read() for _ in range(3)]
-        replies = [reply.body for reply in (first, *rest) if reply]
+        later = [wire.read() for _ in range(3)]
+        replies = [reply.body for reply in (first, *later) if reply]
         assert replies == [b"/look/k1hello", b"/look/chello", b"/look/k1", b"/look/k1"]
         wire.sock.close()
 
 
 def test_concurrent_connections_each_get_their_own_response(tmp_path: Path) -> None:
-    together = threading.Barrier(20)
+    all_in_flight = threading.Barrier(20)
 
     def script(request: HttpMessage, _wire: HttpConnection) -> bytes:
-        together.wait(20)
+        all_in_flight.wait(20)
         return http_response(request.headers["x-trace-id"].encode())
 
     with Deployment(tmp_path, UpstreamServer("a", script)) as sidecar:
         wires = [sidecar.connect() for _ in range(20)]
-        for n, wire in enumerate(wires):
-            wire.sock.sendall(http_request(f"/look/{n}", "GET", f"X-Trace-Id: t{n}", "X-Expires-In: 2.0"))
+        for number, wire in enumerate(wires):
+            wire.sock.sendall(
+                http_request(f"/look/{number}", "GET", f"X-Trace-Id: t{number}", "X-Expires-In: 2.0")
+            )
         replies = [wire.read() for wire in wires]
-        assert [reply.body for reply in replies if reply] == [b"t%d" % n for n in range(20)]
+        assert [reply.body for reply in replies if reply] == [b"t%d" % number for number in range(20)]
         for wire in wires:
             wire.sock.close()
 
@@ -76,7 +78,7 @@
         assert float(reply.headers["retry-after"]) == 0.5
 
 
-def test_an_attempt_that_never_ran_is_retried_even_if_non_idempotent(tmp_path: Path) -> None:
+def test_an_attempt_that_was_not_executed_is_retried_even_if_non_idempotent(tmp_path: Path) -> None:
     full, down, good = UpstreamServer("a", reject_as_never_run), UpstreamServer("b"), UpstreamServer("c")
     down.close()
     with Deployment(tmp_path, full, down, good) as sidecar:
@@ -84,7 +86,7 @@
         assert len(good.seen) == 8
 
 
-def test_a_non_idempotent_request_that_may_have_run_is_not_retried(tmp_path: Path) -> None:
+def test_a_non_idempotent_request_that_may_have_been_executed_is_not_retried(tmp_path: Path) -> None:
     broken, spare = (
         UpstreamServer("a", lambda _request, _wire: None),
         UpstreamServer("b", lambda _request, _wire: None),
@@ -95,15 +97,15 @@
 
 
 INVALID_RESPONSES: dict[str, bytes | None] = {
-    "cut short": None,
+    "connection closed": None,
     "malformed": b"\x00\x01\x02\r\n\r\n",
-    "said to be too large": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
-    "an error": http_response(b"no", 500),
+    "declared body too large": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 100_000,
+    "error status": http_response(b"no", 500),
 }
 
 
 @pytest.mark.parametrize("reply", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES)
-def test_an_invalid_response_fails_its_own_request_only(tmp_path: Path, reply: bytes | None) -> None:
+def test_an_invalid_response_fails_only_its_own_request(tmp_path: Path, reply: bytes | None) -> None:
     server = UpstreamServer("a", lambda _request, _wire: reply)
     with Deployment(tmp_path, server) as sidecar:
         assert sidecar.ask("pay").status == 502
@@ -114,7 +116,7 @@
 
 
 def test_a_large_response_is_served(tmp_path: Path) -> None:
-    # larger than what is buffered for a retry: it must not count as invalid and be requested again elsewhere
+    # A response that exceeds the buffer must not count as invalid and cause a retry at another upstream.
     body = bytes(range(256)) * 1400
     server = UpstreamServer("a", lambda _request, _wire: http_response(body))
     with Deployment(tmp_path, server) as sidecar:
@@ -122,16 +124,16 @@
         assert len(server.seen) == 1
 
 
-def test_half_a_response_is_never_forwarded(tmp_path: Path) -> None:
-    def half(_request: HttpMessage, wire: HttpConnection) -> None:
+def test_a_truncated_response_is_not_forwarded(tmp_path: Path) -> None:
+    def send_half(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(http_response(b"x" * 1000)[:500])
 
-    with Deployment(tmp_path, UpstreamServer("a", half)) as sidecar:
+    with Deployment(tmp_path, UpstreamServer("a", send_half)) as sidecar:
         reply = sidecar.ask("pay")
         assert (reply.status, reply.body) == (502, b"")
 
 
-def test_a_silent_upstream_fails_its_own_request_only_and_is_disconnected(tmp_path: Path) -> None:
+def test_a_silent_upstream_fails_only_its_own_request_and_is_disconnected(tmp_path: Path) -> None:
     server = UpstreamServer(
         "a", lambda request, wire: never_respond(request, wire) if request.body else http_response(b"ok")
     )
@@ -143,7 +145,7 @@
         reply = stuck.read()
         assert reply
         assert reply.status == 502
-        wait_until(lambda: server.closed, "hung up")
+        wait_until(lambda: server.closed, "the sidecar closed the connection")
         stuck.sock.close()
 
 
@@ -154,20 +156,20 @@
         wire.sock.sendall(class_request(expires="2.0"))
         wait_until(lambda: server.seen)
         wire.sock.close()
-        wait_until(lambda: server.closed, "the attempt was called off")
+        wait_until(lambda: server.closed, "the attempt was cancelled")
         server.script = lambda _request, _wire: http_response(b"ok")
         assert sidecar.ask().status == 200
         sidecar.end()
         assert final_counts(sidecar.log())["disconnected"] == 1
 
 
-def test_a_draining_endpoint_gets_nothing_new_and_its_connections_are_closed(tmp_path: Path) -> None:
+def test_a_draining_endpoint_gets_no_new_requests_and_its_connections_are_closed(tmp_path: Path) -> None:
     a, b = UpstreamServer("a"), UpstreamServer("b")
-    world = Deployment(tmp_path, a, b)
-    with world as sidecar:
+    deployment = Deployment(tmp_path, a, b)
+    with deployment as sidecar:
         wait_until(lambda: sidecar.ask("pay").body == b"a")
-        wait_until(lambda: world.discovery.calls)
-        world.discovery.change(a.entry(state="DRAINING"))
+        wait_until(lambda: deployment.discovery.calls)
+        deployment.discovery.change(a.entry(state="DRAINING"))
         wait_until(lambda: a.closed == len(a.connections))
         seen = len(a.seen)
         assert {sidecar.ask("pay").body for _ in range(10)} == {b"b"}
@@ -176,25 +178,25 @@
 
 def test_a_changed_address_of_an_endpoint_is_used(tmp_path: Path) -> None:
     a, moved = UpstreamServer("a"), UpstreamServer("moved")
-    world = Deployment(tmp_path, a)
-    with world as sidecar:
+    deployment = Deployment(tmp_path, a)
+    with deployment as sidecar:
         assert sidecar.ask().body == b"a"
-        wait_until(lambda: world.discovery.calls)
-        world.discovery.change(a.entry(addr=moved.address))
+        wait_until(lambda: deployment.discovery.calls)
+        deployment.discovery.change(a.entry(addr=moved.address))
         wait_until(lambda: sidecar.ask().body == b"moved")
     moved.close()
 
 
-def test_http_1_0_connections_are_closed_unless_keep_alive_is_asked_for(tmp_path: Path) -> None:
+def test_http_1_0_connections_are_closed_unless_keep_alive_is_requested(tmp_path: Path) -> None:
     with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
-        for more, kept in ((b"", False), (b"Connection: keep-alive\r\n", True)):
+        for header, is_kept in ((b"", False), (b"Connection: keep-alive\r\n", True)):
             wire = sidecar.connect()
-            for _ in range(1 + kept):
-                wire.sock.sendall(class_request().replace(b"HTTP/1.1\r\n", b"HTTP/1.0\r\n" + more))
+            for _ in range(1 + is_kept):
+                wire.sock.sendall(class_request().replace(b"HTTP/1.1\r\n", b"HTTP/1.0\r\n" + header))
                 reply = wire.read()
                 assert reply
                 assert reply.status == 200
-            assert kept or wire.ended()
+            assert is_kept or wire.ended()
             wire.sock.close()
 
 
@@ -202,7 +204,7 @@
     server = UpstreamServer("a")
     with Deployment(tmp_path, server, keepaliveUs=500 * MS, dialTimeoutUs=SECOND) as sidecar:
         assert sidecar.ask().status == 200
-        wait_until(lambda: server.closed == 1, "closed as idle")
+        wait_until(lambda: server.closed == 1, "the idle connection was closed")
 
 
 def test_a_request_writes_no_log_line(tmp_path: Path) -> None:
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections to stand-in endpoints: which are reused, which are closed, and which endpoints are known."""
+"""The upstream pool with stand-in endpoints: which connections are reused or closed, and its endpoints."""
 
 import time
 from functools import partial
@@ -17,22 +17,22 @@
 from tests.support.waiting import run_until
 
 
-def test_connections_are_reused_the_newest_first(server: UpstreamServer) -> None:
+def test_an_idle_connection_is_reused_unless_the_upstream_closes_it(server: UpstreamServer) -> None:
     attempts = RunningAttempts(server)
     for count in (1, 2):
         attempts.start()
-        attempts.outcomes(count)
+        attempts.wait_for_outcomes(count)
         wait_until_reusable()
     assert len(server.connections) == 1
-    assert attempts.idle() == attempts.used() == 1
+    assert attempts.idle_count() == attempts.descriptors_in_use() == 1
     server.script = lambda _request, _wire: http_response(b"ok", 200, "Connection: close")
     attempts.start()
-    attempts.outcomes(3)
-    assert attempts.idle() == attempts.used() == 0
+    attempts.wait_for_outcomes(3)
+    assert attempts.idle_count() == attempts.descriptors_in_use() == 0
 
 
-def test_a_connection_that_the_endpoint_closed_is_not_reused(server: UpstreamServer) -> None:
-    """The request would end as a reset, and may then have run."""
+def test_a_connection_closed_by_the_endpoint_is_not_reused(server: UpstreamServer) -> None:
+    """Otherwise the request would end as a reset and, as it may have been executed, could not be retried."""
 
     def script(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(http_response(b"ok"))
@@ -41,29 +41,29 @@
     attempts = RunningAttempts(server)
     for count in range(1, 6):
         attempts.start()
-        attempts.outcomes(count)
+        attempts.wait_for_outcomes(count)
         run_until(partial(lambda closed: server.closed >= closed, count))
-    assert attempts.outcomes(5) == [Outcome.SUCCESS] * 5
+    assert attempts.wait_for_outcomes(5) == [Outcome.SUCCESS] * 5
     assert len(server.connections) == 5
 
 
-def test_a_second_response_to_one_request_spoils_the_connection(server: UpstreamServer) -> None:
+def test_a_connection_with_a_second_response_to_one_request_is_not_reused(server: UpstreamServer) -> None:
     server.script = lambda _request, _wire: http_response(b"ok") + http_response(b"not yours")
     attempts = RunningAttempts(server)
     attempts.start()
-    attempts.outcomes()
+    attempts.wait_for_outcomes()
     attempts.start()
-    assert attempts.outcomes(2) == [Outcome.SUCCESS] * 2
-    assert attempts.bodies() == [b"ok", b"ok"]
+    assert attempts.wait_for_outcomes(2) == [Outcome.SUCCESS] * 2
+    assert attempts.response_bodies() == [b"ok", b"ok"]
     assert len(server.connections) == 2
 
 
 @pytest.mark.parametrize("after", [0.0, 0.003])
-def test_what_follows_a_response_reaches_no_other_request(
+def test_stray_bytes_after_a_response_reach_no_other_request(
     server: UpstreamServer, after: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A stray response may come between the last look at a connection and the next write on it."""
-    # a delay that a busy machine does not outlast, so that the verdict is the same on any
+    """A stray response may arrive between the last check of a connection and the next write on it."""
+    # The reuse delay is longer than the test takes, so that the result does not depend on the machine's load.
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_US", 60 * SECOND)
 
     def script(request: HttpMessage, wire: HttpConnection) -> bytes:
@@ -75,36 +75,36 @@
     attempts = RunningAttempts(server)
     for count in range(1, 6):
         attempts.start()
-        attempts.outcomes(count)
+        attempts.wait_for_outcomes(count)
         gevent.sleep(after / 2)
-    assert attempts.bodies() == [b"1"] * 5
+    assert attempts.response_bodies() == [b"1"] * 5
 
 
-def test_a_connection_is_idle_for_less_than_the_keep_alive(server: UpstreamServer) -> None:
+def test_a_connection_idle_for_longer_than_the_keep_alive_is_not_reused(server: UpstreamServer) -> None:
     attempts = RunningAttempts(server, keep_alive=0)
     attempts.start()
-    attempts.outcomes()
+    attempts.wait_for_outcomes()
     gevent.sleep(0.002)
     attempts.start()
-    attempts.outcomes(2)
+    attempts.wait_for_outcomes(2)
     assert len(server.connections) == 2
 
 
-def test_idle_connections_are_closed_for_want_of_descriptors() -> None:
+def test_the_oldest_idle_connection_is_closed_if_no_descriptor_is_free() -> None:
     servers = [UpstreamServer(name) for name in "abc"]
     attempts = RunningAttempts(*servers, sockets=RESERVED_DESCRIPTORS + 2)
     for count, name in enumerate("abc", 1):
         attempts.start(name)
-        attempts.outcomes(count)
-    assert attempts.outcomes(3) == [Outcome.SUCCESS] * 3
-    assert [attempts.idle(name) for name in "abc"] == [0, 1, 1]
-    assert attempts.used() == 2
+        attempts.wait_for_outcomes(count)
+    assert attempts.wait_for_outcomes(3) == [Outcome.SUCCESS] * 3
+    assert [attempts.idle_count(name) for name in "abc"] == [0, 1, 1]
+    assert attempts.descriptors_in_use() == 2
     for server in servers:
         server.close()
 
 
-def test_a_socket_closed_here_cannot_be_reused() -> None:
-    """Its descriptor may be another connection's by then."""
+def test_a_closed_socket_counts_as_readable() -> None:
+    """It must not be reused, as its descriptor number may belong to another connection by then."""
     one, other = gevent.socket.socketpair()
     assert not is_readable(one)
     one.close()
@@ -112,22 +112,22 @@
     other.close()
 
 
-def test_a_connection_to_an_earlier_address_is_not_kept(server: UpstreamServer) -> None:
-    """A response may come after the endpoint has moved, and its connection leads to the old address."""
+def test_a_connection_to_an_earlier_address_is_not_reused(server: UpstreamServer) -> None:
+    """A response may arrive after the address of the endpoint has changed."""
     server.script = never_respond
     attempts = RunningAttempts(server)
     attempts.start()
     run_until(lambda: server.seen)
     attempts.pool.update_endpoints((endpoint_record("a", "127.0.0.1:9"),), False)
     server.connections[0].sendall(http_response(b"ok"))
-    assert attempts.outcomes() == [Outcome.SUCCESS]
-    assert attempts.idle() == attempts.used() == 0
+    assert attempts.wait_for_outcomes() == [Outcome.SUCCESS]
+    assert attempts.idle_count() == attempts.descriptors_in_use() == 0
 
 
-def test_a_removed_endpoint_is_forgotten_and_its_connection_never_used_for_another(
+def test_a_connection_of_a_removed_endpoint_is_never_used_for_another_endpoint(
     server: UpstreamServer,
 ) -> None:
-    """A new endpoint of the same name or at the same address would get the old one's connections."""
+    """Otherwise a new endpoint with the same name or address would get connections of the removed one."""
     server.script = never_respond
     attempts = RunningAttempts(server)
     pool = attempts.pool
@@ -139,12 +139,12 @@
     pool.update_endpoints(both, False)
     server.script = lambda _request, _wire: http_response(b"new")
     server.connections[0].sendall(http_response(b"old"))
-    assert attempts.outcomes() == [Outcome.SUCCESS]
-    assert attempts.idle("a") == attempts.idle("b") == attempts.used() == 0
+    assert attempts.wait_for_outcomes() == [Outcome.SUCCESS]
+    assert attempts.idle_count("a") == attempts.idle_count("b") == attempts.descriptors_in_use() == 0
     attempts.start("b")
-    attempts.outcomes(2)
+    attempts.wait_for_outcomes(2)
     assert len(server.connections) == 2
-    assert attempts.idle("b") == 1
+    assert attempts.idle_count("b") == 1
     pool.update_endpoints((), True)
     assert not pool.endpoints
-    assert attempts.used() == 0
+    assert attempts.descriptors_in_use() == 0
