--- a/linetrack/server/upstream_pool.py
+++ b/linetrack/server/upstream_pool.py
@@ -29,7 +29,7 @@
 # The share of the upstream's keep-alive timeout for which a connection may be idle.  After a longer time, the
 # upstream could close it just as the next request is sent.
 MAX_IDLE_SHARE = 0.8
-REUSE_DELAY_US = 5_000  # the time after a response in which stray bytes may follow and prevent reuse
+REUSE_DELAY_US = 5_000  # how long a connection is not reused after a response, as stray bytes may follow it
 EXPIRY_INTERVAL_SECONDS = 1.0  # between checks for connections that were idle for too long
 # Idle times are recorded in groups by how many connections were idle already: 0, 1, 2, or 3 and more.
 IDLE_DEPTH_GROUPS = 4
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -1,4 +1,4 @@
-"""A lack of descriptors must not end the process; whatever waits for one proceeds once one is free."""
+"""A lack of descriptors must not end the process; clients and attempts proceed once one is free."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def fail_once(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str) -> list[int]:
-    """Make the first call of a function fail with EMFILE; returns a list that gets an item by that call."""
+    """Make the first call of a function fail with EMFILE; the returned list gets an item at that call."""
     function, calls = getattr(owner, name), []
 
     def fail(*_args: Any, **_kwargs: Any) -> Any:
--- a/tests/server/test_long_responses.py
+++ b/tests/server/test_long_responses.py
@@ -1,4 +1,4 @@
-"""Long responses: forwarded as they arrive, with any framing, and aborted recognisably for the client."""
+"""Long responses: forwarded as they arrive, with any framing; an aborted one is recognisable as such."""
 
 from __future__ import annotations
 
