--- a/tests/server/test_client_disconnect.py
+++ b/tests/server/test_client_disconnect.py
@@ -76,7 +76,7 @@
 def test_no_attempt_starts_for_a_client_that_disconnected_after_a_streamed_body(
     sidecar: InProcessSidecar,
 ) -> None:
-    """After the end of the body, no greenlet reads from the client any more, which would show a disconnect."""
+    """After the end of the body, no greenlet reads from the client any more and would detect a disconnect."""
     sidecar.connect_and_exchange().close()
     run_until(lambda: not sidecar.listener.connections)
     sidecar.budget.memory.max_bytes = 0
