--- a/linetrack/server/__init__.py
+++ b/linetrack/server/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets round the decision module, in gevent's greenlets."""
+"""The sidecar process: networking on gevent around the load-balancing policy."""
--- a/linetrack/server/admin.py
+++ b/linetrack/server/admin.py
@@ -1,7 +1,7 @@
-"""The operators' listener: whether this process serves, and its metrics.
+"""The admin server for operators: a health check and the metrics.
 
-It has a listener of its own and serves one request a connection.  Its few descriptors are reserved, so that
-it takes no connection slot from the application, and it counts nothing itself.
+It has its own listener and serves one request per connection.  Its few descriptors are reserved, so that it
+uses no connection slot of the application.  It only renders metrics that other modules count.
 """
 
 from __future__ import annotations
@@ -25,21 +25,23 @@
 HEALTH_PATH = "/admin/health"
 METRICS_PATH = "/admin/stats"
 METRICS_CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-MAX_ADMIN_CONNECTIONS = 16  # at once; the oldest is closed for a new one
-ADMIN_TIMEOUT_SECONDS = 2.0  # for a request to be complete, and as long for its response to be taken
-METRICS_CACHE_US = 250_000  # for which the text of the metrics is served again
+MAX_ADMIN_CONNECTIONS = 16  # concurrent connections; the oldest is closed to admit a new one
+ADMIN_TIMEOUT_SECONDS = 2.0  # for receiving a complete request, and again for sending its response
+METRICS_CACHE_TTL_US = 250_000  # how long rendered metrics are reused
 LISTEN_BACKLOG = 128
-MAX_DISCARDED_BYTES = 64 * 1024  # behind a request, read so that no reset overtakes the response
-ACCEPT_RETRY_SECONDS = 0.05  # after accepting failed
+# Input after a request is read before the connection is closed: unread input would reset the connection, and
+# the reset could overtake the response.
+MAX_DISCARDED_BYTES = 64 * 1024
+ACCEPT_RETRY_DELAY_SECONDS = 0.05  # after a transient error of accept()
 
 
 class AdminServer:
-    """Serves the operators' requests.
+    """Serves health checks and metrics to operators.
 
     Args:
-        address: Where to listen.
-        is_serving: Whether this process serves the application.
-        render_metrics: Returns the metrics in Prometheus's text format.
+        address: The address to listen on.
+        is_serving: Returns whether this process serves the application.
+        render_metrics: Returns the metrics in the Prometheus text format.
     """
 
     def __init__(
@@ -52,24 +54,25 @@
         self.render_metrics = render_metrics
         self.connections: OrderedDict[socket.socket, None] = OrderedDict()
         self.metrics_text = b""
-        self.metrics_rendered_at = -METRICS_CACHE_US
+        self.metrics_rendered_at = -METRICS_CACHE_TTL_US
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
         self.listener.listen(LISTEN_BACKLOG)
 
     def accept(self) -> None:
-        """Accept connections, for ever."""
+        """Accept connections forever."""
         while True:
             try:
                 sock, _ = self.listener.accept()
             except OSError as error:
                 if not is_transient_accept_error(error):
                     raise
-                gevent.sleep(ACCEPT_RETRY_SECONDS)
+                gevent.sleep(ACCEPT_RETRY_DELAY_SECONDS)
                 continue
             if len(self.connections) >= MAX_ADMIN_CONNECTIONS:
-                # Clients that send nothing must not keep others out; closing wakes the greenlet that waits.
+                # Clients that send nothing must not block others.  Closing a socket wakes the greenlet that
+                # waits for it.
                 oldest, _ = self.connections.popitem(last=False)
                 oldest.close()
             self.connections[sock] = None
@@ -78,19 +81,19 @@
     def _serve(self, sock: socket.socket) -> None:
         try:
             sock.settimeout(ADMIN_TIMEOUT_SECONDS)
-            with gevent.Timeout(ADMIN_TIMEOUT_SECONDS, TimeoutError("the request was not complete in time")):
+            with gevent.Timeout(ADMIN_TIMEOUT_SECONDS, TimeoutError("the request was not received in time")):
                 try:
                     response = self._respond(_read_request(sock))
                 except MalformedMessageError as error:
                     response = encode_response(error.status, keep_alive=False)
-            with gevent.Timeout(ADMIN_TIMEOUT_SECONDS, TimeoutError("the response was not taken in time")):
+            with gevent.Timeout(ADMIN_TIMEOUT_SECONDS, TimeoutError("the response was not sent in time")):
                 sock.sendall(response)
                 sock.shutdown(socket.SHUT_WR)
                 _discard_input(sock)
         except (OSError, EOFError):
-            pass  # the client has closed or stalled, or was closed for a newer one
+            pass  # the client closed or stalled, or its connection was closed to admit a newer one
         except Exception:
-            # A greenlet that fails would otherwise end silently.
+            # Without this handler a failing greenlet would end without a log line.
             log.exception("admin_request_failed")
         finally:
             self.connections.pop(sock, None)
@@ -109,16 +112,16 @@
         )
 
     def _metrics(self) -> bytes:
-        """The text of the metrics, rendered anew once it is too old."""
+        """Return the metrics as text, rendered again once the cached text has expired."""
         now = clock()
-        if now - self.metrics_rendered_at >= METRICS_CACHE_US:
+        if now - self.metrics_rendered_at >= METRICS_CACHE_TTL_US:
             self.metrics_text = self.render_metrics().encode()
             self.metrics_rendered_at = now
         return self.metrics_text
 
 
 def _read_request(sock: socket.socket) -> ClientRequest:
-    """Read a connection's one request; raises an EOFError where the connection ends before it is complete."""
+    """Read the one request of a connection; raises EOFError if the connection ends before it is complete."""
     reader = RequestReader()
     try:
         while True:
@@ -132,7 +135,7 @@
 
 
 def _discard_input(sock: socket.socket) -> None:
-    """Read what came behind the request, up to a limit."""
+    """Read and discard the input after the request, up to a limit."""
     remaining = MAX_DISCARDED_BYTES
     while remaining > 0 and (data := sock.recv(READ_SIZE)):
         remaining -= len(data)
--- a/linetrack/server/clock.py
+++ b/linetrack/server/clock.py
@@ -1,20 +1,19 @@
-"""The program's one clock: whatever happens on sockets is stamped with it.
+"""The process-wide clock, which timestamps everything that happens on sockets.
 
-Decision code never reads it; it is given the moments.
+Decision code never reads it; its callers pass the time.
 """
 
 import time
 from time import monotonic_ns
 
-#: Time is Unix time in microseconds as of the process's start, and advances monotonically from there: the
-#: start times that discovery reports need no translation, and the clock does not jump when the machine's
-#: clock is set.
+#: The clock shows Unix time at process start and advances monotonically from there.  Start times reported by
+#: discovery therefore need no conversion, and the clock does not jump when the machine's clock is set.
 _UNIX_TIME_OFFSET_NS = time.time_ns() - time.monotonic_ns()
 
-#: Later than any moment.
+#: A time later than any reading of the clock.
 NEVER = 2**63
 
 
 def clock() -> int:
-    """The present moment, in microseconds."""
+    """Return the current time in microseconds."""
     return (_UNIX_TIME_OFFSET_NS + monotonic_ns()) // 1000
--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -1,7 +1,7 @@
-"""The sidecar's configuration: EDGE_* variables and the JSON file, read, checked and given defaults.
+"""The sidecar's configuration, from EDGE_* variables and the JSON file: reading, validation and defaults.
 
-The only reader of both, at the start and at each reload.  It opens no socket and holds nothing that changes.
-Every error names the key at fault.
+This module is the only reader of both, at startup and at each reload.  It opens no socket and holds no
+mutable state.  Every error names the invalid key.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from linetrack.settings import SettingsError, SettingsNode, describe_invalid_key, read_settings
 
 EMPTY_ENDPOINT_LIST = EndpointRecords(0, True, ())
-HTTP1_STREAMS_PER_CONNECTION = 1  # whatever is configured
-# defaults of the limits: those that bind on the days that count
+HTTP1_STREAMS_PER_CONNECTION = 1  # used instead of the configured number
+# The default limits are those that apply in production.
 DEFAULT_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192
 MIN_SOCKETS = 64
@@ -31,7 +31,7 @@
 
 CONFIG_FILE_VARIABLE = "EDGE_CONFIG"
 
-#: Fields that only a restart can change, and the keys that set them.
+#: `Config` fields that only a restart can change, and the keys that set them.
 RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -42,8 +42,9 @@
     "retry_after_in_whole_seconds": "storms.wholeSeconds",
 }
 
-#: Keys that a reloaded file must have if the file in force has them, by the object that holds them.  Left out
-#: are keys that turn something on, so that an older file can follow a newer one, and `RESTART_KEYS`.
+#: Keys that a reloaded file must have if the running configuration has them, grouped by the object that holds
+#: them.  Keys that enable a feature are left out, so that an older file can replace a newer one; so are the
+#: keys of `RESTART_KEYS`, except `name` and `listen`.
 PERMANENT_KEYS: dict[str, tuple[str, ...]] = {
     "": ("name", "listen", "discovery", "limits", "settings"),
     "settings": ("classes", "azs", "zone", "me", "balancers", "registryMode", "rules", "stats", "allowed"),
@@ -65,7 +66,7 @@
         "dialTimeoutUs",
     ),
 }
-#: The same for keys that each class of the file in force has.
+#: The same for the keys of request classes, if each class of the running configuration has them.
 PERMANENT_CLASS_KEYS = ("name", "repeat", "aimUs", "deadlineUs", "worth")
 
 
@@ -75,61 +76,63 @@
     Attributes:
         key: the full path of the key, or the name of an environment variable.
         reason: what is wrong with it.
-        value: the value as shown to the operator; None where it is missing.
+        value: the value as shown to the operator; None if the key is missing.
     """
 
-    def __init__(self, key: str, reason: str, value: str | None = None, *, line: str | None = None) -> None:
-        """`line` is what an operator reads, where it says more than the other arguments do."""
+    def __init__(
+        self, key: str, reason: str, value: str | None = None, *, message: str | None = None
+    ) -> None:
+        """`message` replaces the text built from the other arguments, where it can say more."""
         self.key = key
         self.reason = reason
         self.value = value
-        super().__init__(line or describe_invalid_key(key, reason, value))
+        super().__init__(message or describe_invalid_key(key, reason, value))
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything that one sidecar is configured with; durations in microseconds."""
+    """The complete configuration of one sidecar; durations are in microseconds."""
 
     name: str
     listen: tuple[str, int]
-    admin: tuple[str, int] | None  # the operators' address; None: nothing listens there
+    admin: tuple[str, int] | None  # address of the admin server; None: no admin server
     discovery: tuple[str, int]
     seed: int
     sockets: int
     memory_mb: int
     initial_endpoints: EndpointRecords
     settings: Settings
-    configured_streams: int  # a connection, as configured; HTTP/1.1 carries HTTP1_STREAMS_PER_CONNECTION
+    configured_streams: int  # per connection, before it is replaced by HTTP1_STREAMS_PER_CONNECTION
     class_names: tuple[str, ...]
     zone_names: tuple[str, ...]
     host_class_names: tuple[str, ...]
     load_report_fields: tuple[str, ...]
     dial_timeout: int
     keep_alive_timeout: int
-    overload_control_enabled: bool  # retry storms are damped, keys of the callers' own retries remembered
+    overload_control_enabled: bool  # damp retry storms and remember the keys of callers' own retries
     retry_after_in_whole_seconds: bool
-    permanent_keys: frozenset[str] = frozenset()  # which of PERMANENT_KEYS the file has
+    permanent_keys: frozenset[str] = frozenset()  # the PERMANENT_KEYS and PERMANENT_CLASS_KEYS in the file
 
     def keys_needing_restart(self, new: Config) -> list[str]:
-        """The keys in which a new configuration differs that only a restart can change."""
+        """Return the keys that differ in a new configuration and that only a restart can change."""
         return sorted(
             key for field, key in RESTART_KEYS.items() if getattr(self, field) != getattr(new, field)
         )
 
     def for_reload_of(self, running: Config) -> Config:
-        """This configuration as a sidecar that runs with another one takes it.
+        """Return this configuration adapted to a sidecar that runs with another one.
 
-        What only a restart can change stays as it was, and each zone and host class keeps its number: were
-        two zones to have one number after one another, a request that may have been executed in the first
-        would be retried in the second.
+        Values that only a restart can change are taken from the running configuration.  Each zone and host
+        class keeps its index: if an index meant one zone before the reload and another one after it, a
+        request that may have been executed in the first zone would be retried in the second.
 
         Raises:
-            ConfigError: a key is missing that the running configuration has.  A file that lost a part would
+            ConfigError: a key is missing that the running configuration has.  An incomplete file would
                 otherwise take effect with defaults.
         """
         if missing := running.permanent_keys - self.permanent_keys:
-            raise ConfigError(min(missing), "is missing, and the file in force says it")
-        zone_names = _extended(running.zone_names, self.zone_names)
+            raise ConfigError(min(missing), "is missing, but the running configuration has it")
+        zone_names = _append_new_names(running.zone_names, self.zone_names)
         zone = self.settings.zone
         if zone < len(self.zone_names):
             zone = zone_names.index(self.zone_names[zone])
@@ -138,12 +141,12 @@
             self,
             settings=replace(self.settings, zone=zone),
             zone_names=zone_names,
-            host_class_names=_extended(running.host_class_names, self.host_class_names),
+            host_class_names=_append_new_names(running.host_class_names, self.host_class_names),
             **unchanged,
         )
 
     def has_same_settings(self, other: Config) -> bool:
-        """Whether nothing differs that needs a settings switch in a running sidecar."""
+        """Return whether changing from `other` to this configuration needs no settings switch."""
         same = replace(
             self,
             discovery=other.discovery,
@@ -155,9 +158,10 @@
 
     @property
     def digest(self) -> str:
-        """Stands for all that decisions depend on, names with their numbers included.
+        """A digest of everything that decisions depend on, including names and their indexes.
 
-        It is equal in two processes of one sidecar with the same settings, whatever else their files hold.
+        It is equal in two processes of one sidecar with the same settings, even if their files differ in
+        other values.
         """
         return settings_digest(
             self.settings, self.class_names, self.zone_names, self.host_class_names, self.load_report_fields
@@ -165,17 +169,17 @@
 
     @property
     def class_timeouts(self) -> tuple[int, ...]:
-        """The timeout of each request class."""
+        """The timeout of each request class, in microseconds."""
         return tuple(request_class.timeout for request_class in self.settings.classes)
 
     @property
     def max_class_timeout(self) -> int:
-        """The longest timeout of any request class."""
+        """The longest timeout of any request class, in microseconds."""
         return max(self.class_timeouts)
 
 
 def read_config(environ: Mapping[str, str]) -> Config:
-    """The platform's configuration, from the file that EDGE_CONFIG names.
+    """Read the configuration from the environment and the file that EDGE_CONFIG names.
 
     Raises:
         ConfigError: a key is missing or invalid.
@@ -187,7 +191,7 @@
 
 
 def parse_config(values: Any, environ: Mapping[str, str]) -> Config:
-    """The configuration that these values, in the platform's form, give.
+    """Return the configuration for the environment and for `values` in the platform's format.
 
     Raises:
         ConfigError: a key is missing or invalid.
@@ -204,8 +208,8 @@
             return json.load(file)
     except OSError as error:
         reason = str(error.strerror)
-        line = f"{CONFIG_FILE_VARIABLE}: {path}: {reason}"
-        raise ConfigError(CONFIG_FILE_VARIABLE, reason, path, line=line) from None
+        message = f"{CONFIG_FILE_VARIABLE}: {path}: {reason}"
+        raise ConfigError(CONFIG_FILE_VARIABLE, reason, path, message=message) from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(CONFIG_FILE_VARIABLE, f"is not JSON: {error}", path) from None
 
@@ -247,16 +251,17 @@
 
 
 def _required_text(root: SettingsNode, key: str, environ: Mapping[str, str]) -> str:
-    """From the environment or else the file; the other way round for discovery.
+    """Return a required text from the environment or, if it is not set there, from the file.
 
-    The environment stays as it was at the start, so it must not hide a discovery that a new file names.
+    For `discovery` the file takes precedence: the environment of a process never changes, and it must not
+    hide a new discovery address in a reloaded file.
     """
     variable = f"EDGE_{key.upper()}"
     from_file = root.text(key, "")
     from_environ = environ.get(variable, "")
     text = from_file or from_environ if key == "discovery" else from_environ or from_file
     if not text:
-        raise ConfigError(key, "is missing", line=f"{key} ({variable}) is missing")
+        raise ConfigError(key, "is missing", message=f"{key} ({variable}) is missing")
     return text
 
 
@@ -265,17 +270,17 @@
     for index, node in enumerate(classes):
         name = node.text("name", str(index))
         if name in names:
-            raise ConfigError(node.path_of("name"), "is there twice", repr(name))
+            raise ConfigError(node.path_of("name"), "is also the name of another class", repr(name))
         names.append(name)
     return tuple(names)
 
 
 def _socket_limit(limits: SettingsNode) -> int:
-    """The configured limit, or the process's own where that is lower."""
+    """Return the configured limit, or the process's descriptor limit if that is lower."""
     process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = min(limits.integer("sockets", DEFAULT_SOCKETS), process_limit)
     if sockets < MIN_SOCKETS:
-        raise ConfigError("limits.sockets", "is too few to serve with", str(sockets))
+        raise ConfigError("limits.sockets", "is below the minimum", str(sockets))
     return sockets
 
 
@@ -283,15 +288,15 @@
     try:
         return parse_address(text)
     except ValueError as error:
-        raise ConfigError(key, str(error), repr(text), line=f"{key} ({variable}): {error}") from None
+        raise ConfigError(key, str(error), repr(text), message=f"{key} ({variable}): {error}") from None
 
 
 def _seed(value: Any) -> int:
-    """Hexadecimal text or a whole number."""
+    """Return the seed, given as hexadecimal text or as an integer."""
     try:
         return value if isinstance(value, int) else int(value, 16)
     except (TypeError, ValueError):
-        raise ConfigError("seed", "is no hexadecimal number", repr(value)) from None
+        raise ConfigError("seed", "is not a hexadecimal number", repr(value)) from None
 
 
 def _initial_endpoints(value: Any) -> EndpointRecords:
@@ -300,7 +305,7 @@
     try:
         return parse_endpoint_list(value)
     except MalformedMessageError as error:
-        raise ConfigError("known", str(error), line=f"known: {error}") from None
+        raise ConfigError("known", str(error), message=f"known: {error}") from None
 
 
 def _permanent_keys(root: SettingsNode) -> frozenset[str]:
@@ -319,6 +324,6 @@
     return frozenset(found)
 
 
-def _extended(old: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
-    """The old names in their order, then those that are new."""
+def _append_new_names(old: tuple[str, ...], new: tuple[str, ...]) -> tuple[str, ...]:
+    """Return the old names in their order, followed by those that are new."""
     return old + tuple(name for name in new if name not in old)
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -1,7 +1,7 @@
 """The discovery client: polls the endpoint list and publishes its updates.
 
-It owns the connection to discovery, discovery's address and the version of the current list.  When to poll,
-for how long and when to give up is decided by `control/discovery_schedule.py`.
+It owns the connection to discovery, discovery's address and the version of the current list.
+`linetrack/control/discovery_schedule.py` decides when to poll, how long to wait and when to give up.
 """
 
 from __future__ import annotations
@@ -68,37 +68,37 @@
         self.schedule = DiscoverySchedule(settings, seed)
         self.configure(zone_names, host_class_names, settings)
         self.version: int | None = None  # of the current list; None asks for a snapshot
-        # Set once a first poll has succeeded or discovery is down and has nothing to tell; where updates are
-        # not pushed, any failure will do.
+        # Set once the first poll has succeeded or discovery is unreachable; where updates are not pushed, any
+        # failed poll sets it.
         self.initial_poll_finished = Event()
         self._watch_requested = Event()
         self._server_switched = Event()
-        self._server_generation = 0  # how often another server was configured
-        # Polls the server before the current one, for an update that it has sent already.
+        self._server_generation = 0  # number of server switches
+        # Still polls the previous server, for an update that it may already have sent.
         self._previous_polling: gevent.Greenlet | None = None
 
     def configure(
         self, zone_names: tuple[str, ...], host_class_names: tuple[str, ...], settings: Settings
     ) -> None:
-        """Apply settings from here on; zones and host classes are numbered in the order of their names."""
+        """Apply new settings; the index of a zone or host class is the position of its name."""
         self.zone_indexes = {name: index for index, name in enumerate(zone_names)}
         self.host_class_indexes = {name: index for index, name in enumerate(host_class_names)}
         self.schedule.configure(settings)
 
     def restore(self, records: EndpointRecords) -> None:
-        """Publish the list as this sidecar last had it; called before anything else is published."""
+        """Publish the last list that this sidecar had; must be called before any other list is published."""
         self.version = records.version if records.endpoints else None
         self._publish(records, ListForm.CACHED)
 
     def watch(self) -> None:
-        """Begin to poll where updates are not pushed; from then on the list is kept up to date."""
+        """Start polling where updates are not pushed; from then on the list is kept up to date."""
         self._watch_requested.set()
 
     def switch_server(self, address: tuple[str, int]) -> None:
-        """Poll the discovery server at `address` from here on.
+        """Poll the discovery server at `address` from now on.
 
-        It is polled at once, whatever backoff is pending, and for a snapshot, since its versions are its own.
-        Until it has responded the current list stays.
+        The first poll is immediate, even if a backoff is pending, and requests a snapshot, as each server
+        has its own versions.  The current list stays in use until the new server has responded.
         """
         if address == self.address:
             return
@@ -110,7 +110,7 @@
         self._server_switched.set()
 
     def run(self) -> None:
-        """Poll for ever; where updates are not pushed, from `watch` on."""
+        """Poll forever; where updates are not pushed, polling starts with `watch`."""
         if not self.schedule.updates_are_pushed:
             self._watch_requested.wait()
         while True:
@@ -121,7 +121,7 @@
             polling = gevent.spawn(self._poll_until_failure, poll, self._server_generation)
             gevent.wait([polling, self._server_switched], count=1)
             if self._server_switched.is_set():
-                # A failure of the previous server must not delay the first poll of this one.
+                # A failure of the previous server must not delay the first poll of the new one.
                 self._replace_previous_polling(polling)
             elif isinstance(error := polling.get(), PollError):
                 self._record_failure(error)
@@ -133,10 +133,10 @@
         log.warning("discovery_poll_failed", failure=error.failure.value, fault=error.reason)
 
     def _replace_previous_polling(self, polling: gevent.Greenlet | None) -> None:
-        """Let `polling` of the previous server go on, in place of the one that did so far.
+        """Keep `polling` as the greenlet that polls the previous server, and kill the one kept before.
 
-        An update that the previous server has sent is binding, although another is polled by now: its open
-        poll is read until the new server has responded, or the server is switched again.
+        An update that the previous server has sent is binding even after the switch.  Its open poll is
+        therefore read until the new server has responded or the server is switched again.
         """
         if self._previous_polling is not None:
             self._previous_polling.kill(block=False)
@@ -144,9 +144,9 @@
 
     # --- Polls of one server -----------------------------------------------------------------------
     def _poll_until_failure(self, poll: Poll, server_generation: int) -> PollError | None:
-        """Make `poll` and all that follow it, on one connection while that is kept alive.
+        """Send `poll` and the polls that follow it, on one connection while that is kept alive.
 
-        Returns the error that ended them, or None once another server is polled.
+        Returns the error that ended the polling, or None once another server is polled.
         """
         connection: Connection | None = None
         try:
@@ -170,7 +170,7 @@
 
     def _connect(self, poll: Poll) -> Connection:
         try:
-            # Where no descriptor is left the poll fails, and the process goes on.
+            # Without a free descriptor only the poll fails; the process keeps running.
             connection = Connection(self.address, MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
             connection.connect(poll.connect_timeout / MICROSECONDS_PER_SECOND)
         except OSError as error:
@@ -179,12 +179,12 @@
 
     def _send_poll(self, connection: Connection, poll: Poll) -> None:
         """Send the poll and wait until its response begins."""
-        # A long poll's wait begins once discovery has received it, however long connecting took.
+        # The wait of a long poll begins once discovery has received it, however long connecting took.
         started_at = clock() if poll.long_poll_wait else poll.due_at
         timeout = _seconds_until(started_at + poll.response_timeout)
         long_poll_wait_ms = poll.long_poll_wait // MICROSECONDS_PER_MILLISECOND
         try:
-            with gevent.Timeout(timeout, TimeoutError("no answer")):
+            with gevent.Timeout(timeout, TimeoutError("no response from discovery")):
                 connection.sock.sendall(encode_poll(self.address, self.version, long_poll_wait_ms))
                 socket.wait_read(connection.sock.fileno())
         except TimeoutError as error:
@@ -193,9 +193,9 @@
             raise PollError(PollFailure.UNREACHABLE, error) from None
 
     def _apply_response(self, response: Response, poll: Poll, server_generation: int) -> bool:
-        """Publish what the response says; returns whether its server is still the one to poll."""
+        """Publish the list in a response; returns whether its server is still the current one."""
         if response.status != statuses.OK:
-            raise PollError(PollFailure.REJECTED, f"discovery answered {response.status}")
+            raise PollError(PollFailure.REJECTED, f"discovery responded with status {response.status}")
         previous_version = self.version
         try:
             records = decode_endpoint_list(response.body)
@@ -212,7 +212,7 @@
 
     # --- Updates -----------------------------------------------------------------------------------
     def _apply_last_update(self, records: EndpointRecords) -> None:
-        """Publish an update of the previous server, unless the new one has responded already."""
+        """Publish an update of the previous server, unless the new one has already responded."""
         if self.version is None:
             self._publish_changes(records)
 
@@ -221,8 +221,8 @@
             log.warning("endpoints_skipped", entries=records.skipped_count)
         version = self.version
         if version is not None and records.version < version:
-            # An outdated list must not count.  A server that started over must not be ignored for ever
-            # either: the next poll asks for a snapshot, which counts whatever its version.
+            # An outdated list must not be applied.  A server that restarted with lower versions must not be
+            # ignored forever either: the next poll requests a snapshot, which is applied at any version.
             self.version = None
             raise MalformedMessageError(f"version {records.version} is older than {version}")
         self.version = records.version
@@ -251,10 +251,11 @@
 
 
 def _read_response(connection: Connection, poll: Poll) -> Response:
-    """Read the complete response, of which the first bytes have come."""
+    """Read a complete response, whose first bytes have arrived."""
     try:
         with gevent.Timeout(
-            poll.transfer_timeout / MICROSECONDS_PER_SECOND, TimeoutError("the answer takes too long")
+            poll.transfer_timeout / MICROSECONDS_PER_SECOND,
+            TimeoutError("the response was not complete in time"),
         ):
             response = connection.read_response(
                 poll.stall_timeout / MICROSECONDS_PER_SECOND, _reserve_nothing
@@ -274,14 +275,14 @@
 
 
 def _reserve_nothing(_size: int) -> None:
-    """Take no memory from the budget for a response: the list is needed whatever its size."""
+    """Reserve no memory in the budget for a response: the list is needed whatever its size."""
 
 
 def _index_of(name: str, indexes: dict[str, int]) -> int:
     """Return the index of `name`.
 
-    A name that the settings do not have gets a number of its own behind all indexes.  It is not kept
-    anywhere, since new names may come for ever.
+    A name that is not in the settings gets a number after all indexes, derived from its hash.  It is not
+    stored, since the number of such names is unbounded.
     """
     index = indexes.get(name)
     return len(indexes) + zlib.crc32(name.encode()) if index is None else index
--- a/linetrack/server/endpoint_list.py
+++ b/linetrack/server/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The codec of discovery's protocol: the poll, and the endpoint list that answers it.
+"""The codec of the discovery protocol: polls and the endpoint lists in their responses.
 
-The hot-restart channel carries lists in the same form.
+The hot-restart channel carries lists in the same format.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from linetrack.server.http1.errors import MalformedMessageError
 from linetrack.server.http1.headers import HOST
 
-# A list of thousands of endpoints is far smaller.
+# Far more than a list of thousands of endpoints needs.
 MAX_ENDPOINT_LIST_BYTES = 16 * 1024 * 1024
 
 # --- Names on the wire ---------------------------------------------------------------------------
@@ -45,13 +45,13 @@
 WIRE_NAME_BY_STATUS = {status: name for name, status in STATUS_BY_WIRE_NAME.items()}
 
 NO_ADDRESS = ("", 0)
-# What a value of the wrong type or form raises while it is converted.
+# Errors that converting a value of the wrong type or format can raise.
 CONVERSION_ERRORS = (KeyError, TypeError, ValueError, OverflowError, AttributeError)
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecord:
-    """One entry of an endpoint list, its zone and host class by name."""
+    """One entry of an endpoint list, with its zone and host class by name."""
 
     name: str
     address: tuple[str, int]
@@ -65,16 +65,19 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointRecords:
-    """An endpoint list, or the changes of one."""
+    """A complete endpoint list, or the changes to one."""
 
     version: int
     is_snapshot: bool  # a complete list, not only the changes since an earlier version
     endpoints: tuple[EndpointRecord, ...]
-    skipped_count: int = 0  # entries that could not be read
+    skipped_count: int = 0  # entries that could not be parsed
 
 
 def encode_poll(address: tuple[str, int], version: int | None = None, long_poll_wait_ms: int = 0) -> bytes:
-    """Return a poll: for a snapshot, or for the changes since a version, which discovery may wait for."""
+    """Return a poll, which requests a snapshot or the changes since a version.
+
+    Discovery may wait up to `long_poll_wait_ms` for a change.
+    """
     query = ""
     if version is not None:
         query = f"?{VERSION_PARAMETER}={version}&{LONG_POLL_WAIT_PARAMETER}={long_poll_wait_ms}"
@@ -82,7 +85,7 @@
 
 
 def encode_snapshot(version: int, endpoints: Iterable[EndpointRecord]) -> dict[str, Any]:
-    """Return a complete list in discovery's form, ready for JSON."""
+    """Return a complete list in discovery's format, as a value for JSON."""
     return {
         VERSION_FIELD: version,
         IS_SNAPSHOT_FIELD: True,
@@ -104,24 +107,25 @@
 
 
 def decode_endpoint_list(body: bytes) -> EndpointRecords:
-    """Read a list from the body of discovery's response; raises a `MalformedMessageError`."""
+    """Parse the body of a response of discovery; raises `MalformedMessageError` if it is no endpoint list."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError):
-        raise MalformedMessageError("the list of members is not JSON") from None
+        raise MalformedMessageError("the endpoint list is not JSON") from None
     return parse_endpoint_list(value)
 
 
 def parse_endpoint_list(value: Any) -> EndpointRecords:
-    """Read a list from its JSON value.
+    """Parse a list from its JSON value.
 
-    Entries that cannot be read are skipped and counted; of several with one name the last counts.  Raises a
-    `MalformedMessageError` where the value is no list or all of its entries were skipped.
+    Entries that cannot be parsed are skipped and counted.  If several entries have the same name, the last
+    one is used.  Raises `MalformedMessageError` if the value is not an endpoint list or if all of its entries
+    were skipped.
     """
     try:
         version, is_snapshot, entries = _parse_envelope(value)
     except (KeyError, TypeError, ValueError, OverflowError) as error:
-        raise MalformedMessageError(f"no list of members: {error!r}") from None
+        raise MalformedMessageError(f"not an endpoint list: {error!r}") from None
     endpoints: dict[str, EndpointRecord] = {}
     skipped_count = 0
     for entry in entries:
@@ -132,24 +136,24 @@
             continue
         endpoints[endpoint.name] = endpoint
     if skipped_count and not endpoints:
-        raise MalformedMessageError("no entry of the list makes sense")
+        raise MalformedMessageError("no entry of the endpoint list is valid")
     return EndpointRecords(version, is_snapshot, tuple(endpoints.values()), skipped_count)
 
 
 def _parse_envelope(value: Any) -> tuple[int, bool, list[Any]]:
-    """Return a list's version, whether it is a snapshot, and its entries, which are not read yet."""
+    """Return a list's version, whether it is a snapshot, and its entries, which are not parsed yet."""
     version = int(value[VERSION_FIELD])
     is_snapshot = value[IS_SNAPSHOT_FIELD]
     entries = value[ENDPOINTS_FIELD]
     if isinstance(is_snapshot, bool) and isinstance(entries, list):
         return version, is_snapshot, entries
-    raise ValueError(f"{IS_SNAPSHOT_FIELD} or {ENDPOINTS_FIELD} is of another type")
+    raise ValueError(f"{IS_SNAPSHOT_FIELD} or {ENDPOINTS_FIELD} has the wrong type")
 
 
 def _parse_endpoint(value: Any) -> EndpointRecord:
-    """Read one entry; raises one of `CONVERSION_ERRORS`."""
+    """Parse one entry; raises one of `CONVERSION_ERRORS` if it is invalid."""
     status = STATUS_BY_WIRE_NAME[value[STATUS_FIELD]]
-    # One that was removed needs no address.
+    # A removed endpoint needs no address.
     has_address = status is not EndpointStatus.REMOVED
     return EndpointRecord(
         name=_parse_text(value[NAME_FIELD]),
@@ -165,5 +169,5 @@
 
 def _parse_text(value: Any) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is no name")
+        raise ValueError(f"{value!r} is not a non-empty string")
     return value
--- a/linetrack/server/greenlets.py
+++ b/linetrack/server/greenlets.py
@@ -1,4 +1,4 @@
-"""Greenlets that the program cannot do without."""
+"""Essential greenlets: if one of them fails, the process exits."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def spawn_essential(name: str, work: Callable[[], None]) -> gevent.Greenlet:
-    """Spawn a greenlet without which the program is of no use; if it raises, the process ends at once.
+    """Spawn a greenlet that the program cannot work without; if it raises, the process exits at once.
 
-    A process that lived on without one of these would accept connections and never answer.
+    A process that kept running without it could accept connections and never respond.
     """
     return gevent.spawn(_run_or_exit, name, work)
 
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -104,9 +104,9 @@
 
 LINES: list[tuple[str, object, str]] = [
     ("name", None, "name (EDGE_NAME) is missing"),
-    ("seed", "xyz", "seed: 'xyz' is no hexadecimal number"),
+    ("seed", "xyz", "seed: 'xyz' is not a hexadecimal number"),
     ("limits", 7, "limits: 7 is no object"),
-    ("limits.sockets", 8, "limits.sockets: 8 is too few to serve with"),
+    ("limits.sockets", 8, "limits.sockets: 8 is below the minimum"),
     ("settings", None, "settings is missing"),
     ("settings.classes", [], "settings.classes is missing or empty"),
     ("settings.classes", "x", "settings.classes: 'x' is no list"),
