--- a/linetrack/server/endpoint_list.py
+++ b/linetrack/server/endpoint_list.py
@@ -107,7 +107,7 @@
 
 
 def decode_endpoint_list(body: bytes) -> EndpointRecords:
-    """Parse the body of a response of discovery; raises `MalformedMessageError` if it is no endpoint list."""
+    """Parse the body of a discovery response; raises `MalformedMessageError` if it is not a valid list."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError):
--- a/linetrack/server/hot_restart.py
+++ b/linetrack/server/hot_restart.py
@@ -1,7 +1,7 @@
-"""What the program does in a hot restart, as its predecessor and as its successor.
+"""Hot restart: taking over from a predecessor process, and handing over to a successor.
 
-Owns who accepts connections: this process, or the one at the other end of the channel.  The order of the
-steps is decided in `linetrack/control/hot_restart.py`.
+Owns which process accepts connections: this one, or the one at the other end of the channel.
+`linetrack/control/hot_restart.py` decides the order of the steps.
 """
 
 from __future__ import annotations
@@ -34,12 +34,12 @@
 log = structlog.get_logger()
 
 SOCKET_FOLDER_VARIABLE = "TMPDIR"
-POLL_SECONDS = 0.01  # between looks whether all connections were handed over
+HANDOVER_POLL_SECONDS = 0.01  # interval of checking whether all connections were handed over
 SHUTDOWN_COMMANDS = (Command.HAND_OVER, Command.RESUME, Command.SHUT_DOWN)
 
 
 class HotRestart:
-    """The program's part of taking over from a predecessor, and of handing over to a successor."""
+    """Executes the steps of a hot restart in this process, both as a successor and as a predecessor."""
 
     def __init__(
         self,
@@ -51,72 +51,71 @@
         policy_switch: SettingsSwitch,
         budget: Budget,
     ) -> None:
-        """Make one; `current_config` returns the configuration in force."""
+        """Create a hot restart; `current_config` returns the configuration in force."""
         self._current_config = current_config
         self._listener = listener
         self._upstreams = upstreams
         self._discovery = discovery
         self._policy_switch = policy_switch
         self._budget = budget
-        self._predecessor: Predecessor | None = None  # this process's own side towards its successor
-        self._successor: Successor | None = None  # this process's own side towards its predecessor
+        self._predecessor_role: Predecessor | None = None  # towards a successor of this process
+        self._successor_role: Successor | None = None  # towards the predecessor of this process
         self._has_restored_policy = False
         self._shutdown_command: Command | None = None
-        self._accepting: gevent.Greenlet | None = None
+        self._accept_greenlet: gevent.Greenlet | None = None
 
     # --- Starting ------------------------------------------------------------------------------------
     def open_listener(self) -> EndpointRecords:
-        """Open the listening socket, or take it from the process that serves.
+        """Open the listening socket, or take it over from the process that serves.
 
-        Returns the endpoint list to start with.  Raises OSError where the address cannot be had.
+        Returns the endpoint list to start with.  Raises OSError if the address is not available.
         """
         config = self._current_config()
         path = socket_path(os.environ.get(SOCKET_FOLDER_VARIABLE, ""), config.name, config.listen)
         if path is None:
             self._listener.listen(config.listen)
             return config.initial_endpoints
-        self._predecessor = Predecessor(path, self._identity, self._grant_listener, self.execute)
+        self._predecessor_role = Predecessor(path, self._identity, self._grant_listener, self.execute)
         successor = Successor(path, self._identity(), self.execute, self._on_message)
         while (granted := successor.connect()) is None:
-            if successor.has_met_foreign:
-                # those that look for the other customer's process must go on finding it
+            if successor.found_foreign_process:
+                # The other customer's processes must still find their own predecessor at this path.
                 log.warning("hot_restart_foreign_process", path=str(path))
-                self._predecessor = None
-            if self._listen_alone(successor):
+                self._predecessor_role = None
+            if self._listen_without_predecessor(successor):
                 return config.initial_endpoints
-        self._successor = successor
+        self._successor_role = successor
         self._listener.listener = socket.socket(fileno=granted.descriptor)
         return self._granted_endpoints(granted.grant)
 
     @property
     def has_predecessor(self) -> bool:
-        """Whether the listening socket is a predecessor's, which says when this process may accept."""
-        return self._successor is not None
+        """Whether the listening socket is from a predecessor, which decides when this process may accept."""
+        return self._successor_role is not None
 
     def follow_predecessor(self) -> None:
-        """From the predecessor's grant on, do what it leaves to this process, until it has ended."""
-        if self._successor is not None:
-            spawn_essential("hot restart", self._successor.follow)
+        """Follow the predecessor that granted the listening socket, if any, and take over from it."""
+        if self._successor_role is not None:
+            spawn_essential("hot restart", self._successor_role.follow)
 
     def start_accepting(self) -> None:
-        """Accept connections from here on."""
-        self._accepting = spawn_essential("listener", self._listener.accept)
+        """Accept connections from now on."""
+        self._accept_greenlet = spawn_essential("listener", self._listener.accept)
 
-    def _listen_alone(self, successor: Successor) -> bool:
+    def _listen_without_predecessor(self, successor: Successor) -> bool:
         """Listen as in an ordinary start.
 
-        Returns whether that was possible; where not, the address is another process's, which may be found
-        when it is looked for once more.
+        Returns False if the address is in use by another process, which may be found by connecting again.
         """
         self._open_socket()
         try:
-            self._listener.listen(self._current_config().listen, reuse_port=self._predecessor is None)
-        except BaseException as fault:
-            if self._predecessor is None:
+            self._listener.listen(self._current_config().listen, reuse_port=self._predecessor_role is None)
+        except BaseException as error:
+            if self._predecessor_role is None:
                 raise
-            # published, the socket would hide a process that serves and only could not be asked
-            self._predecessor.discard_socket()
-            if not _is_address_in_use(fault) or not successor.on_address_in_use():
+            # If published, this socket would hide a serving process that could not be reached just now.
+            self._predecessor_role.discard_socket()
+            if not _is_address_in_use(error) or not successor.on_address_in_use():
                 raise
             return False
         self._publish_socket()
@@ -124,21 +123,21 @@
 
     def _open_socket(self) -> None:
         try:
-            if self._predecessor is not None:
-                self._predecessor.open_socket()
-        except OSError as fault:
-            log.warning("hot_restart_unavailable", fault=str(fault))
-            self._predecessor = None
+            if self._predecessor_role is not None:
+                self._predecessor_role.open_socket()
+        except OSError as error:
+            log.warning("hot_restart_unavailable", fault=str(error))
+            self._predecessor_role = None
 
     def _publish_socket(self) -> None:
-        """Let the next process find this one, where a socket can be had."""
+        """Publish the socket, if there is one, so that the next process finds this process."""
         try:
-            if self._predecessor is not None:
-                self._predecessor.publish_socket()
-                spawn_essential("successors", self._predecessor.run)
-        except OSError as fault:
-            log.warning("hot_restart_unavailable", fault=str(fault))
-            self._predecessor = None
+            if self._predecessor_role is not None:
+                self._predecessor_role.publish_socket()
+                spawn_essential("successors", self._predecessor_role.run)
+        except OSError as error:
+            log.warning("hot_restart_unavailable", fault=str(error))
+            self._predecessor_role = None
 
     def _identity(self) -> Identity:
         config = self._current_config()
@@ -155,9 +154,10 @@
         return GrantedListener(self._listener.listener.fileno(), grant)
 
     def _granted_endpoints(self, grant: Grant) -> EndpointRecords:
-        """Return the predecessor's endpoint list, or the configuration's where that one is of no use.
+        """Return the predecessor's endpoint list, or the configured one if that one cannot be used.
 
-        The list of another discovery has versions of its own, and this process would wait for later ones.
+        The list of another discovery server has versions of its own: polling this process's server from such
+        a version could wait for later ones that never come.
         """
         config = self._current_config()
         if grant.discovery_address not in (None, list(config.discovery)):
@@ -165,24 +165,24 @@
             return config.initial_endpoints
         try:
             return parse_endpoint_list(grant.endpoint_list)
-        except MalformedMessageError as fault:
-            log.warning("hot_restart_endpoint_list_invalid", fault=str(fault))
+        except MalformedMessageError as error:
+            log.warning("hot_restart_endpoint_list_invalid", fault=str(error))
             return config.initial_endpoints
 
     # --- As the successor --------------------------------------------------------------------------
     def _on_message(self, message: HotRestartMessage, descriptors: list[int]) -> None:
-        """Take what the predecessor hands over."""
+        """Take over a client connection or the state that the predecessor hands over."""
         match message:
             case ClientHandover():
                 for descriptor in descriptors:
                     self._listener.adopt(descriptor, message.response_count)
             case Handover():
-                self._take_state(message)
+                self._restore_state(message)
 
-    def _take_state(self, handover: Handover) -> None:
+    def _restore_state(self, handover: Handover) -> None:
         self._budget.share_with_other_process(handover.socket_limit)
         self._listener.validator.recent_ids.restore(handover.request_ids)
-        # under other settings a class or zone may have another index: what goes by index is left out then
+        # Under other settings a class or zone may have another index, so values stored by index are left out.
         same_settings = handover.settings_digest == self._current_config().digest
         self._has_restored_policy = self._policy_switch.restore(
             handover.policy_snapshot, clock(), same_settings, same_settings
@@ -196,9 +196,9 @@
 
     # --- Commands of both state machines -----------------------------------------------------------
     def execute(self, command: Command) -> None:
-        """Do what a state machine asks of the program.
+        """Execute a command of a state machine.
 
-        A command may come while an earlier one still waits for the channel: the later one counts.
+        A command may come while an earlier one still waits for the channel; the later one takes effect.
         """
         if command in SHUTDOWN_COMMANDS:
             self._shutdown_command = command
@@ -220,13 +220,13 @@
         self.start_accepting()
 
     def _hand_over(self) -> None:
-        """Leave new connections, what is known and the open connections to the successor.
+        """Hand new connections, the state of this process and its open connections over to the successor.
 
-        Where the successor ends while a step waits, RESUME takes everything back, and no step follows.
+        If the successor ends while a step waits, RESUME undoes the handover and no further step is taken.
         """
-        assert self._predecessor is not None
-        assert self._predecessor.channel is not None
-        channel = self._predecessor.channel
+        assert self._predecessor_role is not None
+        assert self._predecessor_role.channel is not None
+        channel = self._predecessor_role.channel
         self.stop_accepting()
         if not self._is_handing_over():
             return
@@ -249,8 +249,8 @@
         return is_sent
 
     def _resume(self) -> None:
-        """Serve again until the end of this process: its successor has ended."""
-        # first, so that there is room for the clients that come back
+        """Serve again until this process ends, because its successor has ended."""
+        # Restored first, so that there are descriptors for the clients that connect again.
         self._budget.restore()
         self._policy_switch.resume(clock())
         self._listener.migrate = None
@@ -260,33 +260,33 @@
     @property
     def is_accepting(self) -> bool:
         """Whether this process accepts connections."""
-        return self._accepting is not None
+        return self._accept_greenlet is not None
 
     def begin_shutdown(self) -> None:
-        """This process is to end: hand over where there is a successor."""
-        if self._predecessor is not None:
-            self._predecessor.begin_shutdown()
+        """Begin the shutdown of this process: hand over if there is a successor."""
+        if self._predecessor_role is not None:
+            self._predecessor_role.begin_shutdown()
 
     def wait_for_handover(self, deadline: int) -> bool:
-        """Wait until every connection was handed over, or the deadline.
+        """Wait until every connection was handed over, or until the deadline.
 
-        Returns False where there is no successor, or it ends before that.
+        Returns False if there is no successor or if it ends before that.
         """
         while self._is_handing_over() and self._listener.connections and clock() < deadline:
-            gevent.sleep(POLL_SECONDS)
+            gevent.sleep(HANDOVER_POLL_SECONDS)
         return self._is_handing_over()
 
     def _is_handing_over(self) -> bool:
         return self._shutdown_command is Command.HAND_OVER
 
     def stop_accepting(self) -> None:
-        """Accept no more connections; they wait in the listening socket's queue."""
-        accepting = self._accepting
-        # first, as accepting may begin again while this greenlet waits for the end of that one
-        self._accepting = None
-        if accepting is not None:
-            accepting.kill()
+        """Accept no more connections; new ones wait in the listening socket's queue."""
+        accept_greenlet = self._accept_greenlet
+        # Cleared first, as accepting may start again while this greenlet waits for the other one to end.
+        self._accept_greenlet = None
+        if accept_greenlet is not None:
+            accept_greenlet.kill()
 
 
-def _is_address_in_use(fault: BaseException) -> bool:
-    return isinstance(fault, OSError) and fault.errno == errno.EADDRINUSE
+def _is_address_in_use(error: BaseException) -> bool:
+    return isinstance(error, OSError) and error.errno == errno.EADDRINUSE
--- a/linetrack/server/hot_restart_channel.py
+++ b/linetrack/server/hot_restart_channel.py
@@ -1,7 +1,7 @@
 """The hot-restart channel: messages and descriptors over a Unix socket between two processes of one sidecar.
 
-Owns how frames and descriptors are written and read, and where the socket stands.  What the messages are is
-in `hot_restart_messages.py`; the order of the steps is decided in `linetrack/control/hot_restart.py`.
+Owns writing and reading frames and descriptors, and the path of the socket.  `hot_restart_messages.py`
+defines the messages, and `linetrack/control/hot_restart.py` decides the order of the steps.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 log = structlog.get_logger()
 
 MAX_DESCRIPTORS_PER_FRAME = 16
-WRITE_TIMEOUT_SECONDS = 0.5  # for the other side to take a frame
+WRITE_TIMEOUT_SECONDS = 0.5  # for the other process to read enough that a frame is written
 READ_SIZE_BYTES = 64 * 1024
 DESCRIPTOR_BYTES = struct.calcsize("i")
 SOCKET_NAME_DIGEST_BYTES = 8
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReceivedMessage:
-    """A message and the descriptors that came with it, which the receiver owns."""
+    """A message and the descriptors received with it, which the receiver owns."""
 
     message: HotRestartMessage
     descriptors: list[int]
@@ -53,20 +53,20 @@
 
 @dataclass(slots=True, frozen=True)
 class GrantedListener:
-    """A listening socket, by its descriptor, and the message that goes with it."""
+    """The descriptor of a listening socket, and the message that is sent with it."""
 
     descriptor: int
     grant: Grant
 
 
 class HotRestartChannel:
-    """One connection between the two processes; leaving its context closes it."""
+    """One connection between the two processes; a context manager that closes it on exit."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         self._buffer = b""
-        self._descriptors: deque[int] = deque()  # received, not yet given out with a message
-        self._write_lock = Semaphore()  # frames of two greenlets must not mix
+        self._descriptors: deque[int] = deque()  # received, but not yet returned with a message
+        self._write_lock = Semaphore()  # frames of two greenlets must not be interleaved
 
     def __enter__(self) -> Self:
         return self
@@ -79,25 +79,25 @@
     def send(self, message: HotRestartMessage, descriptors: tuple[int, ...] = ()) -> bool:
         """Send a message with descriptors, which stay open here; return whether all of it was sent.
 
-        A channel on which that fails is closed.
+        If sending fails, the channel is closed.
         """
         frame = encode_frame(message, len(descriptors))
-        timeout = TimeoutError("the channel is not read")
+        timeout = TimeoutError("the other process does not read the channel")
         try:
             with self._write_lock, gevent.Timeout(WRITE_TIMEOUT_SECONDS, timeout):
                 sent = self._sock.sendmsg([frame], _encode_descriptors(descriptors))
                 if sent < len(frame):
                     self._sock.sendall(memoryview(frame)[sent:])
-        except OSError as fault:
-            log.warning("hot_restart_channel_broken", message=message.name, fault=str(fault))
+        except OSError as error:
+            log.warning("hot_restart_channel_broken", message=message.name, fault=str(error))
             self.close()
             return False
         return True
 
     def receive(self) -> ReceivedMessage | None:
-        """Wait for the next message; return None where the channel has ended or a frame is too long.
+        """Wait for the next message; return None if the channel has ended or the frame is too long.
 
-        Raises HotRestartProtocolError where the frame holds no message or lacks descriptors.
+        Raises HotRestartProtocolError if the frame holds no valid message or descriptors are missing.
         """
         try:
             data = self._read_frame()
@@ -112,13 +112,13 @@
         return ReceivedMessage(frame.message, descriptors)
 
     def close(self) -> None:
-        """End the connection, and every connection that came over it and was not given out."""
+        """Close the connection, and the received descriptors that were not returned with a message."""
         self._sock.close()
         while self._descriptors:
             os.close(self._descriptors.popleft())
 
     def _read_frame(self) -> bytes | None:
-        """Return the JSON of the next frame, or None where there is none."""
+        """Return the JSON of the next frame, or None if the channel has ended or the frame is too long."""
         head = self._read_exactly(LENGTH_BYTES)
         if head is None:
             return None
@@ -143,9 +143,9 @@
 
 
 def socket_path(folder: str, name: str, listen: tuple[str, int]) -> Path | None:
-    """Return where the processes of one sidecar find one another; None where there is no folder.
+    """Return the path of the socket of one sidecar's processes, or None if no folder is given.
 
-    The path stands for the sidecar's name, the address that it listens at and its network namespace:
+    The path depends on the sidecar's name, the address that it listens on and its network namespace, as
     processes on one machine may share a folder and an address and still be in different networks.
     """
     if not folder:
@@ -167,6 +167,6 @@
 
 
 def _decode_descriptors(payload: bytes) -> tuple[int, ...]:
-    """Return the descriptors in ancillary data; a last one that was cut off is left out."""
+    """Return the descriptors in ancillary data; a truncated last one is left out."""
     count = len(payload) // DESCRIPTOR_BYTES
     return struct.unpack(f"{count}i", payload[: count * DESCRIPTOR_BYTES])
--- a/linetrack/server/hot_restart_messages.py
+++ b/linetrack/server/hot_restart_messages.py
@@ -1,8 +1,9 @@
-"""The messages on the hot-restart channel, and their form as frames.
+"""The messages on the hot-restart channel, and their encoding as frames.
 
-A frame is its length as four bytes, most significant first, and one JSON object; descriptors go along beside
-it.  The two processes may be of different builds, so that names, keys and types stay as they are: they stand
-here only, and `tests/server/fixtures/hot_restart_messages.json` holds what an older build sent.
+A frame is its length as four bytes, most significant first, followed by one JSON object; descriptors are sent
+with it as ancillary data.  The two processes may be of different builds, so names, keys and types must not
+change.  They are defined only here; `tests/server/fixtures/hot_restart_messages.json` holds messages that an
+older build sent.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 LENGTH_FORMAT = "!I"
 LENGTH_BYTES = struct.calcsize(LENGTH_FORMAT)
-MAX_FRAME_BYTES = 16 * 1024 * 1024  # of JSON: several thousand endpoints, and room to spare
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # of JSON; more than several thousand endpoints need
 
 NAME_KEY = "what"
 DESCRIPTOR_COUNT_KEY = "fds"
@@ -36,7 +37,7 @@
 
 
 class HotRestartProtocolError(LinetrackError):
-    """The other process sent what cannot be understood.
+    """The other process sent data that is not a valid message.
 
     Attributes:
         reason: what is wrong with it.
@@ -48,9 +49,10 @@
 
 
 class HotRestartMessage:
-    """Base of the messages; one without values needs no more than its name.
+    """Base class of the messages; a message without values consists of its name only.
 
-    Only those with values are dataclasses, each of which costs memory and start-up time in every sidecar.
+    Only messages with values are dataclasses, as each dataclass costs memory and startup time in every
+    sidecar.
     """
 
     name: ClassVar[str]
@@ -61,19 +63,19 @@
 
     @classmethod
     def from_json(cls, _values: Mapping[str, Any]) -> Self:
-        """Return the message of these values; raises KeyError where one is missing."""
+        """Return the message with these values; raises KeyError if one is missing."""
         return cls()
 
 
 @dataclass(slots=True, frozen=True)
 class Hello(HotRestartMessage):
-    """A successor says which version it speaks and whose process it is."""
+    """A successor's first message: its protocol version and its identity."""
 
     name: ClassVar[str] = "hello"
 
     version: object
     identity: Identity | None  # None from an early version
-    pid: int = 0  # for whoever traces the socket; no process reads it
+    pid: int = 0  # helps when tracing the socket; no process reads it
 
     def to_json(self) -> dict[str, Any]:
         """Return the message's values under their keys."""
@@ -82,19 +84,19 @@
 
     @classmethod
     def from_json(cls, values: Mapping[str, Any]) -> Self:
-        """Return the message of these values; an early version leaves some out."""
+        """Return the message with these values; an early version leaves some out."""
         return cls(values.get(VERSION_KEY), decode_identity(values.get(IDENTITY_KEY)))
 
 
 @dataclass(slots=True, frozen=True)
 class Grant(HotRestartMessage):
-    """The predecessor gives its listening socket, as the one descriptor, and its endpoint list."""
+    """The predecessor sends its listening socket, as the only descriptor, and its endpoint list."""
 
     name: ClassVar[str] = "grant"
 
     identity: Identity | None
-    endpoint_list: Any  # in the form in which discovery serves it
-    discovery_address: list[Any] | None  # of the discovery that the list is from; None from an early version
+    endpoint_list: Any  # in discovery's format
+    discovery_address: list[Any] | None  # of the server that sent the list; None from an early version
 
     def to_json(self) -> dict[str, Any]:
         """Return the message's values under their keys."""
@@ -106,7 +108,7 @@
 
     @classmethod
     def from_json(cls, values: Mapping[str, Any]) -> Self:
-        """Return the message of these values; an early version leaves some out."""
+        """Return the message with these values; an early version leaves some out."""
         return cls(
             identity=decode_identity(values.get(IDENTITY_KEY)),
             endpoint_list=values.get(ENDPOINT_LIST_KEY),
@@ -115,25 +117,25 @@
 
 
 class BusyReply(HotRestartMessage):
-    """The predecessor has another successor: connect again."""
+    """The predecessor already has another successor; the receiver is to connect again later."""
 
     name: ClassVar[str] = "busy"
 
 
 class ForeignReply(HotRestartMessage):
-    """The process belongs to another customer."""
+    """The predecessor is another customer's process."""
 
     name: ClassVar[str] = "foreign"
 
 
 class VersionReply(HotRestartMessage):
-    """The predecessor does not speak the successor's version."""
+    """The predecessor does not support the successor's protocol version."""
 
     name: ClassVar[str] = "no"
 
 
 class Ready(HotRestartMessage):
-    """The successor has all that it needs to serve."""
+    """The successor has everything that it needs to serve."""
 
     name: ClassVar[str] = "ready"
 
@@ -150,9 +152,9 @@
 
     Attributes:
         socket_limit: how many descriptors the successor may use while the predecessor still runs.
-        request_ids: those of requests that are in flight or ended lately.
-        policy_snapshot: what the policy has learnt.
-        settings_digest: of the settings under which it was learnt; None from an early version.
+        request_ids: ids of requests that are in flight or ended recently.
+        policy_snapshot: the state that the policy has learned.
+        settings_digest: digest of the settings under which it was learned; None from an early version.
     """
 
     name: ClassVar[str] = "leave"
@@ -173,7 +175,7 @@
 
     @classmethod
     def from_json(cls, values: Mapping[str, Any]) -> Self:
-        """Return the message of these values; raises KeyError where one is missing."""
+        """Return the message with these values; raises KeyError if one is missing."""
         return cls(
             socket_limit=values[SOCKET_LIMIT_KEY],
             request_ids=values[REQUEST_IDS_KEY],
@@ -184,7 +186,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientHandover(HotRestartMessage):
-    """One client connection, as the one descriptor, and how many responses were given on it."""
+    """One client connection, as the only descriptor, and the number of responses already sent on it."""
 
     name: ClassVar[str] = "client"
 
@@ -196,17 +198,17 @@
 
     @classmethod
     def from_json(cls, values: Mapping[str, Any]) -> Self:
-        """Return the message of these values; raises KeyError where one is missing."""
+        """Return the message with these values; raises KeyError if one is missing."""
         return cls(values[RESPONSE_COUNT_KEY])
 
 
 class UnknownMessage(HotRestartMessage):
-    """A message of a later build, which is passed over."""
+    """A message of a later build, which the receiver ignores."""
 
 
 @dataclass(slots=True, frozen=True)
 class DecodedFrame:
-    """A message, and how many descriptors belong to it."""
+    """A message, and the number of descriptors that belong to it."""
 
     message: HotRestartMessage
     descriptor_count: int
@@ -229,20 +231,20 @@
 
 
 def encode_frame(message: HotRestartMessage, descriptor_count: int) -> bytes:
-    """Return the frame of a message that so many descriptors go along with."""
+    """Return the frame of a message that is sent with `descriptor_count` descriptors."""
     head = {NAME_KEY: message.name, DESCRIPTOR_COUNT_KEY: descriptor_count}
     data = json.dumps({**head, **message.to_json()}).encode()
     return struct.pack(LENGTH_FORMAT, len(data)) + data
 
 
 def decode_length(data: bytes) -> int:
-    """Return how many bytes of JSON follow the first `LENGTH_BYTES` of a frame."""
+    """Return the number of bytes of JSON that follow the first `LENGTH_BYTES` of a frame."""
     (length,) = struct.unpack(LENGTH_FORMAT, data)
     return int(length)
 
 
 def decode_message(data: bytes) -> DecodedFrame:
-    """Return what a frame's JSON object says; raises HotRestartProtocolError where it holds no message."""
+    """Return the message in a frame's JSON object; raises HotRestartProtocolError if it holds none."""
     try:
         values = json.loads(data)
         name = values[NAME_KEY]
@@ -251,7 +253,7 @@
     except (ValueError, KeyError, TypeError, RecursionError) as error:
         raise HotRestartProtocolError(repr(error)) from None
     if not isinstance(descriptor_count, int):
-        raise HotRestartProtocolError(f"{DESCRIPTOR_COUNT_KEY} is {descriptor_count!r}")
+        raise HotRestartProtocolError(f"{DESCRIPTOR_COUNT_KEY} is not an integer: {descriptor_count!r}")
     return DecodedFrame(message, descriptor_count)
 
 
@@ -263,7 +265,7 @@
 
 
 def decode_identity(value: object) -> Identity | None:
-    """Return the identity that the other process sent, or None where it sent none that makes sense."""
+    """Return the identity that the other process sent, or None if it sent no valid one."""
     if not isinstance(value, dict) or not isinstance(class_names := value.get(CLASS_NAMES_KEY), list):
         return None
     return Identity(tuple(class_names), value.get(SETTINGS_DIGEST_KEY, ""))
--- a/linetrack/server/hot_restart_predecessor.py
+++ b/linetrack/server/hot_restart_predecessor.py
@@ -1,7 +1,8 @@
-"""The process that serves, as its successor finds it: the socket, the successors that connect, the heartbeat.
+"""The predecessor's side of a hot restart: its Unix socket, connections of successors, and heartbeats.
 
-Owns the Unix socket in the folder that the processes of one sidecar share.  The order of the steps is decided
-in `linetrack/control/hot_restart.py`; what only the program can do of them is a call back.
+Owns the Unix socket in the folder that the processes of one sidecar share.
+`linetrack/control/hot_restart.py` decides the order of the steps; a callback executes those that concern the
+rest of the program.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 log = structlog.get_logger()
 
 BACKLOG = 8
-MAX_SUCCESSORS = 4  # connected at once; their descriptors are in the budget's reserve
+MAX_SUCCESSORS = 4  # concurrent connections, whose descriptors are in the budget's reserve
 HELLO_TIMEOUT_SECONDS = 1.0
 TICK_SECONDS = 0.05
 SOCKET_MODE = 0o600
-CREDENTIALS_FORMAT = "3i"  # process, user and group of the other side of a Unix socket
+CREDENTIALS_FORMAT = "3i"  # process, user and group ids of the peer of a Unix socket (`struct ucred`)
 
 _REPLIES: dict[Command, HotRestartMessage] = {
     Command.REJECT_BUSY: BusyReply(),
@@ -48,7 +49,7 @@
 
 
 class Predecessor:
-    """The side that serves: a successor finds it, is granted the listening socket and takes over."""
+    """The serving side: grants the listening socket to a successor, and hands over to it at shutdown."""
 
     def __init__(
         self,
@@ -57,13 +58,14 @@
         grant_listener: Callable[[], GrantedListener],
         execute: Callable[[Command], None],
     ) -> None:
-        """Make one that can be found at `path` once its socket is published.
+        """Create a predecessor that successors find at `path` once its socket is published.
 
         Args:
-            path: the socket's, as `socket_path` gives it.
-            identity: returns whose process this is.
-            grant_listener: returns the listening socket and what a successor is sent with it.
-            execute: does what only the program can (HAND_OVER, RESUME and SHUT_DOWN).
+            path: the path of the socket, from `socket_path`.
+            identity: returns the identity of this process.
+            grant_listener: returns the listening socket and the message that is sent to a successor with it.
+            execute: executes the commands that concern the rest of the program (HAND_OVER, RESUME and
+                SHUT_DOWN).
         """
         self._path = path
         self._private_path = path.with_suffix(f".{os.getpid()}")
@@ -72,11 +74,11 @@
         self._execute = execute
         self._state_machine = PredecessorStateMachine()
         self._successor_count = 0
-        self.channel: HotRestartChannel | None = None  # to the successor that has a grant
+        self.channel: HotRestartChannel | None = None  # to the successor that has the listening socket
         self.listener: socket.socket | None = None
 
     def open_socket(self) -> None:
-        """Listen at a path of this process's own; raises OSError where that cannot be had."""
+        """Listen at a path that is private to this process; raises OSError if that is not possible."""
         listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with contextlib.suppress(FileNotFoundError):
@@ -90,36 +92,36 @@
         self.listener = listener
 
     def discard_socket(self) -> None:
-        """Close the socket before it was published: this process will not serve."""
+        """Close the socket before it is published, because this process will not serve."""
         if self.listener is not None:
             self.listener.close()
             self._private_path.unlink(missing_ok=True)
 
     def publish_socket(self) -> None:
-        """Be the process that is found from here on; raises OSError where that cannot be had."""
-        # a rename, so that at any moment some process is found; a file that was left behind is replaced
+        """Make this the process that successors find; raises OSError if that is not possible."""
+        # The rename is atomic, so that some process is found at any time, and it replaces a stale file.
         self._private_path.rename(self._path)
 
     def run(self) -> None:
-        """Accept successors, for ever."""
+        """Accept connections of successors forever."""
         assert self.listener is not None
         gevent.spawn(self._tick_forever)
         while True:
             try:
                 sock, _ = self.listener.accept()
-            except OSError as fault:
-                if not is_transient_accept_error(fault):
+            except OSError as error:
+                if not is_transient_accept_error(error):
                     raise
                 gevent.sleep(TICK_SECONDS)
                 continue
             self._successor_count += 1
             gevent.spawn(self._serve_successor, sock)
             while self._successor_count >= MAX_SUCCESSORS:
-                # each has to say what it is in time, so that they cannot use up the descriptors
+                # Each has to send its first message in time, so that they cannot use up the descriptors.
                 gevent.sleep(TICK_SECONDS)
 
     def begin_shutdown(self) -> None:
-        """This process is to end: hand over, or shut down as without a successor."""
+        """Begin the shutdown of this process: hand over, or shut down if there is no successor."""
         self._execute_all(self._state_machine.begin_shutdown())
 
     def _tick_forever(self) -> None:
@@ -132,8 +134,8 @@
         try:
             with channel:
                 self._negotiate(sock, channel)
-        except (OSError, HotRestartProtocolError) as fault:
-            log.warning("hot_restart_successor_failed", fault=str(fault))
+        except (OSError, HotRestartProtocolError) as error:
+            log.warning("hot_restart_successor_failed", fault=str(error))
         except Exception:
             log.exception("hot_restart_internal_error")
         finally:
@@ -144,9 +146,9 @@
                 self._execute_all(self._state_machine.on_channel_lost())
 
     def _negotiate(self, sock: socket.socket, channel: HotRestartChannel) -> None:
-        """Answer one that connects; where it is granted the listening socket, read what it sends."""
+        """Reply to a successor's first message; if the listening socket is granted, read further messages."""
         user = _peer_user(sock)
-        with gevent.Timeout(HELLO_TIMEOUT_SECONDS, OSError("the successor sends nothing")):
+        with gevent.Timeout(HELLO_TIMEOUT_SECONDS, OSError("the successor sent no message in time")):
             received = channel.receive()
         if received is None or user != os.getuid():
             return
@@ -183,7 +185,7 @@
 
 
 def _peer_user(sock: socket.socket) -> int:
-    """Return the user whose process is on the other side."""
+    """Return the user id of the process at the other end."""
     size = struct.calcsize(CREDENTIALS_FORMAT)
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, size)
     _, user, _ = struct.unpack(CREDENTIALS_FORMAT, credentials)
--- a/linetrack/server/hot_restart_successor.py
+++ b/linetrack/server/hot_restart_successor.py
@@ -1,7 +1,7 @@
-"""The process that takes over: it connects to the one that serves, and follows it until that one has ended.
+"""The successor's side of a hot restart: connects to the serving process and follows it until it has ended.
 
-Owns the channel to the predecessor.  The order of the steps is decided in `linetrack/control/hot_restart.py`;
-what only the program can do of them is a call back.
+Owns the channel to the predecessor.  `linetrack/control/hot_restart.py` decides the order of the steps; a
+callback executes those that concern the rest of the program.
 """
 
 from __future__ import annotations
@@ -44,19 +44,19 @@
 
 
 class PredecessorBusyError(LinetrackError, OSError):
-    """Another process serves, or takes over already, and does not let this one.
+    """Another process serves or is already taking over, and does not grant its listening socket.
 
     Attributes:
-        path: where it was found.
+        path: the path of the socket at which it was found.
     """
 
     def __init__(self, path: Path) -> None:
-        super().__init__(f"{path}: another process serves or takes over")
+        super().__init__(f"{path}: another process serves or is taking over")
         self.path = path
 
 
 class Successor:
-    """The side that takes over."""
+    """The side that takes over: requests the listening socket and reads the predecessor's messages."""
 
     def __init__(
         self,
@@ -65,13 +65,14 @@
         execute: Callable[[Command], None],
         on_message: Callable[[HotRestartMessage, list[int]], None],
     ) -> None:
-        """Make one that looks for its predecessor at `path`.
+        """Create a successor that connects to its predecessor at `path`.
 
         Args:
-            path: the socket's, as `socket_path` gives it.
-            identity: whose process this is.
-            execute: does what only the program can (START_ACCEPTING and TAKE_ALL_LIMITS).
-            on_message: is given what the predecessor sends after the grant, with the descriptors.
+            path: the path of the socket, from `socket_path`.
+            identity: the identity of this process.
+            execute: executes the commands that concern the rest of the program (START_ACCEPTING and
+                TAKE_ALL_LIMITS).
+            on_message: called with each message after the grant, except heartbeats, and its descriptors.
         """
         self._path = path
         self._identity = identity
@@ -81,14 +82,14 @@
         self.channel: HotRestartChannel | None = None
 
     @property
-    def has_met_foreign(self) -> bool:
-        """Whether the process that was found is another customer's."""
+    def found_foreign_process(self) -> bool:
+        """Whether a process of another customer was found."""
         return self._state_machine.has_met_foreign
 
     def connect(self) -> GrantedListener | None:
-        """Return the listening socket of the predecessor; None where there is no predecessor.
+        """Return the predecessor's listening socket, or None if there is no predecessor.
 
-        Raises PredecessorBusyError where there is one that grants nothing until the retry timeout.
+        Raises PredecessorBusyError if there is one that grants nothing until the retry timeout.
         """
         while True:
             commands = self._state_machine.on_tick(clock())
@@ -104,17 +105,17 @@
             gevent.sleep(TICK_SECONDS)
 
     def on_address_in_use(self) -> bool:
-        """Return whether to connect again: no process was found, and the address is another one's."""
+        """Return whether to connect again, as no process was found but the address is in use."""
         log.info("hot_restart_address_in_use")
         return Command.GIVE_UP not in self._state_machine.on_address_in_use(clock())
 
     def follow(self) -> None:
-        """From the grant on, read what the predecessor sends until it has ended, and do what is due."""
+        """After the grant, read the predecessor's messages until it has ended, and execute due commands."""
         assert self.channel is not None
-        reading = gevent.spawn(self._read_messages, self.channel)
+        reader = gevent.spawn(self._read_messages, self.channel)
         self._execute_all(self._state_machine.on_prepared())
-        while not reading.ready():
-            reading.join(TICK_SECONDS)
+        while not reader.ready():
+            reader.join(TICK_SECONDS)
             if self._state_machine.next_action_at != NEVER:
                 self._execute_all(self._state_machine.on_tick(clock()))
         self.channel.close()
@@ -122,33 +123,33 @@
         self._execute_all(self._state_machine.on_channel_lost())
 
     def _request_grant(self) -> GrantedListener | None:
-        """Connect once; the channel stays open where the listening socket was granted."""
+        """Connect once; the channel stays open only if the listening socket is granted."""
         reply = None
-        with contextlib.ExitStack() as unless_granted:
+        with contextlib.ExitStack() as cleanup:
             try:
                 sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-                channel = unless_granted.enter_context(HotRestartChannel(sock))
+                channel = cleanup.enter_context(HotRestartChannel(sock))
                 reply = self._exchange_hello(sock, channel)
-            except (OSError, HotRestartProtocolError) as fault:
-                log.info("hot_restart_no_predecessor", fault=str(fault))
+            except (OSError, HotRestartProtocolError) as error:
+                log.info("hot_restart_no_predecessor", fault=str(error))
             if reply is not None and (granted := self._granted_listener(reply)) is not None:
-                unless_granted.pop_all()
+                cleanup.pop_all()
                 self.channel = channel
                 return granted
         self._on_refusal(reply)
         return None
 
     def _exchange_hello(self, sock: socket.socket, channel: HotRestartChannel) -> ReceivedMessage | None:
-        """Return the predecessor's answer, or None where it ends the channel without one."""
+        """Return the predecessor's reply, or None if it closes the channel without one."""
         seconds_left = max(0, self._state_machine.next_action_at - clock()) / SECOND
-        with gevent.Timeout(seconds_left, OSError("no answer")):
+        with gevent.Timeout(seconds_left, OSError("no reply from the predecessor")):
             sock.connect(str(self._path))
             if not channel.send(Hello(PROTOCOL_VERSION, self._identity, os.getpid())):
                 return None
             return channel.receive()
 
     def _granted_listener(self, reply: ReceivedMessage) -> GrantedListener | None:
-        """Return the listening socket that an answer grants; None where it grants none that may be used."""
+        """Return the listening socket that a reply grants, or None if it grants none that may be used."""
         grant = reply.message
         if not isinstance(grant, Grant) or len(reply.descriptors) != 1:
             return None
@@ -157,7 +158,7 @@
         return GrantedListener(reply.descriptors[0], grant)
 
     def _on_refusal(self, reply: ReceivedMessage | None) -> None:
-        """The predecessor gave no answer, or one that grants nothing."""
+        """Handle a missing reply, or a reply that grants nothing."""
         if reply is None:
             self._state_machine.on_no_predecessor()
             return
@@ -181,10 +182,10 @@
                     self._on_message(received.message, received.descriptors)
                 if isinstance(received.message, Handover):
                     self._execute_all(self._state_machine.on_handover())
-        except HotRestartProtocolError as fault:
-            log.warning("hot_restart_message_invalid", fault=str(fault))
+        except HotRestartProtocolError as error:
+            log.warning("hot_restart_message_invalid", fault=str(error))
         except Exception:
-            # the end of this greenlet is taken for the end of the channel, whatever caused it
+            # `follow` treats the end of this greenlet as the end of the channel, whatever caused it.
             log.exception("hot_restart_internal_error")
 
     def _execute_all(self, commands: list[Command]) -> None:
--- a/linetrack/server/lifecycle.py
+++ b/linetrack/server/lifecycle.py
@@ -1,6 +1,6 @@
-"""The program from start to exit: its parts, its phases and its signals.
+"""The sidecar process from start to exit: its components, phases and signals.
 
-Reads no message and decides nothing about a request.
+It reads no messages and makes no decisions about requests.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from linetrack.server.hot_restart import HotRestart
 from linetrack.server.listener import Listener
 from linetrack.server.logging_setup import configure_logging
-from linetrack.server.reload import ConfiguredParts, Reloader, log_unused_multiplexing
+from linetrack.server.reload import ConfiguredComponents, Reloader, log_unused_multiplexing
 from linetrack.server.upstream_pool import UpstreamPool
 
 if TYPE_CHECKING:
@@ -40,12 +40,13 @@
 
 log = structlog.get_logger()
 
-CONNECT_GRACE_SECONDS = 0.5  # after SIGTERM, in which clients still connect
-FINAL_WRITE_GRACE_US = 100_000  # after the last response, for its last bytes to be read
-DRAIN_POLL_SECONDS = 0.01  # between looks whether every request has its response
-ENDPOINT_LIST_TIMEOUT_SECONDS = 4.0  # after which a process serves without an answer of discovery
+CONNECT_GRACE_SECONDS = 0.5  # after SIGTERM, while clients may still connect
+FINAL_WRITE_GRACE_US = 100_000  # after the last response, until its last bytes are read
+DRAIN_POLL_SECONDS = 0.01  # interval of checking whether every request has its response
+ENDPOINT_LIST_TIMEOUT_SECONDS = 4.0  # after this the process serves without a response from discovery
 GC_THRESHOLD = 20_000  # allocations between collections of young objects, which cost milliseconds
-FULL_GC_INTERVAL_SECONDS = 5.0  # between collections over all objects since the start: memory stays level
+# Interval of collections of all objects created since startup, so that memory use does not grow.
+FULL_GC_INTERVAL_SECONDS = 5.0
 
 EXIT_OK = 0
 EXIT_CANNOT_LISTEN = 1
@@ -53,26 +54,26 @@
 
 
 class Phase(Enum):
-    """The phases of the program's life; the values are logged."""
+    """The phases of the process; the values are logged."""
 
-    STARTING = "starting"  # the configuration is read, the policy made
+    STARTING = "starting"  # the configuration is read and the policy is created
     SERVING = "serving"
-    DRAINING = "draining"  # SIGTERM has come: connections are still accepted, or handed to a successor
-    SHUTTING_DOWN = "shutting_down"  # none is accepted any more; requests in flight get their responses
+    DRAINING = "draining"  # after SIGTERM: connections are still accepted, or handed over to a successor
+    SHUTTING_DOWN = "shutting_down"  # connections are not accepted; requests in flight get their responses
     ENDED = "ended"
 
 
 class Sidecar:
-    """The program's parts, wired together, and the order in which they start and end."""
+    """Wires the components of the process together, and starts and stops them in order."""
 
-    def __init__(self, read: Callable[[], Config], make_policy: MakePolicy = Balancer) -> None:
-        """Make one that is not running yet.
+    def __init__(self, load_config: Callable[[], Config], make_policy: MakePolicy = Balancer) -> None:
+        """Create a sidecar that is not running yet.
 
         Args:
-            read: returns the configuration, at the start and at each reload, or raises a ConfigError.
-            make_policy: makes the policy from its settings and a seed.
+            load_config: returns the configuration, at startup and at each reload, or raises a ConfigError.
+            make_policy: creates the policy from its settings and a seed.
         """
-        config = read()
+        config = load_config()
         self.phase = Phase.STARTING
         self.metrics = Metrics()
         self.metrics.declare_classes(config.class_names)
@@ -85,7 +86,7 @@
         self.policy_switch = SettingsSwitch(make_policy(config.settings, config.seed))
         self.dispatcher = self._make_dispatcher()
         self.listener = self._make_listener(config)
-        parts = ConfiguredParts(
+        components = ConfiguredComponents(
             dispatcher=self.dispatcher,
             policy_switch=self.policy_switch,
             listener=self.listener,
@@ -94,7 +95,7 @@
             discovery=self.discovery,
             metrics=self.metrics,
         )
-        self.reloader = Reloader(read, config, parts)
+        self.reloader = Reloader(load_config, config, components)
         self.hot_restart = HotRestart(
             lambda: self.config,
             listener=self.listener,
@@ -111,12 +112,12 @@
         return self.reloader.config
 
     def is_serving(self) -> bool:
-        """Whether the program is ready for requests, and not about to end."""
+        """Return whether the process is ready for requests and not shutting down."""
         return self.phase is Phase.SERVING
 
     def run(self) -> int:
-        """Run from start to exit; return the exit status.  Raises OSError where an address cannot be had."""
-        # gevent would note which greenlet spawned which, at the cost of a walk of the stack for each
+        """Run from start to exit; return the exit status.  Raises OSError if an address is not available."""
+        # gevent would otherwise record which greenlet spawned which, and walk the stack at each spawn.
         gevent.config.track_greenlet_tree = False
         self._install_signal_handlers()
         log_unused_multiplexing(self.config)
@@ -132,7 +133,7 @@
         self._enter(Phase.ENDED)
         return EXIT_OK
 
-    # --- Parts -------------------------------------------------------------------------------------
+    # --- Components --------------------------------------------------------------------------------
     def _make_attempt_runner(self, config: Config) -> AttemptRunner:
         return AttemptRunner(
             self.upstreams,
@@ -175,7 +176,10 @@
 
     # --- Start -------------------------------------------------------------------------------------
     def _install_signal_handlers(self) -> None:
-        """A second SIGTERM changes nothing; a SIGHUP during a reload is one more reload."""
+        """Handle SIGTERM, SIGINT and SIGHUP.
+
+        A second SIGTERM has no effect; a SIGHUP during a reload requests another reload.
+        """
         gevent.signal_handler(signal.SIGTERM, self._shutdown_requested.set)
         gevent.signal_handler(signal.SIGINT, self._shutdown_requested.set)
         gevent.signal_handler(signal.SIGHUP, self.reloader.requested.set)
@@ -194,12 +198,12 @@
         spawn_essential("garbage collection", _collect_garbage_forever)
 
     def _wait_for_endpoint_list(self) -> None:
-        """Where lists are pushed, wait for the first answer of discovery.
+        """Where lists are pushed, wait for the first response from discovery.
 
-        What discovery has is binding there from a process's first moment, so that the list of the
-        configuration may be too old to send by.  Discovery is called by all processes that start together,
-        and may be cut off: if it has not answered in time it is taken to be out of reach, and if it is down
-        it has no list; then the list of the configuration is all that there is.
+        Discovery's list is then binding from the start of the process, so the configured list may be too old
+        to use.  All processes that start together poll discovery at once, and it may be cut off.  If it does
+        not respond in time, it is treated as unreachable; if it is down, it has no list.  In both cases only
+        the configured list is available.
         """
         if not self.discovery.schedule.updates_are_pushed:
             return
@@ -209,23 +213,23 @@
 
     # --- End ---------------------------------------------------------------------------------------
     def _drain(self) -> None:
-        """Hand over to a successor or answer what is in flight, by the longest timeout of any class."""
+        """Hand over to a successor or finish requests in flight, within the longest timeout of any class."""
         self._enter(Phase.DRAINING)
-        began = clock()
+        started_at = clock()
         self.hot_restart.begin_shutdown()
-        grace = int(CONNECT_GRACE_SECONDS * SECOND) + FINAL_WRITE_GRACE_US
-        deadline = began + self.reloader.max_timeout + grace
+        grace_us = int(CONNECT_GRACE_SECONDS * SECOND) + FINAL_WRITE_GRACE_US
+        deadline = started_at + self.reloader.max_timeout + grace_us
         self.dispatcher.shutdown_deadline = deadline - FINAL_WRITE_GRACE_US
         if not self.hot_restart.wait_for_handover(deadline):
             self._shut_down(deadline)
 
     def _shut_down(self, deadline: int) -> None:
-        """End without a successor: close every connection once no request is on it."""
+        """End without a successor: close each connection once it has no request in flight."""
         if self.hot_restart.is_accepting:
-            # a process that never accepted leaves the waiting connections to the one that does
+            # A process that never accepted leaves the queued connections to the one that accepts.
             gevent.sleep(min(CONNECT_GRACE_SECONDS, _seconds_until(deadline - FINAL_WRITE_GRACE_US)))
             self.hot_restart.stop_accepting()
-            # first, so that there is room for the connections that wait in the queue
+            # Idle connections are closed first, to make room for those that wait in the queue.
             self.listener.close_between_requests()
             self.listener.stop_accepting()
         self.listener.close_between_requests()
@@ -247,27 +251,27 @@
     return serve(partial(read_config, environ))
 
 
-def serve(read: Callable[[], Config], make_policy: MakePolicy = Balancer) -> int:
+def serve(load_config: Callable[[], Config], make_policy: MakePolicy = Balancer) -> int:
     """Run one sidecar in the foreground until SIGTERM; return the exit status."""
     configure_logging()
     try:
-        sidecar = Sidecar(read, make_policy)
-    except ConfigError as fault:
-        log.error("config_invalid", fault=str(fault))
+        sidecar = Sidecar(load_config, make_policy)
+    except ConfigError as error:
+        log.error("config_invalid", fault=str(error))
         return EXIT_CONFIG_INVALID
     try:
         return sidecar.run()
-    except OSError as fault:
+    except OSError as error:
         config = sidecar.config
-        log.error("cannot_listen", address=config.listen, admin=config.admin, fault=str(fault))
+        log.error("cannot_listen", address=config.listen, admin=config.admin, fault=str(error))
         return EXIT_CANNOT_LISTEN
 
 
 def with_overload_control(make_policy: MakePolicy) -> MakePolicy:
-    """Return what makes the same policy with overload control; a policy that is not ours stays as it is."""
+    """Return a factory of the same policy with overload control, or `make_policy` if it is not `Balancer`."""
     if make_policy is not Balancer:
         return make_policy
-    # imported here only, so that a sidecar without overload control does not pay the memory
+    # Imported here to save memory in a sidecar without overload control.
     from linetrack.control.idempotency_keys import IdempotencyKeyTable
     from linetrack.control.overload_control import AdaptiveOverloadController
 
@@ -285,7 +289,7 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Collect seldom while serving: what was made until now stays, and is not looked at again."""
+    """Collect seldom while serving, and exclude the objects created so far, as they stay in use."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
--- a/linetrack/server/logging_setup.py
+++ b/linetrack/server/logging_setup.py
@@ -1,4 +1,4 @@
-"""How the program logs: JSON lines on standard error, limited in rate."""
+"""Logging setup: JSON lines on standard error, limited in rate."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 from linetrack.server.clock import clock
 
-MIN_LINE_INTERVAL_US = 1_000_000  # between two lines of one event
+MIN_LINE_INTERVAL_US = 1_000_000  # between two lines of the same event
 
 
 class LogRateLimiter:
-    """A structlog processor that passes at most one line of an event a second.
+    """A structlog processor that passes at most one line per second of each event.
 
-    A flood of lines would hold up the one core.  Lines of level info are passed always: they are about the
-    program's own life and few.
+    A flood of lines would keep the only core busy.  Lines of level info always pass: they report the
+    lifecycle of the process, and are few.
     """
 
     def __init__(self, time: Callable[[], int] = clock) -> None:
-        """Make a limiter; `time` returns microseconds."""
+        """Create a limiter; `time` returns the current time in microseconds."""
         self._time = time
         self._last_line_at: dict[str, int] = {}
         self._suppressed: dict[str, int] = {}
 
     def __call__(self, _logger: object, method: str, line: EventDict) -> EventDict:
-        """Pass a line on with the number that was suppressed before it, or raise structlog.DropEvent."""
+        """Return a line with the number of lines suppressed before it, or raise structlog.DropEvent."""
         if method == "info":
             return line
         event = str(line["event"])
@@ -42,7 +42,7 @@
 
 
 def configure_logging() -> None:
-    """Have structlog write JSON lines to standard error."""
+    """Configure structlog to write JSON lines to standard error."""
     structlog.configure(
         processors=[
             LogRateLimiter(),
--- a/linetrack/server/reload.py
+++ b/linetrack/server/reload.py
@@ -1,7 +1,7 @@
-"""Reading the configuration again at SIGHUP, and bringing it into force while requests are in flight.
+"""Configuration reload: reads the configuration again at SIGHUP and applies it with requests in flight.
 
-Owns the configuration in force.  How the policy changes its settings is decided in
-`linetrack/control/settings_switch.py`.
+Owns the configuration in force.  `linetrack/control/settings_switch.py` decides how the policy changes its
+settings.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class ConfiguredParts:
-    """The parts of the program that a new configuration reaches."""
+class ConfiguredComponents:
+    """The components that a new configuration is applied to."""
 
     dispatcher: Dispatcher
     policy_switch: SettingsSwitch
@@ -43,71 +43,76 @@
 
 
 class Reloader:
-    """The configuration in force, which each SIGHUP may replace."""
+    """Holds the configuration in force and replaces it at SIGHUP."""
 
-    def __init__(self, read: Callable[[], Config], config: Config, parts: ConfiguredParts) -> None:
-        """Make one with `config` in force.
+    def __init__(
+        self, load_config: Callable[[], Config], config: Config, components: ConfiguredComponents
+    ) -> None:
+        """Create a reloader with `config` in force.
 
-        `read` returns the configuration as its file is now, or raises a ConfigError.
+        `load_config` returns the current configuration, or raises a ConfigError.
         """
         self.config = config
-        self.max_timeout = config.max_class_timeout  # of any class since the start, in microseconds
+        self.max_timeout = config.max_class_timeout  # of any class since startup, in microseconds
         self.requested = Event()
-        self._read = read
-        self._parts = parts
+        self._load_config = load_config
+        self._components = components
 
     def run(self) -> None:
-        """Reload each time that `requested` is set, for ever."""
+        """Reload each time that `requested` is set, forever."""
         while True:
             self.requested.wait()
             self.requested.clear()
             self._reload()
 
     def _reload(self) -> None:
-        """Read the configuration again and apply it; a faulty one changes nothing."""
+        """Read the configuration again and apply it; an invalid one changes nothing."""
         try:
-            read = self._read()
-            new = read.for_reload_of(self.config)
-        except ConfigError as fault:
-            self._parts.metrics.invalid_configs += 1
-            log.error("reload_rejected", fault=str(fault))
+            loaded = self._load_config()
+            new = loaded.for_reload_of(self.config)
+        except ConfigError as error:
+            self._components.metrics.invalid_configs += 1
+            log.error("reload_rejected", fault=str(error))
             return
-        needs_restart = self.config.keys_needing_restart(read)
+        needs_restart = self.config.keys_needing_restart(loaded)
         switches_settings = not new.has_same_settings(self.config)
-        if switches_settings and not self._parts.policy_switch.is_supported:
+        if switches_settings and not self._components.policy_switch.is_supported:
             needs_restart = [*needs_restart, SETTINGS_KEY]
             switches_settings = False
-        self._parts.metrics.accepted_configs += 1
+        self._components.metrics.accepted_configs += 1
         log.info("reloaded", discovery=new.discovery, switched=switches_settings, needs_restart=needs_restart)
-        self._parts.discovery.switch_server(new.discovery)
+        self._components.discovery.switch_server(new.discovery)
         if switches_settings:
             log_unused_multiplexing(new)
             self._apply(new)
 
     def _apply(self, new: Config) -> None:
-        """Apply other settings at one moment: nothing in here waits.
+        """Apply new settings without yielding to other greenlets.
 
-        The dispatcher takes what was read before this moment under the old settings, and what is read after
+        The dispatcher handles requests read before this call under the old settings, and requests read after
         it under the new ones.
         """
-        self._parts.upstreams.configure(new.dial_timeout, new.keep_alive_timeout)
-        self._parts.attempt_runner.configure(new.load_report_fields)
-        self._parts.discovery.configure(new.zone_names, new.host_class_names, new.settings)
-        self._parts.metrics.declare_classes(new.class_names)
-        self._parts.listener.validator.configure(new.class_names, new.class_timeouts)
-        self._parts.dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
+        self._components.upstreams.configure(new.dial_timeout, new.keep_alive_timeout)
+        self._components.attempt_runner.configure(new.load_report_fields)
+        self._components.discovery.configure(new.zone_names, new.host_class_names, new.settings)
+        self._components.metrics.declare_classes(new.class_names)
+        self._components.listener.validator.configure(new.class_names, new.class_timeouts)
+        self._components.dispatcher.enqueue(SerializedCallback(partial(self._switch_policy, new)), clock())
         self.config = new
         self.max_timeout = max(self.max_timeout, new.max_class_timeout)
 
     def _switch_policy(self, new: Config) -> None:
-        in_flight = self._parts.policy_switch.switch(new.settings)
+        in_flight = self._components.policy_switch.switch(new.settings)
         log.info(
-            "settings_switched", in_flight=in_flight, classes=new.class_names, **self._parts.metrics.totals()
+            "settings_switched",
+            in_flight=in_flight,
+            classes=new.class_names,
+            **self._components.metrics.totals(),
         )
 
 
 def log_unused_multiplexing(config: Config) -> None:
-    """Warn where more requests a connection are configured than HTTP/1.1 carries at once."""
+    """Warn if more concurrent requests per connection are configured than HTTP/1.1 supports."""
     if config.configured_streams > HTTP1_STREAMS_PER_CONNECTION:
         log.warning(
             "multiplex_unused", configured=config.configured_streams, used=HTTP1_STREAMS_PER_CONNECTION
--- a/tests/server/test_interrupted_handover.py
+++ b/tests/server/test_interrupted_handover.py
@@ -72,7 +72,7 @@
     sidecar.listener.listen(("127.0.0.1", 0))
     assert sidecar.listener.listener is not None
     hot_restart = sidecar.hot_restart
-    hot_restart._predecessor = Predecessor(
+    hot_restart._predecessor_role = Predecessor(
         tmp_path / "s", hot_restart._identity, hot_restart._grant_listener, hot_restart.execute
     )
     hot_restart.start_accepting()
@@ -91,8 +91,8 @@
     hot_restart = predecessor.hot_restart
     limit = predecessor.budget.descriptors.limit
     channel = EndingChannel(step, lambda: hot_restart.execute(Command.RESUME))
-    assert hot_restart._predecessor is not None
-    hot_restart._predecessor.channel = channel
+    assert hot_restart._predecessor_role is not None
+    hot_restart._predecessor_role.channel = channel
     if step == "before the state":
         gevent.spawn(channel.end)
     hot_restart.execute(Command.HAND_OVER)
