--- a/tests/server/admin_client.py
+++ b/tests/server/admin_client.py
@@ -1,4 +1,4 @@
-"""Requests to a sidecar process's operators' address, and the names of its metrics."""
+"""Requests to the admin server of a sidecar process, and the names of its metrics."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def enable_admin(sidecar: SidecarProcess) -> str:
-    """Have the program listen for operators; return the address."""
+    """Configure an admin server if there is none; return its address."""
     address: str = sidecar.config.setdefault("admin_addr", unused_address())
     return address
 
@@ -21,18 +21,18 @@
 
 
 def send_admin_request(address: str, path: str = "/admin/stats", method: str = "GET") -> HttpMessage:
-    """One request on a connection of its own, which is closed with the response."""
-    wire = connect(address)
-    with wire.sock:
-        wire.sock.sendall(http_request(path, method))
-        response = wire.read()
+    """Send one request on a new connection, which the server closes after the response."""
+    connection = connect(address)
+    with connection.sock:
+        connection.sock.sendall(http_request(path, method))
+        response = connection.read()
         assert response is not None
-        assert wire.ended()
+        assert connection.ended()
     return response
 
 
 def read_metrics(address: str) -> dict[str, int]:
-    """The value of each metric, by its name with its labels."""
+    """Return the value of each metric by its name with labels."""
     response = send_admin_request(address)
     assert response.status == 200
     lines = [line.rsplit(" ", 1) for line in response.body.decode().splitlines()]
@@ -40,5 +40,5 @@
 
 
 def outcome_metric(class_name: str, status: str) -> str:
-    """The name of the metric that counts requests of a class by outcome."""
+    """Return the name, with labels, of the metric that counts a class's requests with an outcome."""
     return f'app_operations_total{{priority="{class_name}",status="{status}"}}'
--- a/tests/server/conftest.py
+++ b/tests/server/conftest.py
@@ -1,4 +1,4 @@
-"""What the tests of the network code share."""
+"""Fixtures of the tests of the network code."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 @pytest.fixture
 def sidecar() -> Iterator[InProcessSidecar]:
     """Listener, dispatcher and pool in this process, with a scripted policy."""
-    made = InProcessSidecar()
-    yield made
-    made.close()
+    sidecar = InProcessSidecar()
+    yield sidecar
+    sidecar.close()
 
 
 @pytest.fixture
@@ -32,15 +32,15 @@
 @pytest.fixture
 def listener(dispatcher: StoppedDispatcher) -> Listener:
     """A listener that accepts connections, in front of a dispatcher that does not run."""
-    made = Listener(dispatcher, Budget(1024, 192), ("look",), (2 * SECOND,), lambda: True)
-    made.listen(("127.0.0.1", 0))
-    gevent.spawn(made.accept)
-    return made
+    listener = Listener(dispatcher, Budget(1024, 192), ("look",), (2 * SECOND,), lambda: True)
+    listener.listen(("127.0.0.1", 0))
+    gevent.spawn(listener.accept)
+    return listener
 
 
 @pytest.fixture
 def server() -> Iterator[UpstreamServer]:
     """One endpoint, `a`, that serves every request."""
-    made = UpstreamServer("a")
-    yield made
-    made.close()
+    server = UpstreamServer("a")
+    yield server
+    server.close()
--- a/tests/server/recorded_hot_restart.py
+++ b/tests/server/recorded_hot_restart.py
@@ -1,7 +1,7 @@
-"""What the build e976e78 sent over the hot-restart socket, and a peer that plays it.
+"""Messages that the build e976e78 sent over the hot-restart socket, and a peer that replays them.
 
-The peer reads and writes frames by itself: it shares no code with the program, so that a change of the
-program's frames cannot go unseen.
+The peer reads and writes frames itself and shares no code with the program, so that a change of the program's
+frames makes a test fail.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass
 class Frame:
-    """One frame as it came: its bytes without the length before them, and its descriptors."""
+    """One received frame: its JSON text without the length, and its descriptors."""
 
     text: str
     descriptors: list[int]
@@ -35,20 +35,20 @@
 
 
 def recorded_text(name: str) -> str:
-    """Return the JSON text of the message of this name as the old build sent it."""
+    """Return the JSON text of a message as the old build sent it."""
     text: str = RECORDED["messages"][name]["text"]
     return text
 
 
 def recorded(name: str, **changes: Any) -> dict[str, Any]:
-    """Return the message of this name as the old build sent it, but for values such as addresses."""
+    """Return a message as the old build sent it, with some values replaced, such as addresses."""
     values: dict[str, Any] = json.loads(recorded_text(name))
     assert set(changes) <= set(values), "only values change, never keys"
     return {**values, **changes}
 
 
 def shape(value: Any) -> Any:
-    """Return the keys and the types of a JSON value; of a list, those of its items."""
+    """Return a JSON value with each scalar replaced by the name of its type."""
     if isinstance(value, dict):
         return {key: shape(item) for key, item in value.items()}
     if isinstance(value, list):
@@ -57,7 +57,7 @@
 
 
 class RecordedPeer:
-    """One end of a hot-restart connection that speaks as the old build did."""
+    """One end of a hot-restart connection that uses the frames of the old build."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -66,7 +66,7 @@
         sock.settimeout(TIMEOUT_SECONDS)
 
     def send(self, values: dict[str, Any], descriptors: tuple[int, ...] = ()) -> None:
-        """Send one message, with the descriptors that go with it."""
+        """Send one message with its descriptors."""
         assert values["fds"] == len(descriptors)
         data = json.dumps(values).encode()
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))]
@@ -82,7 +82,7 @@
         return Frame(text, descriptors)
 
     def receive_next(self, name: str) -> Frame:
-        """Wait for the next message of this name; only heartbeats may come before it."""
+        """Wait for the next message with this name; only heartbeats may come before it."""
         while (frame := self.receive()).values["what"] != name:
             assert frame.text == recorded_text("beat")
         return frame
--- a/tests/server/reloading.py
+++ b/tests/server/reloading.py
@@ -1,4 +1,4 @@
-"""New configuration files for a running program, and a deployment of another shape."""
+"""Reloads of a running program with new configuration files."""
 
 from __future__ import annotations
 
@@ -21,14 +21,17 @@
 
 
 def reload(sidecar: SidecarProcess, values: dict[str, Any] | str) -> None:
-    """Give the program this file and wait until it has logged what it made of it."""
-    before = len(sidecar.log())
+    """Reload with a new configuration file and wait until the program has logged the result."""
+    log_length = len(sidecar.log())
     send_reload(sidecar, values if isinstance(values, str) else json.dumps(values))
-    wait_until(lambda: any(event in sidecar.log()[before:] for event in RELOAD_EVENTS))
+    wait_until(lambda: any(event in sidecar.log()[log_length:] for event in RELOAD_EVENTS))
 
 
 def reshaped(old: dict[str, Any]) -> dict[str, Any]:
-    """A deployment of another shape: more zones, live weights, a class dropped and one added, one attempt."""
+    """Return a configuration with other settings.
+
+    It has more zones, live weights, one class dropped and one added, and allows one attempt.
+    """
     new: dict[str, Any] = json.loads(json.dumps(old))
     settings = new["settings"]
     settings["azs"] = ["west", "north", "south"]
--- a/tests/server/hot_restart_world.py
+++ b/tests/server/restartable_deployment.py
@@ -1,4 +1,4 @@
-"""A program that can be started again beside itself."""
+"""A deployment whose sidecar can have successors in a hot restart, and a load on keep-alive connections."""
 
 from __future__ import annotations
 
@@ -13,37 +13,39 @@
 from tests.support.sidecar_process import Deployment, SidecarProcess
 from tests.support.waiting import wait_until
 
-MAX_REQUESTS = 100_000  # of one client
+MAX_REQUESTS = 100_000  # per client
 
 
-class RestartableWorld:
-    """A world whose sidecar can be started again beside itself, with one folder for both."""
+class RestartableDeployment:
+    """A deployment whose sidecar and its successors share the folder of the hot-restart socket."""
 
     def __init__(self, folder: Path, *upstreams: UpstreamServer) -> None:
         self.folder = folder
         (folder / "t").mkdir()
-        self.world = Deployment(folder, *upstreams)
-        self.old = self.world.sidecar
-        self.old.environ["TMPDIR"] = str(folder / "t")
-        enable_admin(self.old)
+        self.deployment = Deployment(folder, *upstreams)
+        self.predecessor = self.deployment.sidecar
+        self.predecessor.environ["TMPDIR"] = str(folder / "t")
+        enable_admin(self.predecessor)
         self.successors: list[SidecarProcess] = []
 
-    def __enter__(self) -> RestartableWorld:
-        self.world.__enter__()
+    def __enter__(self) -> RestartableDeployment:
+        self.deployment.__enter__()
         return self
 
     def __exit__(self, *fault: Any) -> None:
         for successor in self.successors:
             successor.__exit__(None, None, None)
-        self.world.__exit__(*fault)
+        self.deployment.__exit__(*fault)
 
     def start_successor(self, ready: bool = True, **changes: Any) -> SidecarProcess:
-        """Start the program again, with its own admin address, and wait for it unless `ready` is false."""
+        """Start a successor with its own admin address; wait until it is ready, unless `ready` is false."""
         number = len(self.successors)
         folder = self.folder / f"successor-{number}"
         folder.mkdir()
-        config = {**self.old.config, "admin_addr": unused_address(), **changes}
-        successor = SidecarProcess(folder, config, self.old.address, environ=dict(self.old.environ))
+        config = {**self.predecessor.config, "admin_addr": unused_address(), **changes}
+        successor = SidecarProcess(
+            folder, config, self.predecessor.address, environ=dict(self.predecessor.environ)
+        )
         self.successors.append(successor)
         successor.launch()
         if ready:
@@ -51,12 +53,12 @@
         return successor
 
 
-class KeptConnectionLoad:
-    """Clients that send one request after the other, each on one connection that is never to be closed."""
+class KeepAliveLoad:
+    """Clients that send one request after another, each on a keep-alive connection that must stay open."""
 
     def __init__(self, sidecar: SidecarProcess, clients: int) -> None:
         self.sidecar = sidecar
-        self.faults: list[str] = []
+        self.errors: list[str] = []
         self.stopping = threading.Event()
         self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(clients)]
 
@@ -65,48 +67,50 @@
             thread.start()
 
     def stop(self) -> None:
-        """Stop sending, once each client has its last response."""
+        """Stop sending, and wait until each client has its last response."""
         self.stopping.set()
         for thread in self.threads:
             thread.join()
 
     def _run(self, number: int) -> None:
-        wire = self.sidecar.connect()
-        with wire.sock:
-            for turn in range(MAX_REQUESTS):
-                if self.stopping.is_set() or not self._ask(wire, f"{number}-{turn}"):
+        connection = self.sidecar.connect()
+        with connection.sock:
+            for index in range(MAX_REQUESTS):
+                if self.stopping.is_set() or not self._send_request(connection, f"{number}-{index}"):
                     return
 
-    def _ask(self, wire: HttpConnection, request_id: str) -> bool:
-        """Send one request; return whether it was answered and the connection kept."""
+    def _send_request(self, connection: HttpConnection, request_id: str) -> bool:
+        """Send one request; return whether it succeeded and the connection stayed open."""
         try:
-            wire.sock.sendall(http_request("/pay/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0"))
-            reply = wire.read()
-        except OSError as fault:
-            self.faults.append(f"{request_id}: {fault}")
+            connection.sock.sendall(
+                http_request("/pay/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0")
+            )
+            reply = connection.read()
+        except OSError as error:
+            self.errors.append(f"{request_id}: {error}")
             return False
         if reply is None or reply.status != 200 or "connection" in reply.headers:
-            self.faults.append(f"{request_id}: {reply}")
+            self.errors.append(f"{request_id}: {reply}")
             return False
         return True
 
 
 def is_running_and_ready(sidecar: SidecarProcess) -> bool:
-    """Whether its admin address reports that it is ready; fails where the process has ended."""
+    """Return whether the admin server reports that the sidecar is ready; fails if the process has ended."""
     assert sidecar.process is not None
     assert sidecar.process.poll() is None, sidecar.log()
     return is_ready(sidecar)
 
 
 def is_ready(sidecar: SidecarProcess) -> bool:
-    """Whether its admin address reports that it is ready."""
+    """Return whether the admin server reports that the sidecar is ready."""
     try:
         return send_admin_request(sidecar.config["admin_addr"], "/admin/health").status == 200
     except (OSError, AssertionError):
         return False
 
 
-def respond_slowly(_message: HttpMessage, _wire: HttpConnection) -> bytes:
-    """A script of an upstream that takes 20 ms."""
+def respond_after_20_ms(_message: HttpMessage, _connection: HttpConnection) -> bytes:
+    """Respond after 20 ms, as the script of an upstream."""
     time.sleep(0.02)
     return http_response(b"ok")
--- a/tests/server/test_config.py
+++ b/tests/server/test_config.py
@@ -1,4 +1,4 @@
-"""The sidecar's configuration: its values, errors that name the key, and reloads."""
+"""The sidecar's configuration: its values, its errors, which name the key, and reloads."""
 
 import json
 from pathlib import Path
@@ -41,13 +41,13 @@
     assert [endpoint.name for endpoint in found.initial_endpoints.endpoints] == ["a"]
 
 
-def test_the_environment_comes_before_the_file(tmp_path: Path) -> None:
+def test_the_environment_overrides_the_file(tmp_path: Path) -> None:
     found = read(tmp_path, platform_values(), EDGE_LISTEN="127.0.0.1:9001", EDGE_NAME="n7")
     assert found.listen == ("127.0.0.1", 9001)
     assert found.name == "n7"
 
 
-def test_the_process_limit_binds_too(tmp_path: Path) -> None:
+def test_the_socket_limit_is_at_most_the_descriptor_limit_of_the_process(tmp_path: Path) -> None:
     values = platform_values()
     values["limits"] |= {"sockets": 10**9, "memory_mb": 190.7}
     found = read(tmp_path, values)
@@ -55,7 +55,7 @@
     assert found.memory_mb == 190
 
 
-INVALID: list[tuple[str, object]] = [
+INVALID_VALUES: list[tuple[str, object]] = [
     ("name", None),
     ("listen", None),
     ("listen", "here"),
@@ -93,7 +93,7 @@
 ]
 
 
-@pytest.mark.parametrize(("key", "value"), INVALID)
+@pytest.mark.parametrize(("key", "value"), INVALID_VALUES)
 def test_an_error_names_its_key(tmp_path: Path, key: str, value: object) -> None:
     with pytest.raises(ConfigError) as raised:
         read(tmp_path, with_value(key, value))
@@ -102,7 +102,7 @@
     assert raised.value.reason
 
 
-LINES: list[tuple[str, object, str]] = [
+ERROR_TEXTS: list[tuple[str, object, str]] = [
     ("name", None, "name (EDGE_NAME) is missing"),
     ("seed", "xyz", "seed: 'xyz' is not a hexadecimal number"),
     ("limits", 7, "limits: 7 is no object"),
@@ -126,15 +126,17 @@
 ]
 
 
-@pytest.mark.parametrize(("key", "value", "line"), LINES)
-def test_an_operator_reads_key_value_and_reason(tmp_path: Path, key: str, value: object, line: str) -> None:
+@pytest.mark.parametrize(("key", "value", "text"), ERROR_TEXTS)
+def test_the_text_of_an_error_has_key_value_and_reason(
+    tmp_path: Path, key: str, value: object, text: str
+) -> None:
     with pytest.raises(ConfigError) as raised:
         read(tmp_path, with_value(key, value))
-    assert str(raised.value) == line
+    assert str(raised.value) == text
 
 
 def with_value(key: str, value: object) -> Any:
-    """The platform's values with one changed, or taken out where it is None."""
+    """Return the platform's values with one changed, or removed if `value` is None."""
     values: Any = platform_values()
     node = values
     *parents, last = key.split(".")
@@ -148,14 +150,14 @@
 
 
 def paths(value: Any, path: tuple[Any, ...] = ()) -> Any:
-    """The path of each key that a later file has to have too."""
+    """Yield the path of each key, without those in lists other than the request classes."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield (*path, key)
             yield from paths(inner, (*path, key))
     elif isinstance(value, list) and path[-1:] == ("classes",):
-        for n, inner in enumerate(value):
-            yield from paths(inner, (*path, n))
+        for index, inner in enumerate(value):
+            yield from paths(inner, (*path, index))
 
 
 OPTIONAL = {
@@ -175,8 +177,10 @@
 
 
 @pytest.mark.parametrize("path", PERMANENT, ids=lambda path: ".".join(map(str, path)))
-def test_a_reloaded_file_that_lost_a_key_is_rejected(tmp_path: Path, path: tuple[Any, ...]) -> None:
-    # it would take effect with defaults: another number of attempts, another discovery
+def test_a_reloaded_file_that_lacks_a_permanent_key_is_rejected(
+    tmp_path: Path, path: tuple[Any, ...]
+) -> None:
+    # Otherwise it would take effect with defaults, such as another number of attempts or another discovery.
     values = with_value(".".join(map(str, path)), None)
     environ = {"EDGE_NAME": "n0", "EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}
     running = read(tmp_path, platform_values(), **environ)
@@ -186,7 +190,7 @@
     assert raised.value.value is None
 
 
-def test_an_older_file_may_lack_what_a_newer_one_turned_on(tmp_path: Path) -> None:
+def test_an_older_file_may_lack_the_features_that_a_newer_one_enabled(tmp_path: Path) -> None:
     newer = platform_values()
     newer["settings"] |= {"weights": "live", "customers": [{"quotaRps": 5}]}
     newer["settings"]["allowed"] |= {"multiplex": 10}
@@ -194,7 +198,7 @@
     assert old.for_reload_of(new.for_reload_of(old)).settings == old.settings
 
 
-def test_a_class_named_twice_is_an_error(tmp_path: Path) -> None:
+def test_two_classes_with_the_same_name_are_an_error(tmp_path: Path) -> None:
     values = platform_values()
     values["settings"]["classes"][1]["name"] = "look"
     with pytest.raises(ConfigError, match=r"settings\.classes\.1\.name") as raised:
@@ -203,7 +207,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "[]", "7", "null", "[" * 100_000])
-def test_a_file_that_is_no_object_is_an_error(tmp_path: Path, text: str) -> None:
+def test_a_file_that_is_not_a_complete_json_object_is_an_error(tmp_path: Path, text: str) -> None:
     with pytest.raises(ConfigError):
         read(tmp_path, text)
 
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client against a stand-in of discovery, in one process."""
+"""The discovery client against a fake discovery server in the same process."""
 
 import errno
 import json
@@ -26,11 +26,11 @@
 
 SUBSCRIBED = Settings((), must_subscribe=True, poll_interval=10_000_000, drain_grace=1_000_000)
 PUSHED = Settings((), drain_grace=300_000)
-ONE_HOUR_US = 3_600_000_000  # a backoff that no test sees the end of
+ONE_HOUR_US = 3_600_000_000  # a backoff longer than any test
 
 
 class RecordingSchedule(DiscoverySchedule):
-    """A schedule that also keeps how polls failed."""
+    """A schedule that also records how polls failed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -41,8 +41,8 @@
         super().record_failure(now, failure)
 
 
-class WatchedClient:
-    """The client in its greenlet, the stand-in that it polls, and what it published."""
+class RunningClient:
+    """A running discovery client, the fake server that it polls, and the updates that it published."""
 
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
         self.server = DiscoveryServer([endpoint_entry("a"), endpoint_entry("b")])
@@ -70,7 +70,7 @@
         self.client.watch()
 
     def forms(self, count: int) -> list[ListForm]:
-        """Return the forms of all updates, once there are so many."""
+        """Return the forms of all updates, once there are at least `count`."""
         run_until(lambda: len(self.updates) >= count)
         return [update.form for update in self.updates]
 
@@ -80,30 +80,30 @@
 
 
 @pytest.fixture
-def watched() -> Iterator[WatchedClient]:
-    made = WatchedClient()
-    yield made
-    made.close()
+def running() -> Iterator[RunningClient]:
+    running = RunningClient()
+    yield running
+    running.close()
 
 
-def test_a_quiet_watch_outlasts_the_connect_timeout(
-    watched: WatchedClient, monkeypatch: pytest.MonkeyPatch
+def test_a_long_poll_without_changes_outlasts_the_connect_timeout(
+    running: RunningClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # with the connect timeout left on the socket every long poll ended after it, as unreachable
+    # If the connect timeout stayed set on the socket, it would end every long poll as unreachable.
     monkeypatch.setattr(discovery_schedule, "CONNECT_TIMEOUT_US", 100_000)
-    watched.start()
-    run_until(lambda: watched.server.calls)
+    running.start()
+    run_until(lambda: running.server.calls)
     gevent.sleep(0.3)
-    watched.server.change(endpoint_entry("a", state="DRAINING"))
-    assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
-    assert watched.updates[1].entries[0].status is EndpointStatus.DRAINING
+    running.server.change(endpoint_entry("a", state="DRAINING"))
+    assert running.forms(2) == [ListForm.CACHED, ListForm.DELTA]
+    assert running.updates[1].entries[0].status is EndpointStatus.DRAINING
 
 
 def list_response(version: int, is_snapshot: bool, *entries: Any) -> bytes:
     return http_response(json.dumps({"version": version, "full": is_snapshot, "servers": entries}).encode())
 
 
-TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{}"  # and then nothing
+TRUNCATED_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{}"  # 48 bytes are missing
 
 
 @pytest.mark.parametrize(
@@ -122,11 +122,11 @@
     ],
 )
 def test_a_failure_of_one_poll_only_is_followed_by_another_poll_at_once(
-    watched: WatchedClient, reply: bytes, failure: PollFailure, monkeypatch: pytest.MonkeyPatch
+    running: RunningClient, reply: bytes, failure: PollFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The backoff for a server that is down does not apply.
+    """The backoff for a server that is down does not apply to one failed poll.
 
-    What a silent, invalid or truncated long poll missed would be binding before the next poll.
+    A silent, invalid or truncated response may have carried an update, which is binding before the next poll.
     """
     for name, value in {
         "MAX_LONG_POLL_WAIT_US": 50_000,
@@ -135,16 +135,16 @@
         "INITIAL_BACKOFF_US": ONE_HOUR_US,
     }.items():
         monkeypatch.setattr(discovery_schedule, name, value)
-    watched.schedule.backoff = ONE_HOUR_US
-    watched.server.scripted = [reply]
-    watched.start()
-    assert watched.forms(1) == [ListForm.CACHED]
-    run_until(lambda: watched.server.calls)
+    running.schedule.backoff = ONE_HOUR_US
+    running.server.scripted = [reply]
+    running.start()
+    assert running.forms(1) == [ListForm.CACHED]
+    run_until(lambda: running.server.calls)
     monkeypatch.undo()
-    watched.server.change(endpoint_entry("a", state="DRAINING"))
-    assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
-    assert watched.schedule.failures == [failure]
-    assert "hold_ms=0" in watched.server.calls[1] or "?" not in watched.server.calls[1]
+    running.server.change(endpoint_entry("a", state="DRAINING"))
+    assert running.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
+    assert running.schedule.failures == [failure]
+    assert "hold_ms=0" in running.server.calls[1] or "?" not in running.server.calls[1]
 
 
 @pytest.mark.parametrize(
@@ -156,35 +156,37 @@
     ],
 )
 def test_a_server_that_is_down_is_polled_again_after_a_backoff(
-    watched: WatchedClient, reply: bytes | None, failure: PollFailure
+    running: RunningClient, reply: bytes | None, failure: PollFailure
 ) -> None:
-    watched.schedule.backoff = 30_000
-    watched.server.scripted = [reply]
-    watched.start()
-    run_until(lambda: watched.schedule.failures)
-    assert watched.schedule.failures == [failure]
-    assert watched.client.initial_poll_finished.is_set()
-    # the current list stays meanwhile; the one that is received then counts
-    assert watched.forms(1) == [ListForm.CACHED]
-    watched.server.change(endpoint_entry("a", state="DELETED"))
-    assert watched.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
-
-
-def test_after_an_older_version_a_snapshot_is_requested_and_counts(watched: WatchedClient) -> None:
-    watched.server.version = 9
-    watched.start()
-    run_until(lambda: len(watched.server.calls) == 2)
-    watched.server.scripted = [list_response(3, False, endpoint_entry("c"))]
-    watched.server.change(endpoint_entry("b"))
-    run_until(lambda: watched.schedule.failures)
-    assert watched.schedule.failures == [PollFailure.INVALID]
-    watched.server.version = 4
-    run_until(lambda: watched.updates[-1].form is ListForm.SNAPSHOT)
-    assert any("?" not in call for call in watched.server.calls)
-
-
-def test_invalid_entries_are_skipped_and_duplicates_count_once(watched: WatchedClient) -> None:
-    watched.server.scripted = [
+    running.schedule.backoff = 30_000
+    running.server.scripted = [reply]
+    running.start()
+    run_until(lambda: running.schedule.failures)
+    assert running.schedule.failures == [failure]
+    assert running.client.initial_poll_finished.is_set()
+    # The current list stays in use until the next one is received.
+    assert running.forms(1) == [ListForm.CACHED]
+    running.server.change(endpoint_entry("a", state="DELETED"))
+    assert running.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
+
+
+def test_after_an_older_version_a_snapshot_is_requested_and_published(running: RunningClient) -> None:
+    running.server.version = 9
+    running.start()
+    run_until(lambda: len(running.server.calls) == 2)
+    running.server.scripted = [list_response(3, False, endpoint_entry("c"))]
+    running.server.change(endpoint_entry("b"))
+    run_until(lambda: running.schedule.failures)
+    assert running.schedule.failures == [PollFailure.INVALID]
+    running.server.version = 4
+    run_until(lambda: running.updates[-1].form is ListForm.SNAPSHOT)
+    assert any("?" not in call for call in running.server.calls)
+
+
+def test_invalid_entries_are_skipped_and_the_last_of_duplicate_entries_is_used(
+    running: RunningClient,
+) -> None:
+    running.server.scripted = [
         list_response(
             2,
             False,
@@ -199,190 +201,189 @@
             7,
         )
     ]
-    watched.start()
-    watched.forms(2)
-    entries = {e.endpoint: e for e in watched.updates[1].entries}
+    running.start()
+    running.forms(2)
+    entries = {e.endpoint: e for e in running.updates[1].entries}
     assert sorted(entries) == ["a", "c"]
     assert entries["a"].status is EndpointStatus.UP
     assert entries["a"].started_at == 5000
-    # a zone and a host class without a name in the settings are numbered after those that have one, and kept
-    # nowhere
+    # A zone or host class that is not in the settings gets an index after all others, and is not stored.
     assert entries["c"].zone > 0
     assert entries["c"].host_class > 0
-    assert watched.client.zone_indexes == {"north": 0}
-    assert watched.client.host_class_indexes == {"plain": 0}
+    assert running.client.zone_indexes == {"north": 0}
+    assert running.client.host_class_indexes == {"plain": 0}
 
 
-def test_long_polls_follow_each_other_at_once_on_one_connection(watched: WatchedClient) -> None:
-    watched.start()
-    for n in range(5):
-        watched.server.change(endpoint_entry("a", started_ms=n))
-        watched.forms(2 + n)
-    assert len(watched.server.connections) == 1
-    versions = [call.partition("from=")[2].partition("&")[0] for call in watched.server.calls]
+def test_successive_long_polls_use_one_connection_without_a_pause(running: RunningClient) -> None:
+    running.start()
+    for change_count in range(5):
+        running.server.change(endpoint_entry("a", started_ms=change_count))
+        running.forms(2 + change_count)
+    assert len(running.server.connections) == 1
+    versions = [call.partition("from=")[2].partition("&")[0] for call in running.server.calls]
     assert versions[:5] == ["1", "2", "3", "4", "5"]
 
 
-def test_an_address_may_change_under_the_same_id(watched: WatchedClient) -> None:
-    watched.start()
-    watched.server.change(endpoint_entry("a", addr="127.0.0.1:99"))
-    watched.forms(2)
-    assert watched.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
-    watched.server.change({"id": "a", "state": "DELETED"})
-    watched.forms(3)
-    assert "a" not in watched.upstreams.endpoints
+def test_the_address_of_an_endpoint_id_may_change(running: RunningClient) -> None:
+    running.start()
+    running.server.change(endpoint_entry("a", addr="127.0.0.1:99"))
+    running.forms(2)
+    assert running.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
+    running.server.change({"id": "a", "state": "DELETED"})
+    running.forms(3)
+    assert "a" not in running.upstreams.endpoints
 
 
-def test_another_server_is_polled_at_once_for_a_snapshot(watched: WatchedClient) -> None:
-    # neither the previous server's watch nor its version nor a backoff delays the new one's list
-    watched.start()
-    run_until(lambda: watched.server.calls)
+def test_another_server_is_polled_at_once_for_a_snapshot(running: RunningClient) -> None:
+    # Neither a long poll nor the list version of the previous server delays the new server's list.
+    running.start()
+    run_until(lambda: running.server.calls)
     other = DiscoveryServer([endpoint_entry("c")])
-    watched.client.switch_server(parse_address(other.address))
-    assert watched.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
-    assert [e.endpoint for e in watched.updates[1].entries] == ["c"]
-    assert list(watched.upstreams.endpoints) == ["c"]
+    running.client.switch_server(parse_address(other.address))
+    assert running.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
+    assert [e.endpoint for e in running.updates[1].entries] == ["c"]
+    assert list(running.upstreams.endpoints) == ["c"]
     assert "?" not in other.calls[0]
     other.version = 3
     other.change(endpoint_entry("d"))
-    assert watched.forms(3)[2] is ListForm.DELTA
+    assert running.forms(3)[2] is ListForm.DELTA
     other.close()
 
 
 def test_switching_servers_ends_a_backoff_and_the_same_address_changes_nothing(
-    watched: WatchedClient,
+    running: RunningClient,
 ) -> None:
-    watched.schedule.backoff = ONE_HOUR_US
-    watched.server.scripted = [http_response(b"", 503)]
-    watched.start()
-    run_until(lambda: watched.schedule.failures)
-    watched.client.switch_server(parse_address(watched.server.address))
+    running.schedule.backoff = ONE_HOUR_US
+    running.server.scripted = [http_response(b"", 503)]
+    running.start()
+    run_until(lambda: running.schedule.failures)
+    running.client.switch_server(parse_address(running.server.address))
     gevent.sleep(0.05)
-    assert len(watched.server.calls) == 1
+    assert len(running.server.calls) == 1
     other = DiscoveryServer([endpoint_entry("c")])
-    watched.client.switch_server(parse_address(other.address))
-    assert watched.forms(2)[1] is ListForm.SNAPSHOT
+    running.client.switch_server(parse_address(other.address))
+    assert running.forms(2)[1] is ListForm.SNAPSHOT
     other.close()
 
 
-def test_an_update_of_the_previous_server_counts_until_the_new_one_has_responded(
-    watched: WatchedClient,
+def test_updates_of_the_previous_server_are_published_until_the_new_one_has_responded(
+    running: RunningClient,
 ) -> None:
-    """An update is binding when it is written, and the new server may take long to respond."""
-    watched.start()
-    run_until(lambda: watched.server.calls)
+    """An update is binding once it is written, and the new server may take long to respond."""
+    running.start()
+    run_until(lambda: running.server.calls)
     other = DiscoveryServer([endpoint_entry("a"), endpoint_entry("c")])
-    with other.change_condition:  # it takes the poll and cannot respond yet
-        watched.client.switch_server(parse_address(other.address))
+    with other.change_condition:  # holding it keeps the new server from responding to the poll
+        running.client.switch_server(parse_address(other.address))
         run_until(lambda: other.connections)
-        watched.server.change(endpoint_entry("b", state="DRAINING"))
-        assert watched.forms(2) == [ListForm.CACHED, ListForm.DELTA]
-        assert watched.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
-    assert watched.forms(3)[2] is ListForm.SNAPSHOT
-    # what the previous server sends from here on does not count
-    watched.server.change(endpoint_entry("c", state="DRAINING"))
+        running.server.change(endpoint_entry("b", state="DRAINING"))
+        assert running.forms(2) == [ListForm.CACHED, ListForm.DELTA]
+        assert running.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
+    assert running.forms(3)[2] is ListForm.SNAPSHOT
+    # Updates that the previous server sends from now on are not published.
+    running.server.change(endpoint_entry("c", state="DRAINING"))
     run_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert watched.upstreams.endpoints["c"].status is EndpointStatus.UP
-    assert len(watched.updates) == 3
+    assert running.upstreams.endpoints["c"].status is EndpointStatus.UP
+    assert len(running.updates) == 3
     other.close()
 
 
-def test_a_long_poll_that_ends_in_half_of_its_response_is_repeated_at_once(watched: WatchedClient) -> None:
-    """Half of a list must not be taken for all of it, and the other half not be waited for."""
+def test_a_long_poll_with_a_truncated_response_is_repeated_at_once(running: RunningClient) -> None:
+    """A truncated list must not be used as a complete one, and its rest must not be delayed by a backoff."""
     response = list_response(
         2, False, endpoint_entry("a", state="DRAINING"), endpoint_entry("b", state="DRAINING")
     )
-    watched.schedule.backoff = ONE_HOUR_US
-    watched.server.scripted = [response[:-30]]
-    watched.start()
-    run_until(lambda: watched.server.calls)
-    watched.server.change(endpoint_entry("b", state="DRAINING"))
-    watched.server.connections[0].shutdown(socket.SHUT_RDWR)
-    assert watched.forms(2)[1] is ListForm.DELTA
-    assert watched.schedule.failures == [PollFailure.TRUNCATED]
-    assert "hold_ms=0" in watched.server.calls[1]
-    assert [e.endpoint for e in watched.updates[1].entries] == ["b"]
-
-
-def test_without_a_descriptor_for_its_poll_the_process_goes_on(
-    watched: WatchedClient, monkeypatch: pytest.MonkeyPatch
+    running.schedule.backoff = ONE_HOUR_US
+    running.server.scripted = [response[:-30]]
+    running.start()
+    run_until(lambda: running.server.calls)
+    running.server.change(endpoint_entry("b", state="DRAINING"))
+    running.server.connections[0].shutdown(socket.SHUT_RDWR)
+    assert running.forms(2)[1] is ListForm.DELTA
+    assert running.schedule.failures == [PollFailure.TRUNCATED]
+    assert "hold_ms=0" in running.server.calls[1]
+    assert [e.endpoint for e in running.updates[1].entries] == ["b"]
+
+
+def test_without_a_descriptor_only_the_poll_fails_and_polling_continues(
+    running: RunningClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Clients may leave no descriptor for a poll: the process must not end of that."""
+    """Clients may use all descriptors, which must not end the process."""
 
-    def none_left(*_args: object) -> NoReturn:
+    def fail_without_descriptor(*_args: object) -> NoReturn:
         monkeypatch.setattr("linetrack.server.discovery_client.Connection", Connection)
         raise OSError(errno.EMFILE, "Too many open files")
 
-    monkeypatch.setattr("linetrack.server.discovery_client.Connection", none_left)
-    watched.start()
-    run_until(lambda: watched.schedule.failures)
-    assert watched.schedule.failures == [PollFailure.UNREACHABLE]
-    run_until(lambda: watched.server.calls)
-    assert not watched.greenlet.dead
+    monkeypatch.setattr("linetrack.server.discovery_client.Connection", fail_without_descriptor)
+    running.start()
+    run_until(lambda: running.schedule.failures)
+    assert running.schedule.failures == [PollFailure.UNREACHABLE]
+    run_until(lambda: running.server.calls)
+    assert not running.greenlet.dead
 
 
-def test_where_updates_are_pushed_the_initial_poll_finishes_with_a_list_not_with_a_rejection() -> None:
-    """What discovery has is binding from the first moment.
+def test_with_pushed_updates_a_rejection_does_not_finish_the_initial_poll_but_a_list_does() -> None:
+    """Discovery's list is binding from the start of the process.
 
-    A rejection by a server that hundreds poll at once must not let the process serve by a list from before
-    its start.
+    A rejection by a server that hundreds of processes poll at once must not let the process serve with a list
+    from before its start.
     """
-    watched = WatchedClient(PUSHED)
+    running = RunningClient(PUSHED)
     try:
-        watched.server.scripted = [
+        running.server.scripted = [
             http_response(b"", 503),
             http_response(b"", 503),
             http_response(b"not JSON"),
         ]
-        run_until(lambda: len(watched.schedule.failures) == 3)
-        assert not watched.client.initial_poll_finished.is_set()
-        run_until(watched.client.initial_poll_finished.is_set)
-        assert watched.updates[-1].form is ListForm.SNAPSHOT
+        run_until(lambda: len(running.schedule.failures) == 3)
+        assert not running.client.initial_poll_finished.is_set()
+        run_until(running.client.initial_poll_finished.is_set)
+        assert running.updates[-1].form is ListForm.SNAPSHOT
     finally:
-        watched.close()
+        running.close()
 
 
-def test_while_the_new_server_fails_the_current_list_stays(watched: WatchedClient) -> None:
-    watched.start()
-    run_until(lambda: watched.server.calls)
-    watched.client.switch_server(parse_address(unused_address()))
-    run_until(lambda: watched.schedule.failures)
-    assert watched.schedule.failures == [PollFailure.UNREACHABLE]
-    assert sorted(watched.upstreams.endpoints) == ["a", "b"]
+def test_while_the_new_server_fails_the_current_list_stays(running: RunningClient) -> None:
+    running.start()
+    run_until(lambda: running.server.calls)
+    running.client.switch_server(parse_address(unused_address()))
+    run_until(lambda: running.schedule.failures)
+    assert running.schedule.failures == [PollFailure.UNREACHABLE]
+    assert sorted(running.upstreams.endpoints) == ["a", "b"]
 
 
-def test_where_updates_are_pushed_it_polls_unasked_and_first_for_an_immediate_response() -> None:
-    """A long poll is answered at once only where there is a change.
+def test_with_pushed_updates_polling_starts_without_watch_and_with_a_wait_of_zero() -> None:
+    """Discovery responds to a long poll at once only if there is a change.
 
-    The process must not serve by a list from before its start while discovery has a newer one.
+    The process must not serve with a list from before its start while discovery has a newer one.
     """
-    watched = WatchedClient(PUSHED)
+    running = RunningClient(PUSHED)
     try:
-        watched.server.scripted = [http_response(b"", 503), list_response(1, False)]
-        watched.client.restore(
-            parse_endpoint_list({"version": 1, "full": True, "servers": watched.server.entries})
+        running.server.scripted = [http_response(b"", 503), list_response(1, False)]
+        running.client.restore(
+            parse_endpoint_list({"version": 1, "full": True, "servers": running.server.entries})
         )
-        assert not watched.client.initial_poll_finished.is_set()
-        run_until(lambda: len(watched.server.calls) == 3)
-        assert [call.partition("hold_ms=")[2] for call in watched.server.calls[:2]] == ["0", "0"]
-        assert watched.client.initial_poll_finished.is_set()
-        watched.server.change(endpoint_entry("a", state="DRAINING"))
-        assert watched.forms(2)[1] is ListForm.DELTA
+        assert not running.client.initial_poll_finished.is_set()
+        run_until(lambda: len(running.server.calls) == 3)
+        assert [call.partition("hold_ms=")[2] for call in running.server.calls[:2]] == ["0", "0"]
+        assert running.client.initial_poll_finished.is_set()
+        running.server.change(endpoint_entry("a", state="DRAINING"))
+        assert running.forms(2)[1] is ListForm.DELTA
     finally:
-        watched.close()
+        running.close()
 
 
-def test_a_server_that_does_not_wait_for_changes_is_not_polled_without_a_pause(
-    watched: WatchedClient, monkeypatch: pytest.MonkeyPatch
+def test_a_server_that_responds_to_long_polls_early_is_polled_with_a_pause(
+    running: RunningClient, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery_schedule, "UNCHANGED_LIST_PAUSE_US", 40_000)
-    watched.server.scripted = [
+    running.server.scripted = [
         list_response(1, False),
         list_response(1, False, endpoint_entry("a")),
         list_response(1, False),
     ]
-    before = time.monotonic()
-    watched.start()
-    run_until(lambda: len(watched.server.calls) >= 4)
-    assert time.monotonic() - before >= 3 * 0.04
+    started_at = time.monotonic()
+    running.start()
+    run_until(lambda: len(running.server.calls) >= 4)
+    assert time.monotonic() - started_at >= 3 * 0.04
--- a/tests/server/test_endpoint_list.py
+++ b/tests/server/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The codec of discovery's endpoint list."""
+"""The codec of endpoint lists from discovery."""
 
 import json
 
@@ -32,14 +32,14 @@
 )
 
 
-def test_an_entry_is_read_into_its_fields() -> None:
+def test_an_entry_is_parsed_into_its_fields() -> None:
     body = json.dumps({"version": 41, "full": True, "servers": [ENTRY]}).encode()
     records = decode_endpoint_list(body)
     (record,) = records.endpoints
     assert record == RECORD
 
 
-def test_a_snapshot_is_written_in_the_form_in_which_it_is_read() -> None:
+def test_an_encoded_snapshot_is_parsed_into_the_same_endpoints() -> None:
     snapshot = encode_snapshot(41, [RECORD])
     assert snapshot == {"version": 41, "full": True, "servers": [ENTRY]}
     assert parse_endpoint_list(snapshot).endpoints == (RECORD,)
--- a/tests/server/test_essential_greenlets.py
+++ b/tests/server/test_essential_greenlets.py
@@ -1,4 +1,4 @@
-"""Greenlets without which the program must not go on."""
+"""Essential greenlets, whose failure must end the process."""
 
 import os
 
@@ -10,7 +10,7 @@
 
 
 def test_an_essential_greenlet_that_fails_ends_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    # an unhandled exception must not end a greenlet silently while the others go on
+    # An unhandled exception must not end one greenlet silently while the others keep running.
     exit_statuses: list[int] = []
     monkeypatch.setattr(os, "_exit", exit_statuses.append)
 
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -39,8 +39,8 @@
         self.sockets = folder / "t"
         self.sockets.mkdir()
         self.upstream = UpstreamServer("a")
-        self.world = Deployment(folder, self.upstream)
-        self.sidecar = self.world.sidecar
+        self.deployment = Deployment(folder, self.upstream)
+        self.sidecar = self.deployment.sidecar
         self.sidecar.environ["TMPDIR"] = str(self.sockets)
         self.sidecar.config["settings"] = RECORDED["settings"]
         self.sidecar.config["admin_addr"] = unused_address()
@@ -53,7 +53,7 @@
 
     def grant(self) -> dict[str, Any]:
         """The recorded grant with the addresses of this run."""
-        host, port = self.world.discovery.address.split(":")
+        host, port = self.deployment.discovery.address.split(":")
         entries = recorded("grant")["list"]
         entries["servers"] = [{**entries["servers"][0], "addr": self.upstream.address}]
         return recorded("grant", list=entries, discovery=[host, int(port)])
@@ -61,12 +61,12 @@
     def is_ready(self) -> bool:
         host, port = self.sidecar.config["admin_addr"].split(":")
         try:
-            wire = HttpConnection(socket.create_connection((host, int(port)), TIMEOUT_SECONDS))
+            connection = HttpConnection(socket.create_connection((host, int(port)), TIMEOUT_SECONDS))
         except OSError:
             return False
-        with wire.sock:
-            wire.sock.sendall(http_request("/admin/health"))
-            reply = wire.read()
+        with connection.sock:
+            connection.sock.sendall(http_request("/admin/health"))
+            reply = connection.read()
         return reply is not None and reply.status == 200
 
     def call(self) -> RecordedPeer:
@@ -78,7 +78,7 @@
     def close(self) -> None:
         if self.sidecar.process is not None:
             self.sidecar.__exit__(None, None, None)
-        for server in (self.upstream, self.world.discovery):
+        for server in (self.upstream, self.deployment.discovery):
             server.close()
 
 
--- a/tests/server/test_interrupted_handover.py
+++ b/tests/server/test_interrupted_handover.py
@@ -130,15 +130,15 @@
     tmp_path: Path, frames: tuple[str, ...]
 ) -> None:
     """Guards against a process that goes on accepting and is then ended with requests on it."""
-    go = threading.Event()
+    release = threading.Event()
 
-    def respond_late(_message: HttpMessage, _wire: HttpConnection) -> bytes:
-        go.wait(20)
+    def respond_late(_message: HttpMessage, _connection: HttpConnection) -> bytes:
+        release.wait(20)
         return http_response(b"late")
 
-    world = Deployment(tmp_path, server := UpstreamServer("a", respond_late))
-    world.sidecar.environ["TMPDIR"] = str(tmp_path)
-    with world as old:
+    deployment = Deployment(tmp_path, server := UpstreamServer("a", respond_late))
+    deployment.sidecar.environ["TMPDIR"] = str(tmp_path)
+    with deployment as old:
         assert old.process is not None
         waiting, half, *idle = [old.connect() for _ in range(4)]
         waiting.sock.sendall(class_request())
@@ -155,13 +155,13 @@
         late = old.connect()
         late.sock.sendall(class_request())
         wait_until(lambda: len(server.seen) == 3)
-        go.set()
-        replies = [wire.read() for wire in (waiting, half, late)]
+        release.set()
+        replies = [connection.read() for connection in (waiting, half, late)]
         assert [reply and reply.status for reply in replies] == [200, 200, 200]
         assert old.process.wait(20) == 0, old.log()
         assert time.monotonic() - ended_at < LONGEST_SHUTDOWN_SECONDS
-        for wire in idle:
-            wire.sock.close()
+        for connection in idle:
+            connection.sock.close()
 
 
 def test_a_process_that_resumes_late_in_its_shutdown_ends_in_its_time(predecessor: Sidecar) -> None:
--- a/tests/server/test_log_rate_limiter.py
+++ b/tests/server/test_log_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The limit on log lines of one event."""
+"""The rate limit on log lines of the same event."""
 
 import pytest
 import structlog
@@ -6,7 +6,7 @@
 from linetrack.server.logging_setup import MIN_LINE_INTERVAL_US, LogRateLimiter
 
 
-def test_repeated_events_are_one_line_a_second_and_a_count() -> None:
+def test_a_repeated_event_is_logged_once_a_second_with_the_number_suppressed() -> None:
     now = 0
     limiter = LogRateLimiter(lambda: now)
     assert limiter(None, "warning", {"event": "a"}) == {"event": "a"}
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -18,31 +18,31 @@
 
 def test_a_reload_switches_discovery_without_disturbing_requests(tmp_path: Path) -> None:
     a, b = UpstreamServer("a"), UpstreamServer("b")
-    world = Deployment(tmp_path, a)
-    with world as sidecar:
+    deployment = Deployment(tmp_path, a)
+    with deployment as sidecar:
         assert sidecar.ask().body == b"a"
-        wire = sidecar.connect()
+        connection = sidecar.connect()
         for _ in range(2):
             other = DiscoveryServer([b.entry()])
             sidecar.config["discovery"] = other.address
             send_reload(sidecar, json.dumps(sidecar.config))
             wait_until(partial(lambda name: sidecar.ask().body == name, b.name.encode()))
-            wire.sock.sendall(class_request())
-            reply = wire.read()
+            connection.sock.sendall(class_request())
+            reply = connection.read()
             assert reply
             assert reply.body == b.name.encode()
             a, b = b, a
             other.close()
-        wire.sock.close()
+        connection.sock.close()
         assert sidecar.end() == 0
 
 
 def test_the_file_overrides_the_environment_for_the_discovery_address(tmp_path: Path) -> None:
     # the environment stays as it was and must not hide what the new file says
-    world, other = Deployment(tmp_path, UpstreamServer("a")), DiscoveryServer([])
-    world.sidecar.environ["EDGE_DISCOVERY"] = world.discovery.address
-    with world as sidecar:
-        wait_until(lambda: world.discovery.calls)
+    deployment, other = Deployment(tmp_path, UpstreamServer("a")), DiscoveryServer([])
+    deployment.sidecar.environ["EDGE_DISCOVERY"] = deployment.discovery.address
+    with deployment as sidecar:
+        wait_until(lambda: deployment.discovery.calls)
         sidecar.config["discovery"] = other.address
         send_reload(sidecar, json.dumps(sidecar.config))
         wait_until(lambda: other.calls)
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -44,7 +44,7 @@
     def __init__(self, sidecar: SidecarProcess, ledger: AnswerLedger, callers: int) -> None:
         self.sidecar = sidecar
         self.ledger = ledger
-        self.faults: list[BaseException] = []
+        self.errors: list[BaseException] = []
         self.stopping = threading.Event()
         self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(callers)]
         for thread in self.threads:
@@ -62,16 +62,16 @@
                     return
                 self.ledger.ask(self.sidecar, "pay", f"{number}-{turn}")
         except BaseException as fault:
-            self.faults.append(fault)
+            self.errors.append(fault)
 
 
-def respond_slowly(_message: HttpMessage, _wire: HttpConnection) -> bytes:
+def respond_after_20_ms(_message: HttpMessage, _connection: HttpConnection) -> bytes:
     time.sleep(0.02)
     return http_response(b"ok")
 
 
 def test_a_settings_switch_there_and_back_under_load_loses_and_repeats_nothing(tmp_path: Path) -> None:
-    servers = [UpstreamServer(name, respond_slowly) for name in ("a", "b", "c")]
+    servers = [UpstreamServer(name, respond_after_20_ms) for name in ("a", "b", "c")]
     ledger = AnswerLedger()
     with Deployment(tmp_path, *servers) as sidecar:
         old = dict(sidecar.config)
@@ -86,7 +86,7 @@
         load.stop()
         log = sidecar.log()
         assert sidecar.end() == 0
-    assert not load.faults
+    assert not load.errors
     assert all(len(statuses) == 1 for statuses in ledger.answers.values())
     paid = [statuses[0] for trace, statuses in ledger.answers.items() if "-" in trace]
     assert set(paid) <= {200, 503}
@@ -101,7 +101,7 @@
     """Its class is dropped, and its index is then a non-idempotent class's, which could only fail."""
     held, switched = threading.Event(), threading.Event()
 
-    def first(_message: HttpMessage, _wire: HttpConnection) -> bytes | None:
+    def first(_message: HttpMessage, _connection: HttpConnection) -> bytes | None:
         held.set()
         assert switched.wait(20)
         return None  # the connection breaks: what was sent may have run
@@ -128,10 +128,10 @@
 
     A signal that comes while the file before it is read or applied is one more reload.
     """
-    let = threading.Event()
+    release = threading.Event()
 
-    def held(_message: HttpMessage, _wire: HttpConnection) -> bytes:
-        assert let.wait(20)
+    def held(_message: HttpMessage, _connection: HttpConnection) -> bytes:
+        assert release.wait(20)
         return http_response(b"ok")
 
     with Deployment(tmp_path, server := UpstreamServer("a", held)) as sidecar:
@@ -147,7 +147,7 @@
             values["settings"]["classes"][1]["name"] = f"quote{turn}"
             send_reload(sidecar, json.dumps(values))
         wait_until(lambda: "quote5" in sidecar.log(), "the last file")
-        let.set()
+        release.set()
         for thread in threads:
             thread.join()
         assert statuses == [200] * 3
@@ -158,10 +158,10 @@
 
 def test_nothing_is_sent_to_a_draining_endpoint_after_a_switch(tmp_path: Path) -> None:
     a, b = UpstreamServer("a"), UpstreamServer("b")
-    world = Deployment(tmp_path, a, b)
-    with world as sidecar:
+    deployment = Deployment(tmp_path, a, b)
+    with deployment as sidecar:
         old = dict(sidecar.config)
-        world.discovery.change(a.entry(state="DRAINING"))
+        deployment.discovery.change(a.entry(state="DRAINING"))
         wait_until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
         seen = len(a.seen)
         reload(sidecar, reshaped(old))
@@ -237,17 +237,17 @@
 
 def test_a_class_may_return_with_another_idempotency_after_an_invalid_file(tmp_path: Path) -> None:
     server = UpstreamServer(
-        "a", lambda message, _wire: None if message.target.startswith("/pay") else http_response(b"ok")
+        "a", lambda message, _connection: None if message.target.startswith("/pay") else http_response(b"ok")
     )
-    world = Deployment(tmp_path, server, UpstreamServer("b", server.script))
-    with world as sidecar:
+    deployment = Deployment(tmp_path, server, UpstreamServer("b", server.script))
+    with deployment as sidecar:
         first = sidecar.config
         without = json.loads(json.dumps(first))
         del without["settings"]["classes"][1]
         free = json.loads(json.dumps(first))
         free["settings"]["classes"][1]["repeat"] = "free"
         assert sidecar.ask("pay").status == 502
-        assert len(server.seen) + len(world.upstreams[1].seen) == 1
+        assert len(server.seen) + len(deployment.upstreams[1].seen) == 1
         reload(sidecar, without)
         assert sidecar.ask("pay").status == 400
         broken = json.loads(json.dumps(free))
@@ -255,6 +255,6 @@
         reload(sidecar, broken)
         assert sidecar.ask("pay").status == 400, "nothing of a broken file acts"
         reload(sidecar, free)
-        seen = len(server.seen) + len(world.upstreams[1].seen)
+        seen = len(server.seen) + len(deployment.upstreams[1].seen)
         assert sidecar.ask("pay").status == 503, "it may run again, so that a repeat is harmless"
-        assert len(server.seen) + len(world.upstreams[1].seen) > seen + 1
+        assert len(server.seen) + len(deployment.upstreams[1].seen) > seen + 1
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -15,11 +15,11 @@
 
 
 def test_at_sigterm_all_requests_in_flight_are_answered_and_the_exit_status_is_zero(tmp_path: Path) -> None:
-    let = threading.Event()
+    release = threading.Event()
 
-    def script(request: HttpMessage, _wire: HttpConnection) -> bytes:
+    def script(request: HttpMessage, _connection: HttpConnection) -> bytes:
         if request.body:
-            let.wait(20)
+            release.wait(20)
         return http_response(b"ok")
 
     server = UpstreamServer("a", script)
@@ -44,7 +44,7 @@
         assert idle.ended()
         wait_until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
-        let.set()
+        release.set()
         reply = busy.read()
         assert reply
         assert reply.status == 200
@@ -57,12 +57,12 @@
     with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGSTOP)
-        wires = [sidecar.connect() for _ in range(5)]
-        for wire in wires:
-            wire.sock.sendall(class_request())
+        connections = [sidecar.connect() for _ in range(5)]
+        for connection in connections:
+            connection.sock.sendall(class_request())
         sidecar.process.send_signal(signal.SIGTERM)
         sidecar.process.send_signal(signal.SIGCONT)
-        replies = [wire.read() for wire in wires]
+        replies = [connection.read() for connection in connections]
         assert [reply.status for reply in replies if reply] == [200] * 5
         assert sidecar.process.wait(20) == 0
 
@@ -74,21 +74,21 @@
         """One request after the other, on kept connections, until none can be opened any more."""
         while True:
             try:
-                wire = sidecar.connect()
+                connection = sidecar.connect()
             except OSError:
                 return
-            with wire.sock, contextlib.suppress(OSError):
-                wire.sock.sendall(class_request(expires="20.0"))
-                while reply := wire.read():
+            with connection.sock, contextlib.suppress(OSError):
+                connection.sock.sendall(class_request(expires="20.0"))
+                while reply := connection.read():
                     answered.append(reply.status)
-                    wire.sock.sendall(class_request(expires="20.0"))
+                    connection.sock.sendall(class_request(expires="20.0"))
 
-    world = Deployment(tmp_path, UpstreamServer("a"), UpstreamServer("b"))
+    deployment = Deployment(tmp_path, UpstreamServer("a"), UpstreamServer("b"))
     # a verdict on the program, not on the machine: where this process or the sidecar stands still for 100 ms,
     # the policy takes that for congestion, and rejects a few with objectives of 500 ms but not of seconds
-    for request_class in world.sidecar.config["settings"]["classes"]:
+    for request_class in deployment.sidecar.config["settings"]["classes"]:
         request_class["aimUs"] = request_class["deadlineUs"] = 20 * SECOND
-    with world as sidecar:
+    with deployment as sidecar:
         threads = [threading.Thread(target=keep_asking, args=(sidecar,)) for _ in range(6)]
         for thread in threads:
             thread.start()
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -60,18 +60,21 @@
     What discovery has is binding from a new process's first moment.
     """
     a, b = UpstreamServer("a"), UpstreamServer("b")
-    world = Deployment(tmp_path, a, b)
-    world.sidecar.config["settings"]["registryMode"] = "automatic"
-    world.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
-    world.discovery.version = 2
-    away, listed = http_response(b"", 503), {"version": 2, "full": True, "servers": world.discovery.entries}
-    world.discovery.scripted = [
+    deployment = Deployment(tmp_path, a, b)
+    deployment.sidecar.config["settings"]["registryMode"] = "automatic"
+    deployment.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
+    deployment.discovery.version = 2
+    away, listed = (
+        http_response(b"", 503),
+        {"version": 2, "full": True, "servers": deployment.discovery.entries},
+    )
+    deployment.discovery.scripted = [
         away,
         http_response(b"no list"),
         away,
         http_response(json.dumps(listed).encode()),
     ]
-    with world as sidecar:
+    with deployment as sidecar:
         assert {sidecar.ask().body for _ in range(20)} == {b"b"}
         assert not a.seen
         assert "endpoint_list_timeout" not in sidecar.log()
@@ -79,17 +82,17 @@
 
 def test_with_pushed_lists_a_start_becomes_ready_though_discovery_never_answers(tmp_path: Path) -> None:
     """A path that is cut gives no answer at all, and must not keep a process from getting ready."""
-    world = Deployment(tmp_path, UpstreamServer("a"))
-    world.sidecar.config["settings"]["registryMode"] = "automatic"
-    world.discovery.scripted = [b""] * 100
-    with world as sidecar:
+    deployment = Deployment(tmp_path, UpstreamServer("a"))
+    deployment.sidecar.config["settings"]["registryMode"] = "automatic"
+    deployment.discovery.scripted = [b""] * 100
+    with deployment as sidecar:
         assert sidecar.ask().status == 200
         assert "endpoint_list_timeout" in sidecar.log()
 
 
 def test_a_restarted_program_serves_on_the_same_address(tmp_path: Path) -> None:
-    world = Deployment(tmp_path, UpstreamServer("a"))
-    with world as sidecar:
+    deployment = Deployment(tmp_path, UpstreamServer("a"))
+    with deployment as sidecar:
         assert sidecar.ask().status == 200
         assert sidecar.end() == 0
         sidecar.launch()
