--- a/tests/server/reloading.py
+++ b/tests/server/reloading.py
@@ -27,7 +27,7 @@
     wait_until(lambda: any(event in sidecar.log()[log_length:] for event in RELOAD_EVENTS))
 
 
-def reshaped(old: dict[str, Any]) -> dict[str, Any]:
+def with_other_settings(old: dict[str, Any]) -> dict[str, Any]:
     """Return a configuration with other settings.
 
     It has more zones, live weights, one class dropped and one added, and allows one attempt.
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -15,7 +15,7 @@
     read_metrics,
     send_admin_request,
 )
-from tests.server.reloading import reload, reshaped
+from tests.server.reloading import reload, with_other_settings
 from tests.support.http import http_request, http_response
 from tests.support.servers import UpstreamServer, never_respond, unused_address
 from tests.support.sidecar_process import Deployment
@@ -63,7 +63,7 @@
         connection.sock.close()
         wait_until(lambda: read_metrics(address)["app_open_requests"] == 0)
         reload(sidecar, json.dumps(sidecar.config)[:-9])
-        reload(sidecar, reshaped(sidecar.config))
+        reload(sidecar, with_other_settings(sidecar.config))
         metrics = wait_until(lambda: (m := read_metrics(address))["app_cfg_accepted_total"] and m)
         assert (metrics["app_cfg_accepted_total"], metrics["app_cfg_invalid_total"]) == (1, 1)
         assert metrics[outcome_metric("pay", "throttled")] == 1
--- a/tests/server/test_discovery_client.py
+++ b/tests/server/test_discovery_client.py
@@ -41,7 +41,7 @@
         super().record_failure(now, failure)
 
 
-class RunningClient:
+class DiscoveryClientHarness:
     """A running discovery client, the fake server that it polls, and the updates that it published."""
 
     def __init__(self, settings: Settings = SUBSCRIBED) -> None:
@@ -80,23 +80,23 @@
 
 
 @pytest.fixture
-def running() -> Iterator[RunningClient]:
-    running = RunningClient()
-    yield running
-    running.close()
+def harness() -> Iterator[DiscoveryClientHarness]:
+    harness = DiscoveryClientHarness()
+    yield harness
+    harness.close()
 
 
 def test_a_long_poll_without_changes_outlasts_the_connect_timeout(
-    running: RunningClient, monkeypatch: pytest.MonkeyPatch
+    harness: DiscoveryClientHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # If the connect timeout stayed set on the socket, it would end every long poll as unreachable.
     monkeypatch.setattr(discovery_schedule, "CONNECT_TIMEOUT_US", 100_000)
-    running.start()
-    run_until(lambda: running.server.calls)
+    harness.start()
+    run_until(lambda: harness.server.calls)
     gevent.sleep(0.3)
-    running.server.change(endpoint_entry("a", state="DRAINING"))
-    assert running.forms(2) == [ListForm.CACHED, ListForm.DELTA]
-    assert running.updates[1].entries[0].status is EndpointStatus.DRAINING
+    harness.server.change(endpoint_entry("a", state="DRAINING"))
+    assert harness.forms(2) == [ListForm.CACHED, ListForm.DELTA]
+    assert harness.updates[1].entries[0].status is EndpointStatus.DRAINING
 
 
 def list_response(version: int, is_snapshot: bool, *entries: Any) -> bytes:
@@ -122,7 +122,7 @@
     ],
 )
 def test_a_failure_of_one_poll_only_is_followed_by_another_poll_at_once(
-    running: RunningClient, reply: bytes, failure: PollFailure, monkeypatch: pytest.MonkeyPatch
+    harness: DiscoveryClientHarness, reply: bytes, failure: PollFailure, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The backoff for a server that is down does not apply to one failed poll.
 
@@ -135,16 +135,16 @@
         "INITIAL_BACKOFF_US": ONE_HOUR_US,
     }.items():
         monkeypatch.setattr(discovery_schedule, name, value)
-    running.schedule.backoff = ONE_HOUR_US
-    running.server.scripted = [reply]
-    running.start()
-    assert running.forms(1) == [ListForm.CACHED]
-    run_until(lambda: running.server.calls)
+    harness.schedule.backoff = ONE_HOUR_US
+    harness.server.scripted = [reply]
+    harness.start()
+    assert harness.forms(1) == [ListForm.CACHED]
+    run_until(lambda: harness.server.calls)
     monkeypatch.undo()
-    running.server.change(endpoint_entry("a", state="DRAINING"))
-    assert running.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
-    assert running.schedule.failures == [failure]
-    assert "hold_ms=0" in running.server.calls[1] or "?" not in running.server.calls[1]
+    harness.server.change(endpoint_entry("a", state="DRAINING"))
+    assert harness.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
+    assert harness.schedule.failures == [failure]
+    assert "hold_ms=0" in harness.server.calls[1] or "?" not in harness.server.calls[1]
 
 
 @pytest.mark.parametrize(
@@ -156,37 +156,39 @@
     ],
 )
 def test_a_server_that_is_down_is_polled_again_after_a_backoff(
-    running: RunningClient, reply: bytes | None, failure: PollFailure
+    harness: DiscoveryClientHarness, reply: bytes | None, failure: PollFailure
 ) -> None:
-    running.schedule.backoff = 30_000
-    running.server.scripted = [reply]
-    running.start()
-    run_until(lambda: running.schedule.failures)
-    assert running.schedule.failures == [failure]
-    assert running.client.initial_poll_finished.is_set()
+    harness.schedule.backoff = 30_000
+    harness.server.scripted = [reply]
+    harness.start()
+    run_until(lambda: harness.schedule.failures)
+    assert harness.schedule.failures == [failure]
+    assert harness.client.initial_poll_finished.is_set()
     # The current list stays in use until the next one is received.
-    assert running.forms(1) == [ListForm.CACHED]
-    running.server.change(endpoint_entry("a", state="DELETED"))
-    assert running.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
+    assert harness.forms(1) == [ListForm.CACHED]
+    harness.server.change(endpoint_entry("a", state="DELETED"))
+    assert harness.forms(2)[1] in (ListForm.DELTA, ListForm.SNAPSHOT)
 
 
-def test_after_an_older_version_a_snapshot_is_requested_and_published(running: RunningClient) -> None:
-    running.server.version = 9
-    running.start()
-    run_until(lambda: len(running.server.calls) == 2)
-    running.server.scripted = [list_response(3, False, endpoint_entry("c"))]
-    running.server.change(endpoint_entry("b"))
-    run_until(lambda: running.schedule.failures)
-    assert running.schedule.failures == [PollFailure.INVALID]
-    running.server.version = 4
-    run_until(lambda: running.updates[-1].form is ListForm.SNAPSHOT)
-    assert any("?" not in call for call in running.server.calls)
+def test_after_an_older_version_a_snapshot_is_requested_and_published(
+    harness: DiscoveryClientHarness,
+) -> None:
+    harness.server.version = 9
+    harness.start()
+    run_until(lambda: len(harness.server.calls) == 2)
+    harness.server.scripted = [list_response(3, False, endpoint_entry("c"))]
+    harness.server.change(endpoint_entry("b"))
+    run_until(lambda: harness.schedule.failures)
+    assert harness.schedule.failures == [PollFailure.INVALID]
+    harness.server.version = 4
+    run_until(lambda: harness.updates[-1].form is ListForm.SNAPSHOT)
+    assert any("?" not in call for call in harness.server.calls)
 
 
 def test_invalid_entries_are_skipped_and_the_last_of_duplicate_entries_is_used(
-    running: RunningClient,
+    harness: DiscoveryClientHarness,
 ) -> None:
-    running.server.scripted = [
+    harness.server.scripted = [
         list_response(
             2,
             False,
@@ -201,113 +203,113 @@
             7,
         )
     ]
-    running.start()
-    running.forms(2)
-    entries = {e.endpoint: e for e in running.updates[1].entries}
+    harness.start()
+    harness.forms(2)
+    entries = {e.endpoint: e for e in harness.updates[1].entries}
     assert sorted(entries) == ["a", "c"]
     assert entries["a"].status is EndpointStatus.UP
     assert entries["a"].started_at == 5000
     # A zone or host class that is not in the settings gets an index after all others, and is not stored.
     assert entries["c"].zone > 0
     assert entries["c"].host_class > 0
-    assert running.client.zone_indexes == {"north": 0}
-    assert running.client.host_class_indexes == {"plain": 0}
+    assert harness.client.zone_indexes == {"north": 0}
+    assert harness.client.host_class_indexes == {"plain": 0}
 
 
-def test_successive_long_polls_use_one_connection_without_a_pause(running: RunningClient) -> None:
-    running.start()
+def test_successive_long_polls_use_one_connection_without_a_pause(harness: DiscoveryClientHarness) -> None:
+    harness.start()
     for change_count in range(5):
-        running.server.change(endpoint_entry("a", started_ms=change_count))
-        running.forms(2 + change_count)
-    assert len(running.server.connections) == 1
-    versions = [call.partition("from=")[2].partition("&")[0] for call in running.server.calls]
+        harness.server.change(endpoint_entry("a", started_ms=change_count))
+        harness.forms(2 + change_count)
+    assert len(harness.server.connections) == 1
+    versions = [call.partition("from=")[2].partition("&")[0] for call in harness.server.calls]
     assert versions[:5] == ["1", "2", "3", "4", "5"]
 
 
-def test_the_address_of_an_endpoint_id_may_change(running: RunningClient) -> None:
-    running.start()
-    running.server.change(endpoint_entry("a", addr="127.0.0.1:99"))
-    running.forms(2)
-    assert running.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
-    running.server.change({"id": "a", "state": "DELETED"})
-    running.forms(3)
-    assert "a" not in running.upstreams.endpoints
+def test_the_address_of_an_endpoint_id_may_change(harness: DiscoveryClientHarness) -> None:
+    harness.start()
+    harness.server.change(endpoint_entry("a", addr="127.0.0.1:99"))
+    harness.forms(2)
+    assert harness.upstreams.endpoints["a"].address == ("127.0.0.1", 99)
+    harness.server.change({"id": "a", "state": "DELETED"})
+    harness.forms(3)
+    assert "a" not in harness.upstreams.endpoints
 
 
-def test_another_server_is_polled_at_once_for_a_snapshot(running: RunningClient) -> None:
+def test_another_server_is_polled_at_once_for_a_snapshot(harness: DiscoveryClientHarness) -> None:
     # Neither a long poll nor the list version of the previous server delays the new server's list.
-    running.start()
-    run_until(lambda: running.server.calls)
+    harness.start()
+    run_until(lambda: harness.server.calls)
     other = DiscoveryServer([endpoint_entry("c")])
-    running.client.switch_server(parse_address(other.address))
-    assert running.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
-    assert [e.endpoint for e in running.updates[1].entries] == ["c"]
-    assert list(running.upstreams.endpoints) == ["c"]
+    harness.client.switch_server(parse_address(other.address))
+    assert harness.forms(2) == [ListForm.CACHED, ListForm.SNAPSHOT]
+    assert [e.endpoint for e in harness.updates[1].entries] == ["c"]
+    assert list(harness.upstreams.endpoints) == ["c"]
     assert "?" not in other.calls[0]
     other.version = 3
     other.change(endpoint_entry("d"))
-    assert running.forms(3)[2] is ListForm.DELTA
+    assert harness.forms(3)[2] is ListForm.DELTA
     other.close()
 
 
 def test_switching_servers_ends_a_backoff_and_the_same_address_changes_nothing(
-    running: RunningClient,
+    harness: DiscoveryClientHarness,
 ) -> None:
-    running.schedule.backoff = ONE_HOUR_US
-    running.server.scripted = [http_response(b"", 503)]
-    running.start()
-    run_until(lambda: running.schedule.failures)
-    running.client.switch_server(parse_address(running.server.address))
+    harness.schedule.backoff = ONE_HOUR_US
+    harness.server.scripted = [http_response(b"", 503)]
+    harness.start()
+    run_until(lambda: harness.schedule.failures)
+    harness.client.switch_server(parse_address(harness.server.address))
     gevent.sleep(0.05)
-    assert len(running.server.calls) == 1
+    assert len(harness.server.calls) == 1
     other = DiscoveryServer([endpoint_entry("c")])
-    running.client.switch_server(parse_address(other.address))
-    assert running.forms(2)[1] is ListForm.SNAPSHOT
+    harness.client.switch_server(parse_address(other.address))
+    assert harness.forms(2)[1] is ListForm.SNAPSHOT
     other.close()
 
 
 def test_updates_of_the_previous_server_are_published_until_the_new_one_has_responded(
-    running: RunningClient,
+    harness: DiscoveryClientHarness,
 ) -> None:
     """An update is binding once it is written, and the new server may take long to respond."""
-    running.start()
-    run_until(lambda: running.server.calls)
+    harness.start()
+    run_until(lambda: harness.server.calls)
     other = DiscoveryServer([endpoint_entry("a"), endpoint_entry("c")])
     with other.change_condition:  # holding it keeps the new server from responding to the poll
-        running.client.switch_server(parse_address(other.address))
+        harness.client.switch_server(parse_address(other.address))
         run_until(lambda: other.connections)
-        running.server.change(endpoint_entry("b", state="DRAINING"))
-        assert running.forms(2) == [ListForm.CACHED, ListForm.DELTA]
-        assert running.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
-    assert running.forms(3)[2] is ListForm.SNAPSHOT
+        harness.server.change(endpoint_entry("b", state="DRAINING"))
+        assert harness.forms(2) == [ListForm.CACHED, ListForm.DELTA]
+        assert harness.upstreams.endpoints["b"].status is EndpointStatus.DRAINING
+    assert harness.forms(3)[2] is ListForm.SNAPSHOT
     # Updates that the previous server sends from now on are not published.
-    running.server.change(endpoint_entry("c", state="DRAINING"))
+    harness.server.change(endpoint_entry("c", state="DRAINING"))
     run_until(lambda: len(other.calls) >= 2)
     gevent.sleep(0)
-    assert running.upstreams.endpoints["c"].status is EndpointStatus.UP
-    assert len(running.updates) == 3
+    assert harness.upstreams.endpoints["c"].status is EndpointStatus.UP
+    assert len(harness.updates) == 3
     other.close()
 
 
-def test_a_long_poll_with_a_truncated_response_is_repeated_at_once(running: RunningClient) -> None:
+def test_a_long_poll_with_a_truncated_response_is_repeated_at_once(harness: DiscoveryClientHarness) -> None:
     """A truncated list must not be used as a complete one, and its rest must not be delayed by a backoff."""
     response = list_response(
         2, False, endpoint_entry("a", state="DRAINING"), endpoint_entry("b", state="DRAINING")
     )
-    running.schedule.backoff = ONE_HOUR_US
-    running.server.scripted = [response[:-30]]
-    running.start()
-    run_until(lambda: running.server.calls)
-    running.server.change(endpoint_entry("b", state="DRAINING"))
-    running.server.connections[0].shutdown(socket.SHUT_RDWR)
-    assert running.forms(2)[1] is ListForm.DELTA
-    assert running.schedule.failures == [PollFailure.TRUNCATED]
-    assert "hold_ms=0" in running.server.calls[1]
-    assert [e.endpoint for e in running.updates[1].entries] == ["b"]
+    harness.schedule.backoff = ONE_HOUR_US
+    harness.server.scripted = [response[:-30]]
+    harness.start()
+    run_until(lambda: harness.server.calls)
+    harness.server.change(endpoint_entry("b", state="DRAINING"))
+    harness.server.connections[0].shutdown(socket.SHUT_RDWR)
+    assert harness.forms(2)[1] is ListForm.DELTA
+    assert harness.schedule.failures == [PollFailure.TRUNCATED]
+    assert "hold_ms=0" in harness.server.calls[1]
+    assert [e.endpoint for e in harness.updates[1].entries] == ["b"]
 
 
 def test_without_a_descriptor_only_the_poll_fails_and_polling_continues(
-    running: RunningClient, monkeypatch: pytest.MonkeyPatch
+    harness: DiscoveryClientHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Clients may use all descriptors, which must not end the process."""
 
@@ -316,11 +318,11 @@
         raise OSError(errno.EMFILE, "Too many open files")
 
     monkeypatch.setattr("linetrack.server.discovery_client.Connection", fail_without_descriptor)
-    running.start()
-    run_until(lambda: running.schedule.failures)
-    assert running.schedule.failures == [PollFailure.UNREACHABLE]
-    run_until(lambda: running.server.calls)
-    assert not running.greenlet.dead
+    harness.start()
+    run_until(lambda: harness.schedule.failures)
+    assert harness.schedule.failures == [PollFailure.UNREACHABLE]
+    run_until(lambda: harness.server.calls)
+    assert not harness.greenlet.dead
 
 
 def test_with_pushed_updates_a_rejection_does_not_finish_the_initial_poll_but_a_list_does() -> None:
@@ -329,28 +331,28 @@
     A rejection by a server that hundreds of processes poll at once must not let the process serve with a list
     from before its start.
     """
-    running = RunningClient(PUSHED)
+    harness = DiscoveryClientHarness(PUSHED)
     try:
-        running.server.scripted = [
+        harness.server.scripted = [
             http_response(b"", 503),
             http_response(b"", 503),
             http_response(b"not JSON"),
         ]
-        run_until(lambda: len(running.schedule.failures) == 3)
-        assert not running.client.initial_poll_finished.is_set()
-        run_until(running.client.initial_poll_finished.is_set)
-        assert running.updates[-1].form is ListForm.SNAPSHOT
+        run_until(lambda: len(harness.schedule.failures) == 3)
+        assert not harness.client.initial_poll_finished.is_set()
+        run_until(harness.client.initial_poll_finished.is_set)
+        assert harness.updates[-1].form is ListForm.SNAPSHOT
     finally:
-        running.close()
+        harness.close()
 
 
-def test_while_the_new_server_fails_the_current_list_stays(running: RunningClient) -> None:
-    running.start()
-    run_until(lambda: running.server.calls)
-    running.client.switch_server(parse_address(unused_address()))
-    run_until(lambda: running.schedule.failures)
-    assert running.schedule.failures == [PollFailure.UNREACHABLE]
-    assert sorted(running.upstreams.endpoints) == ["a", "b"]
+def test_while_the_new_server_fails_the_current_list_stays(harness: DiscoveryClientHarness) -> None:
+    harness.start()
+    run_until(lambda: harness.server.calls)
+    harness.client.switch_server(parse_address(unused_address()))
+    run_until(lambda: harness.schedule.failures)
+    assert harness.schedule.failures == [PollFailure.UNREACHABLE]
+    assert sorted(harness.upstreams.endpoints) == ["a", "b"]
 
 
 def test_with_pushed_updates_polling_starts_without_watch_and_with_a_wait_of_zero() -> None:
@@ -358,32 +360,32 @@
 
     The process must not serve with a list from before its start while discovery has a newer one.
     """
-    running = RunningClient(PUSHED)
+    harness = DiscoveryClientHarness(PUSHED)
     try:
-        running.server.scripted = [http_response(b"", 503), list_response(1, False)]
-        running.client.restore(
-            parse_endpoint_list({"version": 1, "full": True, "servers": running.server.entries})
+        harness.server.scripted = [http_response(b"", 503), list_response(1, False)]
+        harness.client.restore(
+            parse_endpoint_list({"version": 1, "full": True, "servers": harness.server.entries})
         )
-        assert not running.client.initial_poll_finished.is_set()
-        run_until(lambda: len(running.server.calls) == 3)
-        assert [call.partition("hold_ms=")[2] for call in running.server.calls[:2]] == ["0", "0"]
-        assert running.client.initial_poll_finished.is_set()
-        running.server.change(endpoint_entry("a", state="DRAINING"))
-        assert running.forms(2)[1] is ListForm.DELTA
+        assert not harness.client.initial_poll_finished.is_set()
+        run_until(lambda: len(harness.server.calls) == 3)
+        assert [call.partition("hold_ms=")[2] for call in harness.server.calls[:2]] == ["0", "0"]
+        assert harness.client.initial_poll_finished.is_set()
+        harness.server.change(endpoint_entry("a", state="DRAINING"))
+        assert harness.forms(2)[1] is ListForm.DELTA
     finally:
-        running.close()
+        harness.close()
 
 
 def test_a_server_that_responds_to_long_polls_early_is_polled_with_a_pause(
-    running: RunningClient, monkeypatch: pytest.MonkeyPatch
+    harness: DiscoveryClientHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery_schedule, "UNCHANGED_LIST_PAUSE_US", 40_000)
-    running.server.scripted = [
+    harness.server.scripted = [
         list_response(1, False),
         list_response(1, False, endpoint_entry("a")),
         list_response(1, False),
     ]
     started_at = time.monotonic()
-    running.start()
-    run_until(lambda: len(running.server.calls) >= 4)
+    harness.start()
+    run_until(lambda: len(harness.server.calls) >= 4)
     assert time.monotonic() - started_at >= 3 * 0.04
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""One process of the program takes over from another, under load and with either of them ending."""
+"""Hot restarts between processes, under load and with either process ending early."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
     return bool(errors) or sum(len(server.seen) for server in servers) > minimum
 
 
-def test_under_load_every_request_is_answered_and_no_kept_connection_is_closed(tmp_path: Path) -> None:
+def test_restarts_under_load_lose_no_request_and_close_no_keep_alive_connection(tmp_path: Path) -> None:
     servers = [UpstreamServer(name, respond_after_20_ms) for name in "abc"]
     deployment = RestartableDeployment(tmp_path, *servers)
-    # the policy takes a process that stands still for 100 ms for congestion, and rejects a few requests with
-    # objectives of 500 ms but not of seconds: rejections for that reason are no concern of this test
+    # The policy treats a process that stalls for 100 ms as congestion, and rejects a few requests with
+    # objectives of 500 ms but not of seconds.  This test is not about such rejections.
     for request_class in deployment.predecessor.config["settings"]["classes"]:
         request_class["aimUs"] = request_class["deadlineUs"] = 20 * SECOND
     with deployment as restartable:
@@ -44,49 +44,49 @@
         load.start()
         serving = restartable.predecessor
         for _ in range(2):
-            new = restartable.start_successor()
+            successor = restartable.start_successor()
             assert serving.end() == 0, serving.log()
             sent = sum(len(server.seen) for server in servers)
             wait_until(partial(has_served_more_than, servers, sent + 50, load.errors))
-            serving = new
+            serving = successor
         load.stop()
         assert not load.errors, load.errors
         ids = [message.headers["x-trace-id"] for server in servers for message in server.seen]
-        assert len(set(ids)) == len(ids), "something ran twice"
+        assert len(set(ids)) == len(ids), "a request was sent to upstreams twice"
         wait_until(lambda: read_metrics(serving.config["admin_addr"])["app_open_requests"] == 0)
         assert '"snapshot_restored": true' in serving.log()
 
 
-def test_requests_in_flight_and_half_read_are_answered_by_the_predecessor(tmp_path: Path) -> None:
+def test_requests_in_flight_and_partly_read_get_responses_from_the_predecessor(tmp_path: Path) -> None:
     release = threading.Event()
 
-    def script(_message: HttpMessage, _connection: HttpConnection) -> bytes:
+    def respond_when_released(_message: HttpMessage, _connection: HttpConnection) -> bytes:
         release.wait(20)
         return http_response(b"late")
 
-    with RestartableDeployment(tmp_path, server := UpstreamServer("a", script)) as restartable:
-        waiting, half, idle = (
+    with RestartableDeployment(tmp_path, server := UpstreamServer("a", respond_when_released)) as restartable:
+        in_flight, partly_sent, idle = (
             restartable.predecessor.connect(),
             restartable.predecessor.connect(),
             restartable.predecessor.connect(),
         )
-        waiting.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
+        in_flight.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
         wait_until(lambda: server.seen)
         data = http_request("/pay/k", "GET", "X-Trace-Id: h", "X-Expires-In: 2.0")
-        half.sock.sendall(data[:20])
+        partly_sent.sock.sendall(data[:20])
         restartable.start_successor()
         assert restartable.predecessor.process
         restartable.predecessor.process.send_signal(signal.SIGTERM)
-        half.sock.sendall(data[20:])
+        partly_sent.sock.sendall(data[20:])
         idle.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: i", "X-Expires-In: 2.0"))
         wait_until(lambda: len(server.seen) == 3)
         release.set()
-        for connection in (waiting, half, idle):
+        for connection in (in_flight, partly_sent, idle):
             reply = connection.read()
             assert reply
             assert (reply.status, reply.body) == (200, b"late")
         assert restartable.predecessor.process.wait(20) == 0
-        # a request id that was in flight in one process is rejected by the other
+        # A request id that was in flight in one process is rejected by the other.
         idle.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: w", "X-Expires-In: 2.0"))
         reply = idle.read()
         assert reply
@@ -94,69 +94,71 @@
 
 
 @pytest.mark.parametrize("end", ["killed", "invalid file"])
-def test_a_successor_that_dies_or_has_an_invalid_file_changes_nothing(tmp_path: Path, end: str) -> None:
+def test_the_predecessor_serves_on_if_its_successor_is_killed_or_has_an_invalid_file(
+    tmp_path: Path, end: str
+) -> None:
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
         kept = restartable.predecessor.connect()
         if end == "killed":
-            new = restartable.start_successor()
-            assert new.process
-            new.process.kill()
+            successor = restartable.start_successor()
+            assert successor.process
+            successor.process.kill()
         else:
-            new = restartable.start_successor(ready=False, settings={})
-            assert new.process
-            assert new.process.wait(20) == 2
-        new.process.wait(20)
+            successor = restartable.start_successor(ready=False, settings={})
+            assert successor.process
+            assert successor.process.wait(20) == 2
+        successor.process.wait(20)
         assert [restartable.predecessor.ask("pay").status for _ in range(3)] == [200] * 3
-        third = restartable.start_successor()
+        next_successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
         kept.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
         reply = kept.read()
         assert reply
         assert reply.status == 200
-        assert third.ask("pay").status == 200
+        assert next_successor.ask("pay").status == 200
 
 
 def test_after_a_kill_the_successor_serves_and_a_stale_socket_file_is_replaced(tmp_path: Path) -> None:
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
-        new = restartable.start_successor()
+        successor = restartable.start_successor()
         assert restartable.predecessor.process
         restartable.predecessor.process.kill()
-        assert new.ask("pay").status == 200
-        assert new.process
-        new.process.kill()
-        new.process.wait(20)
+        assert successor.ask("pay").status == 200
+        assert successor.process
+        successor.process.kill()
+        successor.process.wait(20)
         assert list((tmp_path / "t").glob("*.sock"))
         later = restartable.start_successor()
         assert later.ask("pay").status == 200
 
 
-def test_without_a_socket_file_both_listen_and_the_log_says_so(tmp_path: Path) -> None:
-    long = tmp_path / ("x" * 120)
-    long.mkdir()
+def test_if_the_socket_path_is_too_long_both_processes_listen_and_log_it(tmp_path: Path) -> None:
+    long_folder = tmp_path / ("x" * 120)
+    long_folder.mkdir()
     deployment = Deployment(tmp_path, UpstreamServer("a", respond_after_20_ms))
-    deployment.sidecar.environ["TMPDIR"] = str(long)
+    deployment.sidecar.environ["TMPDIR"] = str(long_folder)
     with deployment as predecessor:
         assert "hot_restart_unavailable" in predecessor.log()
         folder = tmp_path / "again"
         folder.mkdir()
-        new = SidecarProcess(
+        successor = SidecarProcess(
             folder,
             {**predecessor.config, "admin_addr": unused_address()},
             predecessor.address,
             environ=predecessor.environ,
         )
-        with contextlib.ExitStack() as ending:
-            ending.push(new.__exit__)
-            new.launch()
-            wait_until(lambda: is_running_and_ready(new))
+        with contextlib.ExitStack() as cleanup:
+            cleanup.push(successor.__exit__)
+            successor.launch()
+            wait_until(lambda: is_running_and_ready(successor))
             assert predecessor.end() == 0
-            assert [new.ask("pay").status for _ in range(5)] == [200] * 5
+            assert [successor.ask("pay").status for _ in range(5)] == [200] * 5
 
 
-def test_of_two_successors_at_once_one_waits(tmp_path: Path) -> None:
+def test_of_two_concurrent_successors_one_waits_for_the_other(tmp_path: Path) -> None:
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
         first, second = restartable.start_successor(ready=False), restartable.start_successor(ready=False)
-        ready = wait_until(lambda: [one for one in (first, second) if is_ready(one)])[0]
+        ready = wait_until(lambda: [process for process in (first, second) if is_ready(process)])[0]
         assert restartable.predecessor.end() == 0
         other = second if ready is first else first
         wait_until(lambda: is_running_and_ready(other))
@@ -165,133 +167,144 @@
 
 
 @pytest.mark.parametrize("found", ["a socket without a listener", "a process that ends as it accepts"])
-def test_a_successor_that_meets_the_predecessor_as_it_ends_connects_again(tmp_path: Path, found: str) -> None:
+def test_a_successor_that_connects_as_the_predecessor_ends_connects_again(tmp_path: Path, found: str) -> None:
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
         (path,) = (tmp_path / "t").glob("*.sock")
-        away = path.with_name("away")
-        path.rename(away)
-        with socket.socket(socket.AF_UNIX) as ending:
-            ending.bind(str(path))
-            if ends := found == "a process that ends as it accepts":
-                ending.listen()
-            new = restartable.start_successor(ready=False)
-            if ends:
-                ending.settimeout(20)
-                ending.accept()[0].close()
-        wait_until(lambda: "hot_restart_address_in_use" in new.log() or (new.process and new.process.poll()))
-        away.rename(path)
-        wait_until(lambda: is_running_and_ready(new))
+        hidden_path = path.with_name("away")
+        path.rename(hidden_path)
+        with socket.socket(socket.AF_UNIX) as ending_listener:
+            ending_listener.bind(str(path))
+            if accepts := found == "a process that ends as it accepts":
+                ending_listener.listen()
+            successor = restartable.start_successor(ready=False)
+            if accepts:
+                ending_listener.settimeout(20)
+                ending_listener.accept()[0].close()
+        wait_until(
+            lambda: (
+                "hot_restart_address_in_use" in successor.log()
+                or (successor.process and successor.process.poll())
+            )
+        )
+        hidden_path.rename(path)
+        wait_until(lambda: is_running_and_ready(successor))
         assert restartable.predecessor.end() == 0
-        assert new.ask("pay").status == 200
+        assert successor.ask("pay").status == 200
 
 
-def test_an_unknown_client_of_the_socket_gets_nothing_and_blocks_nobody(tmp_path: Path) -> None:
+def test_an_invalid_client_of_the_socket_gets_no_reply_and_blocks_no_successor(tmp_path: Path) -> None:
     with RestartableDeployment(tmp_path, UpstreamServer("a", never_respond)) as restartable:
         (path,) = (tmp_path / "t").glob("*.sock")
         for data in (b"", b"\x00\x00\x00\x05hello", b"\xff\xff\xff\xff", b"\x00\x00\x00\x02{}"):
-            with socket.socket(socket.AF_UNIX) as stranger:
-                stranger.connect(str(path))
-                stranger.sendall(data)
-                stranger.shutdown(socket.SHUT_WR)
-                stranger.settimeout(20)
-                assert stranger.recv(100) == b""
+            with socket.socket(socket.AF_UNIX) as invalid_client:
+                invalid_client.connect(str(path))
+                invalid_client.sendall(data)
+                invalid_client.shutdown(socket.SHUT_WR)
+                invalid_client.settimeout(20)
+                assert invalid_client.recv(100) == b""
         assert is_running_and_ready(restartable.start_successor())
 
 
 def test_a_process_that_cannot_listen_does_not_hide_the_one_that_serves(tmp_path: Path) -> None:
-    # a start that fails must not have replaced the socket at which the serving process is found
+    # A failed start must not replace the socket at which successors find the serving process.
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
         (path,) = (tmp_path / "t").glob("*.sock")
-        away = path.with_name("away")
-        path.rename(away)
+        hidden_path = path.with_name("away")
+        path.rename(hidden_path)
         failed = restartable.start_successor(ready=False)
         assert failed.process
         assert failed.process.wait(20) == 1
-        assert list((tmp_path / "t").iterdir()) == [away]
-        away.rename(path)
-        new = restartable.start_successor()
+        assert list((tmp_path / "t").iterdir()) == [hidden_path]
+        hidden_path.rename(path)
+        successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
-        assert new.ask("pay").status == 200
+        assert successor.ask("pay").status == 200
 
 
 def with_other_classes(values: dict[str, Any]) -> dict[str, Any]:
-    """Settings of another customer: other classes."""
+    """Return the settings of another customer, which have other classes."""
     other: dict[str, Any] = json.loads(json.dumps(values["settings"]))
     for request_class in other["classes"]:
         request_class["name"] = f"their-{request_class['name']}"
     return other
 
 
-def test_a_process_of_another_customer_gets_nothing_and_blocks_nobody(tmp_path: Path) -> None:
-    """The same name, address and folder, other settings.
+def test_a_process_of_another_customer_takes_over_nothing_and_blocks_no_successor(tmp_path: Path) -> None:
+    """Its name, address and folder are the same, but its settings are not.
 
     It takes over neither the listening socket nor the endpoint list or the request ids, and does not hide the
-    process that serves.
+    serving process.
     """
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
-        theirs = restartable.start_successor(
+        foreign = restartable.start_successor(
             ready=False, settings=with_other_classes(restartable.predecessor.config)
         )
-        assert theirs.process
-        assert theirs.process.wait(20) == 1
-        log = theirs.log()
+        assert foreign.process
+        assert foreign.process.wait(20) == 1
+        log = foreign.log()
         assert log.count("hot_restart_foreign_process") == 1
         assert "hot_restart_granted" not in log
         assert "cannot_listen" in log
         assert "hot_restart_requested" not in restartable.predecessor.log()
         assert restartable.predecessor.ask("pay").status == 200
-        new = restartable.start_successor()
+        successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
-        assert new.ask("pay").status == 200
+        assert successor.ask("pay").status == 200
 
 
-def test_two_customers_with_one_folder_each_take_over_their_own_process(tmp_path: Path) -> None:
-    """Neither picks up the other's settings, though their processes start at once."""
-    ours, theirs = tmp_path / "ours", tmp_path / "theirs"
-    ours.mkdir()
-    theirs.mkdir()
+def test_successors_of_two_customers_with_the_same_folder_take_over_from_their_own_process(
+    tmp_path: Path,
+) -> None:
+    """Neither successor takes over the other customer's settings, although both start at once."""
+    one_folder, other_folder = tmp_path / "ours", tmp_path / "theirs"
+    one_folder.mkdir()
+    other_folder.mkdir()
     with (
-        RestartableDeployment(ours, UpstreamServer("a", respond_after_20_ms)) as one,
-        contextlib.ExitStack() as ending,
+        RestartableDeployment(one_folder, UpstreamServer("a", respond_after_20_ms)) as one,
+        contextlib.ExitStack() as cleanup,
     ):
-        other = RestartableDeployment(theirs, UpstreamServer("b", respond_after_20_ms))
+        other = RestartableDeployment(other_folder, UpstreamServer("b", respond_after_20_ms))
         other.predecessor.environ["TMPDIR"] = one.predecessor.environ["TMPDIR"]
         other.predecessor.config["settings"] = with_other_classes(other.predecessor.config)
-        ending.enter_context(other)
-        assert len(list((ours / "t").glob("*.sock"))) == 2
-        newer, newest = one.start_successor(ready=False), other.start_successor(ready=False)
-        wait_until(lambda: is_running_and_ready(newer) and is_running_and_ready(newest))
+        cleanup.enter_context(other)
+        assert len(list((one_folder / "t").glob("*.sock"))) == 2
+        one_successor, other_successor = one.start_successor(ready=False), other.start_successor(ready=False)
+        wait_until(lambda: is_running_and_ready(one_successor) and is_running_and_ready(other_successor))
         assert one.predecessor.end() == 0
         assert other.predecessor.end() == 0
-        assert newer.ask("pay").body == b"ok"
-        assert newest.ask("their-pay").body == b"ok"
-        assert newer.ask("their-pay").status == 400
-        assert newest.ask("pay").status == 400
+        assert one_successor.ask("pay").body == b"ok"
+        assert other_successor.ask("their-pay").body == b"ok"
+        assert one_successor.ask("their-pay").status == 400
+        assert other_successor.ask("pay").status == 400
         assert [len(server.seen) for server in (*one.deployment.upstreams, *other.deployment.upstreams)] == [
             1,
             1,
         ]
 
 
-def test_a_list_of_another_discovery_and_values_by_other_indices_are_left_out(tmp_path: Path) -> None:
-    """Versions are each discovery's own: a long poll from one of another's would wait for ever."""
+def test_a_takeover_ignores_the_list_of_another_discovery_server_and_values_stored_by_other_indexes(
+    tmp_path: Path,
+) -> None:
+    """Each discovery server has its own versions: a long poll from another server's may wait forever."""
     b = UpstreamServer("b", respond_after_20_ms)
-    elsewhere = DiscoveryServer([b.entry()])
+    other_discovery = DiscoveryServer([b.entry()])
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
         restartable.deployment.discovery.version = 50
         restartable.deployment.discovery.change(restartable.deployment.upstreams[0].entry(weight=2.0))
         values = json.loads(json.dumps(restartable.predecessor.config["settings"]))
         values["azs"].reverse()
         known = {"version": 0, "full": True, "servers": [b.entry()]}
-        new = restartable.start_successor(discovery=elsewhere.address, known=known, settings=values)
-        assert "hot_restart_endpoint_list_ignored" in new.log()
+        successor = restartable.start_successor(
+            discovery=other_discovery.address, known=known, settings=values
+        )
+        assert "hot_restart_endpoint_list_ignored" in successor.log()
         assert restartable.predecessor.end() == 0
-        wait_until(lambda: "hot_restart_handover_received" in new.log())
-        assert '"same_settings": false' in new.log()
-        wait_until(lambda: elsewhere.calls)
-        assert "from=0" in elsewhere.calls[0]
-        before = len(b.seen)
-        assert new.ask("pay").status == 200
-        assert len(b.seen) == before + 1
-    elsewhere.close()
+        wait_until(lambda: "hot_restart_handover_received" in successor.log())
+        assert '"same_settings": false' in successor.log()
+        wait_until(lambda: other_discovery.calls)
+        assert "from=0" in other_discovery.calls[0]
+        seen_before = len(b.seen)
+        assert successor.ask("pay").status == 200
+        assert len(b.seen) == seen_before + 1
+    other_discovery.close()
     b.close()
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -1,4 +1,4 @@
-"""This build and the build e976e78 replace one another, by the recorded messages of the older one."""
+"""Hot restarts between this build and the build e976e78, whose messages were recorded."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from tests.support.sidecar_process import Deployment
 from tests.support.waiting import wait_until
 
-REFUSALS = ("busy", "no")  # answers after which a new process calls again
+REFUSALS = ("busy", "no")  # replies after which a successor connects again
 
 
-class Fixture:
-    """A program with the recorded settings, and the folder in which processes of one sidecar meet."""
+class RecordedDeployment:
+    """A deployment with the recorded settings, and the folder of its hot-restart socket."""
 
     def __init__(self, folder: Path) -> None:
         self.sockets = folder / "t"
@@ -52,7 +52,7 @@
         return path
 
     def grant(self) -> dict[str, Any]:
-        """The recorded grant with the addresses of this run."""
+        """Return the recorded grant with the addresses of this run."""
         host, port = self.deployment.discovery.address.split(":")
         entries = recorded("grant")["list"]
         entries["servers"] = [{**entries["servers"][0], "addr": self.upstream.address}]
@@ -69,8 +69,8 @@
             reply = connection.read()
         return reply is not None and reply.status == 200
 
-    def call(self) -> RecordedPeer:
-        """A connection to the program as a successor of the old build opens it."""
+    def connect(self) -> RecordedPeer:
+        """Connect to the program as a successor of the old build."""
         sock = socket.socket(socket.AF_UNIX)
         sock.connect(str(self.path()))
         return RecordedPeer(sock)
@@ -83,27 +83,27 @@
 
 
 @pytest.fixture
-def fixture(tmp_path: Path) -> Iterator[Fixture]:
-    made = Fixture(tmp_path)
-    yield made
-    made.close()
+def deployment(tmp_path: Path) -> Iterator[RecordedDeployment]:
+    deployment = RecordedDeployment(tmp_path)
+    yield deployment
+    deployment.close()
 
 
 class OldPredecessor:
-    """A process of the old build that serves the program's address, as far as a successor sees it."""
+    """A fake process of the old build that serves the program's address and listens for a successor."""
 
-    def __init__(self, fixture: Fixture) -> None:
-        fixture.sidecar.address = unused_address()
-        fixture.sidecar.config["listen"] = fixture.sidecar.address
-        host, port = fixture.sidecar.address.split(":")
+    def __init__(self, deployment: RecordedDeployment) -> None:
+        deployment.sidecar.address = unused_address()
+        deployment.sidecar.config["listen"] = deployment.sidecar.address
+        host, port = deployment.sidecar.address.split(":")
         self.clients = socket.create_server((host, int(port)))
         self.listener = socket.socket(socket.AF_UNIX)
         self.listener.settimeout(TIMEOUT_SECONDS)
-        self.listener.bind(str(fixture.path()))
+        self.listener.bind(str(deployment.path()))
         self.listener.listen()
 
     def accept(self) -> RecordedPeer:
-        """The next successor's connection, its greeting checked."""
+        """Accept the next successor's connection and check its hello."""
         sock, _ = self.listener.accept()
         peer = RecordedPeer(sock)
         hello = peer.receive()
@@ -115,14 +115,14 @@
 
 
 @pytest.fixture
-def old(fixture: Fixture) -> Iterator[OldPredecessor]:
-    made = OldPredecessor(fixture)
-    yield made
-    made.clients.close()
-    made.listener.close()
+def old_predecessor(deployment: RecordedDeployment) -> Iterator[OldPredecessor]:
+    old_predecessor = OldPredecessor(deployment)
+    yield old_predecessor
+    old_predecessor.clients.close()
+    old_predecessor.listener.close()
 
 
-def test_each_frame_is_its_length_and_one_json_object() -> None:
+def test_each_recorded_frame_is_its_length_and_one_json_object() -> None:
     for name in MESSAGE_NAMES:
         message = RECORDED["messages"][name]
         assert int(message["header"], 16) == len(message["text"].encode())
@@ -131,20 +131,22 @@
         assert (values["what"], values["fds"]) == (name, message["descriptors"])
 
 
-def test_a_new_process_takes_over_from_one_of_the_old_build(fixture: Fixture, old: OldPredecessor) -> None:
-    sidecar = fixture.sidecar
+def test_a_new_process_takes_over_from_one_of_the_old_build(
+    deployment: RecordedDeployment, old_predecessor: OldPredecessor
+) -> None:
+    sidecar = deployment.sidecar
     sidecar.launch()
-    peer = old.accept()
-    peer.send(fixture.grant(), (old.clients.fileno(),))
+    peer = old_predecessor.accept()
+    peer.send(deployment.grant(), (old_predecessor.clients.fileno(),))
     assert peer.receive().text == recorded_text("ready")
-    wait_until(fixture.is_ready)
+    wait_until(deployment.is_ready)
     peer.send(recorded("beat"))
     client = sidecar.connect()
-    accepted, _ = old.clients.accept()
+    accepted, _ = old_predecessor.clients.accept()
     peer.send(recorded("leave"))
     peer.send(recorded("client"), (accepted.fileno(),))
     accepted.close()
-    old.clients.close()
+    old_predecessor.clients.close()
     client.sock.sendall(http_request("/look/k", "GET", "X-Trace-Id: new", "X-Expires-In: 2.0"))
     reply = client.read()
     assert reply is not None
@@ -165,37 +167,37 @@
 
 
 @pytest.mark.parametrize("refusal", REFUSALS)
-def test_a_new_process_calls_again_after_a_refusal_of_the_old_build(
-    fixture: Fixture, old: OldPredecessor, refusal: str
+def test_a_new_process_connects_again_after_a_refusal_of_the_old_build(
+    deployment: RecordedDeployment, old_predecessor: OldPredecessor, refusal: str
 ) -> None:
-    fixture.sidecar.launch()
-    refused = old.accept()
+    deployment.sidecar.launch()
+    refused = old_predecessor.accept()
     refused.send(recorded(refusal))
-    peer = old.accept()
-    peer.send(fixture.grant(), (old.clients.fileno(),))
+    peer = old_predecessor.accept()
+    peer.send(deployment.grant(), (old_predecessor.clients.fileno(),))
     assert peer.receive().text == recorded_text("ready")
 
 
-def test_a_new_process_leaves_a_foreign_one_of_the_old_build_alone(
-    fixture: Fixture, old: OldPredecessor
+def test_a_new_process_does_not_take_over_from_a_foreign_process_of_the_old_build(
+    deployment: RecordedDeployment, old_predecessor: OldPredecessor
 ) -> None:
-    process = fixture.sidecar.launch()
-    old.accept().send(recorded("foreign"))
-    assert process.wait(TIMEOUT_SECONDS) == 1, "the address is the other one's"
-    assert "hot_restart_foreign_process" in fixture.sidecar.log()
+    process = deployment.sidecar.launch()
+    old_predecessor.accept().send(recorded("foreign"))
+    assert process.wait(TIMEOUT_SECONDS) == 1, "the address is in use by the foreign process"
+    assert "hot_restart_foreign_process" in deployment.sidecar.log()
 
 
-def test_a_successor_of_the_old_build_takes_over_from_a_new_process(fixture: Fixture) -> None:
-    with fixture.sidecar as sidecar:
+def test_a_successor_of_the_old_build_takes_over_from_a_new_process(deployment: RecordedDeployment) -> None:
+    with deployment.sidecar as sidecar:
         client = sidecar.connect()
         client.sock.sendall(http_request("/look/k", "GET", "X-Trace-Id: seen", "X-Expires-In: 2.0"))
         reply = client.read()
         assert reply is not None
         assert reply.status == 200
-        peer = fixture.call()
+        peer = deployment.connect()
         peer.send(recorded("hello"))
         grant = peer.receive()
-        assert shape(grant.values) == shape(fixture.grant())
+        assert shape(grant.values) == shape(deployment.grant())
         assert list(grant.values) == list(recorded("grant"))
         assert grant.values["identity"] == recorded("grant")["identity"]
         listener = socket.socket(fileno=grant.descriptors[0])
@@ -204,33 +206,35 @@
         assert peer.receive().text == recorded_text("beat")
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGTERM)
-        leave = peer.receive_next("leave")
-        assert list(leave.values) == list(recorded("leave"))
-        opaque = {"learnt": None}
-        assert shape({**leave.values, **opaque}) == shape(recorded("leave", **opaque, ids=["seen"]))
-        learnt, recorded_learnt = leave.values["learnt"], recorded("leave")["learnt"]
-        assert sorted(learnt) == sorted(recorded_learnt)
-        assert sorted(learnt["upstreams"]["a"]) == sorted(recorded_learnt["upstreams"]["a"])
-        assert leave.values["settings"] == recorded("leave")["settings"]
-        handed = peer.receive_next("client")
-        assert handed.values == recorded("client", answers=1)
-        assert list(handed.values) == list(recorded("client"))
-        os.close(handed.descriptors[0])
+        handover = peer.receive_next("leave")
+        assert list(handover.values) == list(recorded("leave"))
+        without_snapshot = {"learnt": None}
+        assert shape({**handover.values, **without_snapshot}) == shape(
+            recorded("leave", **without_snapshot, ids=["seen"])
+        )
+        snapshot, recorded_snapshot = handover.values["learnt"], recorded("leave")["learnt"]
+        assert sorted(snapshot) == sorted(recorded_snapshot)
+        assert sorted(snapshot["upstreams"]["a"]) == sorted(recorded_snapshot["upstreams"]["a"])
+        assert handover.values["settings"] == recorded("leave")["settings"]
+        client_handover = peer.receive_next("client")
+        assert client_handover.values == recorded("client", answers=1)
+        assert list(client_handover.values) == list(recorded("client"))
+        os.close(client_handover.descriptors[0])
         listener.close()
         peer.sock.close()
         client.sock.close()
         assert sidecar.process.wait(TIMEOUT_SECONDS) == 0
 
 
-def test_a_new_process_refuses_in_the_words_of_the_old_build(fixture: Fixture) -> None:
-    with fixture.sidecar:
-        foreign = fixture.call()
+def test_a_new_process_sends_the_refusals_of_the_old_build(deployment: RecordedDeployment) -> None:
+    with deployment.sidecar:
+        foreign = deployment.connect()
         foreign.send(recorded("hello", identity={"classes": ["theirs"], "settings": "0"}))
         assert foreign.receive().text == recorded_text("foreign")
-        other_version = fixture.call()
+        other_version = deployment.connect()
         other_version.send(recorded("hello", version=2))
         assert other_version.receive().text == recorded_text("no")
-        first, second = fixture.call(), fixture.call()
+        first, second = deployment.connect(), deployment.connect()
         first.send(recorded("hello"))
         assert first.receive_next("grant").values["fds"] == 1
         second.send(recorded("hello"))
@@ -238,11 +242,11 @@
 
 
 @pytest.mark.parametrize("recording", DIGESTS["configurations"], ids=lambda recording: recording["case"])
-def test_a_settings_digest_is_that_of_the_old_build(recording: dict[str, Any]) -> None:
+def test_a_settings_digest_equals_that_of_the_old_build(recording: dict[str, Any]) -> None:
     assert parse_config(recording["config"], {}).digest == recording["digest"]
 
 
-def test_the_recorded_digests_cover_each_repeat_with_each_deduplication_scope() -> None:
+def test_the_recorded_digests_cover_each_idempotency_with_each_deduplication_scope() -> None:
     classes = [
         (item.get("repeat"), item.get("dedupScope"))
         for recording in DIGESTS["configurations"]
@@ -254,7 +258,7 @@
     assert len({recording["digest"] for recording in DIGESTS["configurations"]}) > 10
 
 
-def test_the_sidecar_that_was_recorded_has_the_recorded_digest() -> None:
+def test_the_recorded_settings_have_the_recorded_digest() -> None:
     values = {
         "name": "n0",
         "listen": "127.0.0.1:8",
--- a/tests/server/test_hot_restart_messages.py
+++ b/tests/server/test_hot_restart_messages.py
@@ -1,4 +1,4 @@
-"""The messages on the hot-restart channel, and whose process an identity tells of."""
+"""The messages on the hot-restart channel, and whether an identity is that of a foreign process."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
     ("received", "is_foreign"),
     [
         ({"classes": ["look", "pay"], "settings": "1"}, False),
-        ({"classes": ["pay", "quote"], "settings": "2"}, False),  # other settings: a class dropped, one added
+        (
+            {"classes": ["pay", "quote"], "settings": "2"},
+            False,
+        ),  # other settings, with one class dropped and one added
         ({"classes": ["quote"], "settings": "1"}, False),
         ({"classes": ["quote"], "settings": "2"}, True),
         ({"classes": [], "settings": "2"}, True),
@@ -40,7 +43,7 @@
     assert old.on_hello(0, 1, True) == [Command.REJECT_FOREIGN]
 
 
-def test_a_message_of_a_later_build_is_passed_over() -> None:
+def test_an_unknown_message_of_a_later_build_is_decoded() -> None:
     frame = decode_message(b'{"what": "later", "fds": 1, "more": 2}')
     assert isinstance(frame.message, UnknownMessage)
     assert frame.descriptor_count == 1
@@ -61,7 +64,7 @@
         b"[" * 100_000,
     ],
 )
-def test_a_frame_without_a_message_names_its_reason(data: bytes) -> None:
+def test_decoding_a_frame_without_a_valid_message_raises_an_error_with_a_reason(data: bytes) -> None:
     with pytest.raises(HotRestartProtocolError) as raised:
         decode_message(data)
     assert raised.value.reason == str(raised.value)
--- a/tests/server/test_interrupted_handover.py
+++ b/tests/server/test_interrupted_handover.py
@@ -1,4 +1,4 @@
-"""The successor ends at any step of the handover: the predecessor takes all back and shuts down by itself."""
+"""The successor ends during a handover: the predecessor undoes the handover and shuts down on its own."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class EndingChannel(HotRestartChannel):
-    """A channel to a successor that ends at one step; its end is seen while a frame waits to be taken."""
+    """A channel to a successor that ends at one step, which is noticed while a frame is being sent."""
 
     def __init__(self, step: str, on_end: Callable[[], None]) -> None:
         super().__init__(gevent.socket.socket())
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def predecessor(tmp_path: Path) -> Iterator[Sidecar]:
-    """A process that serves one client and has a successor, in this process."""
+    """A sidecar in this process, which serves one client and accepts successors."""
     values = sidecar_config("127.0.0.1:9", [])
     values["settings"]["rules"] = {"extraWindowUs": RETRY_WINDOW, "freeResends": 1}
     sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
@@ -84,10 +84,10 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_predecessor_whose_successor_ends_at_any_step_takes_everything_back(
+def test_a_predecessor_undoes_the_handover_if_its_successor_ends_at_any_step(
     predecessor: Sidecar, step: str
 ) -> None:
-    """Guards against a handover that goes on behind its own undoing, so that the process never drains."""
+    """A handover that continued after it was undone would keep the process from draining."""
     hot_restart = predecessor.hot_restart
     limit = predecessor.budget.descriptors.limit
     channel = EndingChannel(step, lambda: hot_restart.execute(Command.RESUME))
@@ -107,8 +107,8 @@
     assert not policy.retry_window.is_exhausted(clock() + RETRY_WINDOW + SECOND)
 
 
-def stand_by(sidecar: SidecarProcess, folder: Path) -> RecordedPeer:
-    """Connect to the program as its successor, and report that it is ready."""
+def connect_ready_successor(sidecar: SidecarProcess, folder: Path) -> RecordedPeer:
+    """Connect to the program as its successor and report that the successor is ready."""
     host, port = sidecar.address.split(":")
     path = socket_path(str(folder), sidecar.config["name"], (host, int(port)))
     sock = socket.socket(socket.AF_UNIX)
@@ -122,14 +122,15 @@
     return peer
 
 
-LONGEST_SHUTDOWN_SECONDS = 2.0 + 0.7  # the longest deadline, and what the platform adds until SIGKILL
+# The longest class deadline, plus the time that the platform adds before SIGKILL.
+MAX_SHUTDOWN_SECONDS = 2.0 + 0.7
 
 
 @pytest.mark.parametrize("frames", [(), ("leave",), ("leave", "client"), ("leave", "client", "client")])
-def test_what_a_predecessor_has_read_is_answered_although_its_successor_ends(
+def test_a_predecessor_responds_to_all_requests_if_its_successor_ends(
     tmp_path: Path, frames: tuple[str, ...]
 ) -> None:
-    """Guards against a process that goes on accepting and is then ended with requests on it."""
+    """A process that did not stop accepting would be killed with requests in flight."""
     release = threading.Event()
 
     def respond_late(_message: HttpMessage, _connection: HttpConnection) -> bytes:
@@ -138,34 +139,34 @@
 
     deployment = Deployment(tmp_path, server := UpstreamServer("a", respond_late))
     deployment.sidecar.environ["TMPDIR"] = str(tmp_path)
-    with deployment as old:
-        assert old.process is not None
-        waiting, half, *idle = [old.connect() for _ in range(4)]
-        waiting.sock.sendall(class_request())
-        half.sock.sendall(class_request()[:20])
+    with deployment as sidecar:
+        assert sidecar.process is not None
+        in_flight, partly_sent, *idle = [sidecar.connect() for _ in range(4)]
+        in_flight.sock.sendall(class_request())
+        partly_sent.sock.sendall(class_request()[:20])
         wait_until(lambda: server.seen)
-        peer = stand_by(old, tmp_path)
-        old.process.send_signal(signal.SIGTERM)
-        ended_at = time.monotonic()
-        descriptors = [number for name in frames for number in peer.receive_next(name).descriptors]
+        peer = connect_ready_successor(sidecar, tmp_path)
+        sidecar.process.send_signal(signal.SIGTERM)
+        terminated_at = time.monotonic()
+        descriptors = [descriptor for name in frames for descriptor in peer.receive_next(name).descriptors]
         peer.sock.close()
         for descriptor in descriptors:
             socket.close(descriptor)
-        half.sock.sendall(class_request()[20:])
-        late = old.connect()
+        partly_sent.sock.sendall(class_request()[20:])
+        late = sidecar.connect()
         late.sock.sendall(class_request())
         wait_until(lambda: len(server.seen) == 3)
         release.set()
-        replies = [connection.read() for connection in (waiting, half, late)]
+        replies = [connection.read() for connection in (in_flight, partly_sent, late)]
         assert [reply and reply.status for reply in replies] == [200, 200, 200]
-        assert old.process.wait(20) == 0, old.log()
-        assert time.monotonic() - ended_at < LONGEST_SHUTDOWN_SECONDS
+        assert sidecar.process.wait(20) == 0, sidecar.log()
+        assert time.monotonic() - terminated_at < MAX_SHUTDOWN_SECONDS
         for connection in idle:
             connection.sock.close()
 
 
-def test_a_process_that_resumes_late_in_its_shutdown_ends_in_its_time(predecessor: Sidecar) -> None:
-    """Guards against a grace for new connections that lasts until the process is killed."""
+def test_a_process_that_resumes_late_in_its_shutdown_ends_by_the_deadline(predecessor: Sidecar) -> None:
+    """A grace period for new connections that outlasted the deadline would end with the process killed."""
     deadline = clock() + SECOND // 5
     predecessor.dispatcher.shutdown_deadline = deadline
     predecessor._shut_down(deadline)
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration file at SIGHUP, while the program serves."""
+"""Reloads of the configuration file at SIGHUP, while the program serves."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def test_the_file_overrides_the_environment_for_the_discovery_address(tmp_path: Path) -> None:
-    # the environment stays as it was and must not hide what the new file says
+    # The environment of a process never changes, and must not hide the address in a new file.
     deployment, other = Deployment(tmp_path, UpstreamServer("a")), DiscoveryServer([])
     deployment.sidecar.environ["EDGE_DISCOVERY"] = deployment.discovery.address
     with deployment as sidecar:
@@ -59,16 +59,18 @@
     ]
 
 
-def test_an_invalid_file_is_logged_by_key_and_the_old_one_stays_in_force(tmp_path: Path) -> None:
+def test_an_invalid_file_is_logged_with_its_key_and_the_old_configuration_stays_in_force(
+    tmp_path: Path,
+) -> None:
     server = UpstreamServer("a")
     with Deployment(tmp_path, server) as sidecar:
         for text, key in invalid_files(dict(sidecar.config)):
-            before = len(sidecar.log())
+            log_length = len(sidecar.log())
             send_reload(sidecar, text)
-            wait_until(partial(lambda at: "reload_rejected" in sidecar.log()[at:], before))
-            assert f'"{key}' in sidecar.log()[before:]
+            wait_until(partial(lambda start: "reload_rejected" in sidecar.log()[start:], log_length))
+            assert f'"{key}' in sidecar.log()[log_length:]
             assert sidecar.ask().status == 200
-            time.sleep(1.0)  # at most one line of an event is logged a second
+            time.sleep(1.0)  # an event is logged at most once a second
         (tmp_path / "config.json").unlink()
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGHUP)
@@ -79,7 +81,7 @@
         assert sidecar.end() == 0
 
 
-def test_sighup_while_draining_changes_nothing(tmp_path: Path) -> None:
+def test_a_sighup_while_draining_does_not_disturb_the_shutdown(tmp_path: Path) -> None:
     with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         assert sidecar.process is not None
         sidecar.process.send_signal(signal.SIGTERM)
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -1,4 +1,4 @@
-"""Other settings in a running program, there and back: by SIGHUP, under load, with a ledger on both sides."""
+"""Settings switches at SIGHUP in a running program: to other settings and back, also under load."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 
 from linetrack.server.config import ConfigError, parse_config
-from tests.server.reloading import reload, reshaped, send_reload
+from tests.server.reloading import reload, with_other_settings, send_reload
 from tests.support.configuration import sidecar_config
 from tests.support.http import HttpConnection, HttpMessage, http_request, http_response
 from tests.support.servers import UpstreamServer
@@ -22,31 +22,31 @@
 from tests.support.waiting import wait_until
 
 
-class AnswerLedger:
-    """What callers sent and were answered, by id."""
+class ResponseLedger:
+    """The response statuses that clients received, by request id."""
 
     def __init__(self) -> None:
-        self.answers: dict[str, list[int]] = {}
+        self.statuses_by_id: dict[str, list[int]] = {}
         self.lock = threading.Lock()
 
-    def ask(self, sidecar: SidecarProcess, class_name: str, trace: str) -> int:
+    def ask(self, sidecar: SidecarProcess, class_name: str, request_id: str) -> int:
         reply = sidecar.talk(
-            http_request(f"/{class_name}/k", "GET", f"X-Trace-Id: {trace}", "X-Expires-In: 2.0")
+            http_request(f"/{class_name}/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0")
         )
         with self.lock:
-            self.answers.setdefault(trace, []).append(reply.status)
+            self.statuses_by_id.setdefault(request_id, []).append(reply.status)
         return reply.status
 
 
 class Load:
-    """Callers that ask for `pay` one after the other until they are stopped; their ids have a hyphen."""
+    """Clients that each send sequential `pay` requests until they are stopped; their ids have a hyphen."""
 
-    def __init__(self, sidecar: SidecarProcess, ledger: AnswerLedger, callers: int) -> None:
+    def __init__(self, sidecar: SidecarProcess, ledger: ResponseLedger, client_count: int) -> None:
         self.sidecar = sidecar
         self.ledger = ledger
         self.errors: list[BaseException] = []
         self.stopping = threading.Event()
-        self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(callers)]
+        self.threads = [threading.Thread(target=self._run, args=(number,)) for number in range(client_count)]
         for thread in self.threads:
             thread.start()
 
@@ -57,12 +57,12 @@
 
     def _run(self, number: int) -> None:
         try:
-            for turn in range(10_000):
+            for index in range(10_000):
                 if self.stopping.is_set():
                     return
-                self.ledger.ask(self.sidecar, "pay", f"{number}-{turn}")
-        except BaseException as fault:
-            self.errors.append(fault)
+                self.ledger.ask(self.sidecar, "pay", f"{number}-{index}")
+        except BaseException as error:
+            self.errors.append(error)
 
 
 def respond_after_20_ms(_message: HttpMessage, _connection: HttpConnection) -> bytes:
@@ -70,71 +70,82 @@
     return http_response(b"ok")
 
 
-def test_a_settings_switch_there_and_back_under_load_loses_and_repeats_nothing(tmp_path: Path) -> None:
+def test_settings_switches_under_load_lose_no_request_and_send_none_twice(tmp_path: Path) -> None:
     servers = [UpstreamServer(name, respond_after_20_ms) for name in ("a", "b", "c")]
-    ledger = AnswerLedger()
+    ledger = ResponseLedger()
     with Deployment(tmp_path, *servers) as sidecar:
-        old = dict(sidecar.config)
-        load = Load(sidecar, ledger, callers=6)
-        for values, added, dropped in ((reshaped(old), "quote", "look"), (old, "look", "quote")) * 2:
-            answered = len(ledger.answers)
+        initial = dict(sidecar.config)
+        load = Load(sidecar, ledger, client_count=6)
+        for values, added, dropped in (
+            (with_other_settings(initial), "quote", "look"),
+            (initial, "look", "quote"),
+        ) * 2:
+            answered = len(ledger.statuses_by_id)
             reload(sidecar, values)
-            wait_until(partial(lambda before: len(ledger.answers) > before + 30, answered))
-            # the settings in force are seen to act, and those before them no longer
+            wait_until(partial(lambda before: len(ledger.statuses_by_id) > before + 30, answered))
+            # The new settings take effect, and the previous ones no longer do.
             assert ledger.ask(sidecar, added, f"{added}{answered}") == 200
             assert ledger.ask(sidecar, dropped, f"{dropped}{answered}") == 400
         load.stop()
         log = sidecar.log()
         assert sidecar.end() == 0
     assert not load.errors
-    assert all(len(statuses) == 1 for statuses in ledger.answers.values())
-    paid = [statuses[0] for trace, statuses in ledger.answers.items() if "-" in trace]
-    assert set(paid) <= {200, 503}
-    ran = Counter(message.headers["x-trace-id"] for server in servers for message in list(server.seen))
-    assert max(ran.values()) == 1, "a non-idempotent request ran twice"
+    assert all(len(statuses) == 1 for statuses in ledger.statuses_by_id.values())
+    pay_statuses = [
+        statuses[0] for request_id, statuses in ledger.statuses_by_id.items() if "-" in request_id
+    ]
+    assert set(pay_statuses) <= {200, 503}
+    send_counts = Counter(
+        message.headers["x-trace-id"] for server in servers for message in list(server.seen)
+    )
+    assert max(send_counts.values()) == 1, "a non-idempotent request was sent twice"
     assert log.count('"settings_switched"') == 4
     assert '"multiplex_unused"' in log
     assert '"used": 1' in log
 
 
 def test_a_request_read_before_a_switch_keeps_its_class_and_idempotency(tmp_path: Path) -> None:
-    """Its class is dropped, and its index is then a non-idempotent class's, which could only fail."""
-    held, switched = threading.Event(), threading.Event()
+    """The switch drops its class, and the index then belongs to a non-idempotent class.
+
+    A request of that class that may have been executed could only fail.
+    """
+    received, switched = threading.Event(), threading.Event()
 
-    def first(_message: HttpMessage, _connection: HttpConnection) -> bytes | None:
-        held.set()
+    def close_after_switch(_message: HttpMessage, _connection: HttpConnection) -> bytes | None:
+        received.set()
         assert switched.wait(20)
-        return None  # the connection breaks: what was sent may have run
+        return None  # closes the connection: the request may have been executed
 
-    with Deployment(tmp_path, UpstreamServer("a", first)) as sidecar:
-        old = dict(sidecar.config)
+    with Deployment(tmp_path, UpstreamServer("a", close_after_switch)) as sidecar:
+        initial = dict(sidecar.config)
         statuses: list[int] = []
         thread = threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status))
         thread.start()
-        assert held.wait(20)
-        reload(sidecar, reshaped(old))
+        assert received.wait(20)
+        reload(sidecar, with_other_settings(initial))
         wait_until(lambda: "settings_switched" in sidecar.log())
         assert '"in_flight": 1' in sidecar.log()
         switched.set()
         thread.join()
-        # rejected, as a retry is harmless; a non-idempotent one that may have run gets 502
+        # An idempotent request is rejected, as a retry is safe; a non-idempotent one that may have been
+        # executed gets 502.
         assert statuses == [503]
         assert sidecar.ask("pay").status == 502
         assert sidecar.end() == 0
 
 
-def test_the_last_of_several_files_is_in_force_though_it_comes_during_a_switch(tmp_path: Path) -> None:
-    """With requests in flight, which no switch may lose.
+def test_of_several_files_the_last_takes_effect_even_if_it_comes_during_a_switch(tmp_path: Path) -> None:
+    """A signal that comes while the previous file is read or applied requests another reload.
 
-    A signal that comes while the file before it is read or applied is one more reload.
+    No switch may lose a request in flight.
     """
     release = threading.Event()
 
-    def held(_message: HttpMessage, _connection: HttpConnection) -> bytes:
+    def respond_when_released(_message: HttpMessage, _connection: HttpConnection) -> bytes:
         assert release.wait(20)
         return http_response(b"ok")
 
-    with Deployment(tmp_path, server := UpstreamServer("a", held)) as sidecar:
+    with Deployment(tmp_path, server := UpstreamServer("a", respond_when_released)) as sidecar:
         statuses: list[int] = []
         threads = [
             threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status)) for _ in "123"
@@ -142,9 +153,9 @@
         for thread in threads:
             thread.start()
         wait_until(lambda: len(server.seen) == 3)
-        values = reshaped(dict(sidecar.config))
-        for turn in range(6):
-            values["settings"]["classes"][1]["name"] = f"quote{turn}"
+        values = with_other_settings(dict(sidecar.config))
+        for index in range(6):
+            values["settings"]["classes"][1]["name"] = f"quote{index}"
             send_reload(sidecar, json.dumps(values))
         wait_until(lambda: "quote5" in sidecar.log(), "the last file")
         release.set()
@@ -160,37 +171,37 @@
     a, b = UpstreamServer("a"), UpstreamServer("b")
     deployment = Deployment(tmp_path, a, b)
     with deployment as sidecar:
-        old = dict(sidecar.config)
+        initial = dict(sidecar.config)
         deployment.discovery.change(a.entry(state="DRAINING"))
         wait_until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
         seen = len(a.seen)
-        reload(sidecar, reshaped(old))
+        reload(sidecar, with_other_settings(initial))
         assert {sidecar.ask("quote").body for _ in range(20)} == {b"b"}
-        reload(sidecar, old)
+        reload(sidecar, initial)
         assert {sidecar.ask("look").body for _ in range(20)} == {b"b"}
         assert len(a.seen) == seen
 
 
 def test_an_invalid_file_leaves_the_settings_in_force(tmp_path: Path) -> None:
     with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
-        old = dict(sidecar.config)
-        for values in invalid_files(old).values():
+        initial = dict(sidecar.config)
+        for values in invalid_files(initial).values():
             reload(sidecar, values)
             assert sidecar.ask("look").status == 200
-            time.sleep(1.0)  # a line of one event a second
+            time.sleep(1.0)  # an event is logged at most once a second
         assert "settings_switched" not in sidecar.log()
-        assert sidecar.log().count("reload_rejected") == len(invalid_files(old))
+        assert sidecar.log().count("reload_rejected") == len(invalid_files(initial))
 
 
 def invalid_files(values: dict[str, Any]) -> dict[str, str]:
-    """Files that make no sense, by the key that is to blame."""
+    """Return invalid files by the key that is invalid in each."""
 
     def changed(part: str, key: str, value: Any) -> str:
-        new = reshaped(values)
+        new = with_other_settings(values)
         (new["settings"] if not part else new["settings"][part])[key] = value
         return json.dumps(new)
 
-    classes = json.loads(json.dumps(reshaped(values)["settings"]["classes"]))
+    classes = json.loads(json.dumps(with_other_settings(values)["settings"]["classes"]))
     classes[1]["deadlineUs"] = 0
     return {
         "EDGE_CONFIG": json.dumps(values)[:300],
@@ -202,7 +213,7 @@
     }
 
 
-def test_each_error_names_its_key() -> None:
+def test_each_error_of_an_invalid_file_names_its_key() -> None:
     values = {**sidecar_config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
     for key, text in invalid_files(values).items():
         if key != "EDGE_CONFIG":
@@ -211,31 +222,31 @@
             assert raised.value.key == key
 
 
-def test_zones_keep_their_indices_and_what_needs_a_restart_stays() -> None:
+def test_a_reload_keeps_zone_indexes_and_values_that_need_a_restart() -> None:
     values = {**sidecar_config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
-    old = parse_config(values, {})
-    new = parse_config({**reshaped(values), "name": "other", "limits": {"sockets": 100}}, {})
-    assert old.keys_needing_restart(new) == ["limits.sockets", "name"]
-    after = new.for_reload_of(old)
+    initial = parse_config(values, {})
+    new = parse_config({**with_other_settings(values), "name": "other", "limits": {"sockets": 100}}, {})
+    assert initial.keys_needing_restart(new) == ["limits.sockets", "name"]
+    after = new.for_reload_of(initial)
     assert after.zone_names == ("north", "south", "west")
     assert after.settings.zone == 0
-    assert (after.name, after.sockets) == (old.name, old.sockets)
+    assert (after.name, after.sockets) == (initial.name, initial.sockets)
     assert (after.configured_streams, after.settings.max_streams_per_connection) == (100, 1)
-    back = old.for_reload_of(after)
+    back = initial.for_reload_of(after)
     assert back.zone_names == after.zone_names
-    assert back.settings == old.settings
+    assert back.settings == initial.settings
     assert back.has_same_settings(parse_config(values, {}).for_reload_of(after))
     assert not back.has_same_settings(after)
 
 
-def test_the_keys_of_the_new_shape_reach_the_policy_and_default_to_neutral_values() -> None:
+def test_the_keys_of_other_settings_reach_the_policy_and_default_to_neutral_values() -> None:
     values = {**sidecar_config("127.0.0.1:9", []), "listen": "127.0.0.1:8"}
-    plain, new = parse_config(values, {}).settings, parse_config(reshaped(values), {}).settings
+    plain, new = parse_config(values, {}).settings, parse_config(with_other_settings(values), {}).settings
     assert (plain.capacity_varies_with_load, new.capacity_varies_with_load) == (False, True)
     assert plain.keep_alive_timeout == new.keep_alive_timeout == 30 * SECOND
 
 
-def test_a_class_may_return_with_another_idempotency_after_an_invalid_file(tmp_path: Path) -> None:
+def test_a_dropped_class_may_return_with_another_idempotency_after_an_invalid_file(tmp_path: Path) -> None:
     server = UpstreamServer(
         "a", lambda message, _connection: None if message.target.startswith("/pay") else http_response(b"ok")
     )
@@ -253,8 +264,8 @@
         broken = json.loads(json.dumps(free))
         del broken["settings"]["classes"][1]["repeat"]
         reload(sidecar, broken)
-        assert sidecar.ask("pay").status == 400, "nothing of a broken file acts"
+        assert sidecar.ask("pay").status == 400, "an invalid file takes no effect"
         reload(sidecar, free)
         seen = len(server.seen) + len(deployment.upstreams[1].seen)
-        assert sidecar.ask("pay").status == 503, "it may run again, so that a repeat is harmless"
+        assert sidecar.ask("pay").status == 503, "the class is idempotent, so that a retry is safe"
         assert len(server.seen) + len(deployment.upstreams[1].seen) > seen + 1
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the program at SIGTERM."""
+"""Shutdown of the program at SIGTERM."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from tests.support.waiting import wait_until
 
 
-def test_at_sigterm_all_requests_in_flight_are_answered_and_the_exit_status_is_zero(tmp_path: Path) -> None:
+def test_after_sigterm_requests_in_flight_get_responses_and_the_exit_status_is_zero(tmp_path: Path) -> None:
     release = threading.Event()
 
-    def script(request: HttpMessage, _connection: HttpConnection) -> bytes:
+    def hold_requests_with_a_body(request: HttpMessage, _connection: HttpConnection) -> bytes:
         if request.body:
             release.wait(20)
         return http_response(b"ok")
 
-    server = UpstreamServer("a", script)
+    server = UpstreamServer("a", hold_requests_with_a_body)
     with Deployment(tmp_path, server) as sidecar:
         assert sidecar.process is not None
         busy, idle = sidecar.connect(), sidecar.connect()
@@ -33,12 +33,15 @@
         sidecar.process.send_signal(signal.SIGTERM)
         sidecar.process.send_signal(signal.SIGTERM)
         wait_until(lambda: '"draining"' in sidecar.log())
-        # new connections still come for a while and are served; readiness is over
+        # For a grace period new connections are served, but the process is not ready any more.
         try:
             assert sidecar.ask().status == 200
             assert sidecar.get("/_health").status == 503
         except OSError:
-            wait_until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
+            wait_until(
+                lambda: '"shutting_down"' in sidecar.log(),
+                "the machine was too slow to connect in the grace period",
+            )
         assert kept
         assert kept.status == 200
         assert idle.ended()
@@ -67,11 +70,11 @@
         assert sidecar.process.wait(20) == 0
 
 
-def test_under_load_every_accepted_request_is_answered_before_the_exit(tmp_path: Path) -> None:
+def test_under_load_every_accepted_request_gets_a_response_before_the_exit(tmp_path: Path) -> None:
     answered: list[int] = []
 
-    def keep_asking(sidecar: SidecarProcess) -> None:
-        """One request after the other, on kept connections, until none can be opened any more."""
+    def send_until_refused(sidecar: SidecarProcess) -> None:
+        """Send sequential requests on keep-alive connections until no connection can be opened."""
         while True:
             try:
                 connection = sidecar.connect()
@@ -84,12 +87,13 @@
                     connection.sock.sendall(class_request(expires="20.0"))
 
     deployment = Deployment(tmp_path, UpstreamServer("a"), UpstreamServer("b"))
-    # a verdict on the program, not on the machine: where this process or the sidecar stands still for 100 ms,
-    # the policy takes that for congestion, and rejects a few with objectives of 500 ms but not of seconds
+    # The result must not depend on the speed of the machine: if this process or the sidecar stalls for 100 ms,
+    # the policy treats that as congestion, and rejects a few requests with objectives of 500 ms but not of
+    # seconds.
     for request_class in deployment.sidecar.config["settings"]["classes"]:
         request_class["aimUs"] = request_class["deadlineUs"] = 20 * SECOND
     with deployment as sidecar:
-        threads = [threading.Thread(target=keep_asking, args=(sidecar,)) for _ in range(6)]
+        threads = [threading.Thread(target=send_until_refused, args=(sidecar,)) for _ in range(6)]
         for thread in threads:
             thread.start()
         wait_until(lambda: len(answered) > 50)
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -1,4 +1,4 @@
-"""The start of the program: its configuration, its address and its first endpoint list."""
+"""Startup of the program: its configuration, its address and its first endpoint list."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     assert "Traceback" not in sidecar.log()
 
 
-def test_with_discovery_out_of_reach_the_cached_list_is_used(tmp_path: Path) -> None:
+def test_with_discovery_unreachable_the_cached_list_is_used(tmp_path: Path) -> None:
     server = UpstreamServer("a")
     sidecar = SidecarProcess(tmp_path, sidecar_config(unused_address(), [server.entry()]))
     with sidecar:
@@ -54,24 +54,24 @@
     server.close()
 
 
-def test_with_pushed_lists_nothing_is_sent_by_a_list_from_before_the_start(tmp_path: Path) -> None:
-    """A poll that discovery rejects, as all processes that start together poll at once, makes nobody ready.
+def test_with_pushed_lists_no_request_is_sent_by_a_list_from_before_the_start(tmp_path: Path) -> None:
+    """A process is not ready after a poll that discovery rejects while many processes start together.
 
-    What discovery has is binding from a new process's first moment.
+    Discovery's list is binding from the start of a process.
     """
     a, b = UpstreamServer("a"), UpstreamServer("b")
     deployment = Deployment(tmp_path, a, b)
     deployment.sidecar.config["settings"]["registryMode"] = "automatic"
     deployment.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
     deployment.discovery.version = 2
-    away, listed = (
+    unavailable, listed = (
         http_response(b"", 503),
         {"version": 2, "full": True, "servers": deployment.discovery.entries},
     )
     deployment.discovery.scripted = [
-        away,
+        unavailable,
         http_response(b"no list"),
-        away,
+        unavailable,
         http_response(json.dumps(listed).encode()),
     ]
     with deployment as sidecar:
@@ -80,8 +80,8 @@
         assert "endpoint_list_timeout" not in sidecar.log()
 
 
-def test_with_pushed_lists_a_start_becomes_ready_though_discovery_never_answers(tmp_path: Path) -> None:
-    """A path that is cut gives no answer at all, and must not keep a process from getting ready."""
+def test_with_pushed_lists_a_process_becomes_ready_even_if_discovery_never_responds(tmp_path: Path) -> None:
+    """A broken network path gives no response at all, and must not keep a process from becoming ready."""
     deployment = Deployment(tmp_path, UpstreamServer("a"))
     deployment.sidecar.config["settings"]["registryMode"] = "automatic"
     deployment.discovery.scripted = [b""] * 100
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 endpoints, and fleets of 1,024 sidecars: listed, drained, replaced, removed, handed over."""
+"""Lists of 1,024 endpoints and fleets of 1,024 sidecars: selection, draining, removal and handover."""
 
 import json
 
@@ -16,28 +16,28 @@
 
 def endpoints(generation: str = "a", status: EndpointStatus = EndpointStatus.UP) -> tuple[EndpointEntry, ...]:
     return tuple(
-        EndpointEntry(f"{generation}-{n}", zone=n % 2, cell=n % 8, status=status)
-        for n in range(ENDPOINT_COUNT)
+        EndpointEntry(f"{generation}-{index}", zone=index % 2, cell=index % 8, status=status)
+        for index in range(ENDPOINT_COUNT)
     )
 
 
 def endpoints_used(driver: Driver) -> set[str]:
-    """Return where 200 requests go; all are served."""
+    """Serve 200 requests and return the endpoints that they were sent to."""
     return {driver.serve() for _ in range(200)}
 
 
-def test_all_of_a_large_fleet_is_used_but_what_drains_or_is_removed() -> None:
+def test_a_large_fleet_is_used_except_for_draining_and_removed_endpoints() -> None:
     driver = Driver(entries=endpoints(), instance_count=ENDPOINT_COUNT)
     assert len(endpoints_used(driver)) > 100
-    leaving = endpoints(status=EndpointStatus.DRAINING)[: ENDPOINT_COUNT - 2]
-    driver.feed(EndpointListUpdate(ListForm.DELTA, leaving))
-    assert not endpoints_used(driver) & {e.endpoint for e in leaving}
+    draining = endpoints(status=EndpointStatus.DRAINING)[: ENDPOINT_COUNT - 2]
+    driver.feed(EndpointListUpdate(ListForm.DELTA, draining))
+    assert not endpoints_used(driver) & {e.endpoint for e in draining}
     driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, endpoints("b")))
     assert endpoints_used(driver) <= {e.endpoint for e in endpoints("b")}
     assert len(driver.balancer.endpoints) == ENDPOINT_COUNT
 
 
-def test_a_snapshot_of_a_large_fleet_fits_into_one_frame() -> None:
+def test_a_policy_snapshot_of_a_large_fleet_fits_into_one_frame() -> None:
     old = Driver(entries=endpoints())
     endpoints_used(old)
     snapshot = json.dumps(policy_snapshot.take(old.balancer))
@@ -46,17 +46,17 @@
     new = Balancer(old.balancer.settings, 2)
     new.handle(old.now, EndpointListUpdate(ListForm.CACHED, endpoints()))
     assert policy_snapshot.restore(new, json.loads(snapshot), old.now, True, True)
-    assert {name: each.answered_sent_at for name, each in new.endpoints.items()} == {
-        name: each.answered_sent_at for name, each in old.balancer.endpoints.items()
+    assert {name: endpoint.answered_sent_at for name, endpoint in new.endpoints.items()} == {
+        name: endpoint.answered_sent_at for name, endpoint in old.balancer.endpoints.items()
     }
 
 
-def test_a_large_list_is_read_completely_however_it_is_laid_out_or_cut() -> None:
+def test_a_large_list_is_read_completely_with_and_without_indentation_and_in_fragments() -> None:
     value = {"version": 7, "full": True, "servers": [endpoint_entry(f"u{n}") for n in range(ENDPOINT_COUNT)]}
     for indent in (None, 4):
         body = json.dumps(value, indent=indent).encode()
         reader = ResponseReader(MAX_ENDPOINT_LIST_BYTES, MAX_ENDPOINT_LIST_BYTES)
-        whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-        got = [reader.feed(whole[at : at + 1000]) for at in range(0, len(whole), 1000)][-1]
-        assert got is not None
-        assert len(decode_endpoint_list(got.body).endpoints) == ENDPOINT_COUNT
+        data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+        response = [reader.feed(data[start : start + 1000]) for start in range(0, len(data), 1000)][-1]
+        assert response is not None
+        assert len(decode_endpoint_list(response.body).endpoints) == ENDPOINT_COUNT
