--- a/tests/server/restartable_deployment.py
+++ b/tests/server/restartable_deployment.py
@@ -32,10 +32,10 @@
         self.deployment.__enter__()
         return self
 
-    def __exit__(self, *fault: Any) -> None:
+    def __exit__(self, *exception: Any) -> None:
         for successor in self.successors:
             successor.__exit__(None, None, None)
-        self.deployment.__exit__(*fault)
+        self.deployment.__exit__(*exception)
 
     def start_successor(self, ready: bool = True, **changes: Any) -> SidecarProcess:
         """Start a successor with its own admin address; wait until it is ready, unless `ready` is false."""
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -98,7 +98,7 @@
     tmp_path: Path, end: str
 ) -> None:
     with RestartableDeployment(tmp_path, UpstreamServer("a", respond_after_20_ms)) as restartable:
-        kept = restartable.predecessor.connect()
+        keep_alive = restartable.predecessor.connect()
         if end == "killed":
             successor = restartable.start_successor()
             assert successor.process
@@ -111,8 +111,8 @@
         assert [restartable.predecessor.ask("pay").status for _ in range(3)] == [200] * 3
         next_successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
-        kept.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
-        reply = kept.read()
+        keep_alive.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
+        reply = keep_alive.read()
         assert reply
         assert reply.status == 200
         assert next_successor.ask("pay").status == 200
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -13,7 +13,7 @@
 import pytest
 
 from linetrack.server.config import ConfigError, parse_config
-from tests.server.reloading import reload, with_other_settings, send_reload
+from tests.server.reloading import reload, send_reload, with_other_settings
 from tests.support.configuration import sidecar_config
 from tests.support.http import HttpConnection, HttpMessage, http_request, http_response
 from tests.support.servers import UpstreamServer
@@ -80,12 +80,12 @@
             (with_other_settings(initial), "quote", "look"),
             (initial, "look", "quote"),
         ) * 2:
-            answered = len(ledger.statuses_by_id)
+            response_count = len(ledger.statuses_by_id)
             reload(sidecar, values)
-            wait_until(partial(lambda before: len(ledger.statuses_by_id) > before + 30, answered))
+            wait_until(partial(lambda before: len(ledger.statuses_by_id) > before + 30, response_count))
             # The new settings take effect, and the previous ones no longer do.
-            assert ledger.ask(sidecar, added, f"{added}{answered}") == 200
-            assert ledger.ask(sidecar, dropped, f"{dropped}{answered}") == 400
+            assert ledger.ask(sidecar, added, f"{added}{response_count}") == 200
+            assert ledger.ask(sidecar, dropped, f"{dropped}{response_count}") == 400
         load.stop()
         log = sidecar.log()
         assert sidecar.end() == 0
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -28,7 +28,7 @@
         busy, idle = sidecar.connect(), sidecar.connect()
         busy.sock.sendall(class_request(body=b"hold"))
         idle.sock.sendall(class_request())
-        kept = idle.read()
+        idle_reply = idle.read()
         wait_until(lambda: len(server.seen) == 2)
         sidecar.process.send_signal(signal.SIGTERM)
         sidecar.process.send_signal(signal.SIGTERM)
@@ -42,8 +42,8 @@
                 lambda: '"shutting_down"' in sidecar.log(),
                 "the machine was too slow to connect in the grace period",
             )
-        assert kept
-        assert kept.status == 200
+        assert idle_reply
+        assert idle_reply.status == 200
         assert idle.ended()
         wait_until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
@@ -71,7 +71,7 @@
 
 
 def test_under_load_every_accepted_request_gets_a_response_before_the_exit(tmp_path: Path) -> None:
-    answered: list[int] = []
+    statuses: list[int] = []
 
     def send_until_refused(sidecar: SidecarProcess) -> None:
         """Send sequential requests on keep-alive connections until no connection can be opened."""
@@ -83,24 +83,24 @@
             with connection.sock, contextlib.suppress(OSError):
                 connection.sock.sendall(class_request(expires="20.0"))
                 while reply := connection.read():
-                    answered.append(reply.status)
+                    statuses.append(reply.status)
                     connection.sock.sendall(class_request(expires="20.0"))
 
     deployment = Deployment(tmp_path, UpstreamServer("a"), UpstreamServer("b"))
-    # The result must not depend on the speed of the machine: if this process or the sidecar stalls for 100 ms,
-    # the policy treats that as congestion, and rejects a few requests with objectives of 500 ms but not of
-    # seconds.
+    # The result must not depend on the speed of the machine: if this process or the sidecar stalls for
+    # 100 ms, the policy treats that as congestion, and rejects a few requests with objectives of 500 ms but
+    # not of seconds.
     for request_class in deployment.sidecar.config["settings"]["classes"]:
         request_class["aimUs"] = request_class["deadlineUs"] = 20 * SECOND
     with deployment as sidecar:
         threads = [threading.Thread(target=send_until_refused, args=(sidecar,)) for _ in range(6)]
         for thread in threads:
             thread.start()
-        wait_until(lambda: len(answered) > 50)
+        wait_until(lambda: len(statuses) > 50)
         assert sidecar.end() == 0
         for thread in threads:
             thread.join(20)
         last = final_counts(sidecar.log())
         assert last["disconnected"] == 0
-        assert last["received"] == len(answered)
-        assert set(answered) == {200}
+        assert last["received"] == len(statuses)
+        assert set(statuses) == {200}
