--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -75,7 +75,7 @@
         self._server_switched = Event()
         self._server_generation = 0  # number of server switches
         # Still polls the previous server, for an update that it may already have sent.
-        self._previous_polling: gevent.Greenlet | None = None
+        self._previous_poll_greenlet: gevent.Greenlet | None = None
 
     def configure(
         self, zone_names: tuple[str, ...], host_class_names: tuple[str, ...], settings: Settings
@@ -118,12 +118,12 @@
             poll = self.schedule.next_poll(clock())
             if self._server_switched.wait(_seconds_until(poll.due_at)):
                 continue
-            polling = gevent.spawn(self._poll_until_failure, poll, self._server_generation)
-            gevent.wait([polling, self._server_switched], count=1)
+            poll_greenlet = gevent.spawn(self._poll_until_failure, poll, self._server_generation)
+            gevent.wait([poll_greenlet, self._server_switched], count=1)
             if self._server_switched.is_set():
                 # A failure of the previous server must not delay the first poll of the new one.
-                self._replace_previous_polling(polling)
-            elif isinstance(error := polling.get(), PollError):
+                self._replace_previous_poll_greenlet(poll_greenlet)
+            elif isinstance(error := poll_greenlet.get(), PollError):
                 self._record_failure(error)
 
     def _record_failure(self, error: PollError) -> None:
@@ -132,15 +132,15 @@
             self.initial_poll_finished.set()
         log.warning("discovery_poll_failed", failure=error.failure.value, fault=error.reason)
 
-    def _replace_previous_polling(self, polling: gevent.Greenlet | None) -> None:
-        """Keep `polling` as the greenlet that polls the previous server, and kill the one kept before.
+    def _replace_previous_poll_greenlet(self, poll_greenlet: gevent.Greenlet | None) -> None:
+        """Keep the greenlet that polls the previous server, and kill the one kept before.
 
         An update that the previous server has sent is binding even after the switch.  Its open poll is
         therefore read until the new server has responded or the server is switched again.
         """
-        if self._previous_polling is not None:
-            self._previous_polling.kill(block=False)
-        self._previous_polling = polling
+        if self._previous_poll_greenlet is not None:
+            self._previous_poll_greenlet.kill(block=False)
+        self._previous_poll_greenlet = poll_greenlet
 
     # --- Polls of one server -----------------------------------------------------------------------
     def _poll_until_failure(self, poll: Poll, server_generation: int) -> PollError | None:
@@ -205,7 +205,7 @@
             self._apply_update(records)
         except MalformedMessageError as error:
             raise PollError(PollFailure.INVALID, error) from None
-        self._replace_previous_polling(None)
+        self._replace_previous_poll_greenlet(None)
         self.schedule.record_success(clock(), poll, self.version != previous_version)
         self.initial_poll_finished.set()
         return True
