--- a/linetrack/server/config.py
+++ b/linetrack/server/config.py
@@ -79,14 +79,12 @@
         value: the value as shown to the operator; None if the key is missing.
     """
 
-    def __init__(
-        self, key: str, reason: str, value: str | None = None, *, message: str | None = None
-    ) -> None:
-        """`message` replaces the text built from the other arguments, where it can say more."""
+    def __init__(self, key: str, reason: str, value: str | None = None, *, line: str | None = None) -> None:
+        """`line` replaces the text built from the other arguments where it can say more."""
         self.key = key
         self.reason = reason
         self.value = value
-        super().__init__(message or describe_invalid_key(key, reason, value))
+        super().__init__(line or describe_invalid_key(key, reason, value))
 
 
 @dataclass(slots=True, frozen=True)
@@ -208,8 +206,8 @@
             return json.load(file)
     except OSError as error:
         reason = str(error.strerror)
-        message = f"{CONFIG_FILE_VARIABLE}: {path}: {reason}"
-        raise ConfigError(CONFIG_FILE_VARIABLE, reason, path, message=message) from None
+        line = f"{CONFIG_FILE_VARIABLE}: {path}: {reason}"
+        raise ConfigError(CONFIG_FILE_VARIABLE, reason, path, line=line) from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(CONFIG_FILE_VARIABLE, f"is not JSON: {error}", path) from None
 
@@ -261,7 +259,7 @@
     from_environ = environ.get(variable, "")
     text = from_file or from_environ if key == "discovery" else from_environ or from_file
     if not text:
-        raise ConfigError(key, "is missing", message=f"{key} ({variable}) is missing")
+        raise ConfigError(key, "is missing", line=f"{key} ({variable}) is missing")
     return text
 
 
@@ -288,7 +286,7 @@
     try:
         return parse_address(text)
     except ValueError as error:
-        raise ConfigError(key, str(error), repr(text), message=f"{key} ({variable}): {error}") from None
+        raise ConfigError(key, str(error), repr(text), line=f"{key} ({variable}): {error}") from None
 
 
 def _seed(value: Any) -> int:
@@ -305,7 +303,7 @@
     try:
         return parse_endpoint_list(value)
     except MalformedMessageError as error:
-        raise ConfigError("known", str(error), message=f"known: {error}") from None
+        raise ConfigError("known", str(error), line=f"known: {error}") from None
 
 
 def _permanent_keys(root: SettingsNode) -> frozenset[str]:
