--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -29,7 +29,7 @@
         self.statuses_by_id: dict[str, list[int]] = {}
         self.lock = threading.Lock()
 
-    def ask(self, sidecar: SidecarProcess, class_name: str, request_id: str) -> int:
+    def send_request(self, sidecar: SidecarProcess, class_name: str, request_id: str) -> int:
         reply = sidecar.talk(
             http_request(f"/{class_name}/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0")
         )
@@ -60,7 +60,7 @@
             for index in range(10_000):
                 if self.stopping.is_set():
                     return
-                self.ledger.ask(self.sidecar, "pay", f"{number}-{index}")
+                self.ledger.send_request(self.sidecar, "pay", f"{number}-{index}")
         except BaseException as error:
             self.errors.append(error)
 
@@ -84,8 +84,8 @@
             reload(sidecar, values)
             wait_until(partial(lambda before: len(ledger.statuses_by_id) > before + 30, response_count))
             # The new settings take effect, and the previous ones no longer do.
-            assert ledger.ask(sidecar, added, f"{added}{response_count}") == 200
-            assert ledger.ask(sidecar, dropped, f"{dropped}{response_count}") == 400
+            assert ledger.send_request(sidecar, added, f"{added}{response_count}") == 200
+            assert ledger.send_request(sidecar, dropped, f"{dropped}{response_count}") == 400
         load.stop()
         log = sidecar.log()
         assert sidecar.end() == 0
