--- a/linetrack/cli/experiment.py
+++ b/linetrack/cli/experiment.py
@@ -96,12 +96,12 @@
 ) -> Results:
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.ledger import LedgerError
-    from linetrack.experiments.play import play
+    from linetrack.experiments.play import run_experiment
     from linetrack.experiments.sidecar_process import RunError
 
     try:
         with Progress(console=Console(stderr=True), disable=not show_progress) as progress:
-            return play(found, source, out, seeds, _ProgressBars(progress).update)
+            return run_experiment(found, source, out, seeds, _ProgressBars(progress).update)
     except FileError as error:
         exit_bad_input(error)
     except KeyboardInterrupt:
--- a/linetrack/experiments/play.py
+++ b/linetrack/experiments/play.py
@@ -21,7 +21,7 @@
 from linetrack.experiments.schema import Bound, Experiment
 
 
-def play(
+def run_experiment(
     experiment: Experiment,
     source: Path,
     out: Path,
