--- a/linetrack/cli/soak.py
+++ b/linetrack/cli/soak.py
@@ -1,4 +1,4 @@
-"""The soak from the command line: seeds, progress, a table and a summary."""
+"""The `experiment soak` command: runs seeds, prints each result, a table and a summary."""
 
 from __future__ import annotations
 
@@ -22,14 +22,31 @@
 
 
 @click.command("soak")
-@click.option("--seeds", "count", default="1", metavar="N", help="Play seeds 1 to N.")
-@click.option("--seed", "seeds", multiple=True, metavar="SEED", help="This seed instead; may come again.")
-@click.option("--jobs", default="1", metavar="N", help="Seeds played at a time.")
-@click.option("--length", default="", metavar="SECONDS", help="Of each run, instead of 20 to 40 s.")
-@click.option("--without", default="", metavar="N,N", help="Leave out the troubles of these numbers.")
-@click.option("--shorten", is_flag=True, help="Leave troubles out while a failing seed still fails.")
-@click.option("--out", type=FOLDER, help="Folder of all runs; what has a result there is not played again.")
-@click.option("--build", type=FOLDER, help="The folder of another build of the program.")
+@click.option("--seeds", "count", default="1", metavar="N", help="Run seeds 1 to N.")
+@click.option(
+    "--seed",
+    "seeds",
+    multiple=True,
+    metavar="SEED",
+    help="Run this seed instead of 1 to N; may be given several times.",
+)
+@click.option("--jobs", default="1", metavar="N", help="Number of seeds to run in parallel.")
+@click.option(
+    "--length",
+    default="",
+    metavar="SECONDS",
+    help="Length of each run; the default is drawn from the seed, 20 to 40 s.",
+)
+@click.option(
+    "--without", default="", metavar="N,N", help="Leave out the faults (troubles) with these numbers."
+)
+@click.option(
+    "--shorten", is_flag=True, help="Reduce a failing seed to the faults that it needs in order to fail."
+)
+@click.option(
+    "--out", type=FOLDER, help="Folder of all runs; seeds that have a result there are not run again."
+)
+@click.option("--build", type=FOLDER, help="Folder of another build of the program to test.")
 def soak(
     count: str,
     seeds: tuple[str, ...],
@@ -40,36 +57,36 @@
     out: Path | None,
     build: Path | None,
 ) -> None:
-    """Play random histories of troubles against the program, and judge them by the rules."""
+    """Run random fault scenarios against the program, and check that it keeps the rules."""
     from linetrack.experiments.run import ROOT
     from linetrack.experiments.soak.campaign import Campaign
 
     try:
-        numbers = tuple(_whole("--seed", seed) for seed in seeds) or tuple(
-            range(1, _whole("--seeds", count) + 1)
+        seed_numbers = tuple(_parse_integer("--seed", seed) for seed in seeds) or tuple(
+            range(1, _parse_integer("--seeds", count) + 1)
         )
         campaign = Campaign(
-            seeds=numbers,
+            seeds=seed_numbers,
             out=out or Path(tempfile.mkdtemp(prefix="linetrack-soak-")),
-            jobs=max(1, _whole("--jobs", jobs)),
-            length_s=_seconds(length) if length else None,
-            without=frozenset(_whole("--without", part) for part in without.split(",") if part),
+            jobs=max(1, _parse_integer("--jobs", jobs)),
+            length_s=_parse_length(length) if length else None,
+            without=frozenset(_parse_integer("--without", part) for part in without.split(",") if part),
             build=(build or ROOT).resolve(),
         )
         campaign.check_machine()
     except FileError as error:
         exit_bad_input(error)
-    _play_and_exit(campaign, shorten)
+    _run_and_exit(campaign, shorten)
 
 
-def _whole(option: str, text: str) -> int:
+def _parse_integer(option: str, text: str) -> int:
     try:
         return int(text)
     except ValueError:
         raise FileError(option, "expected a whole number", value=repr(text)) from None
 
 
-def _seconds(text: str) -> float:
+def _parse_length(text: str) -> float:
     try:
         seconds = float(text)
     except ValueError:
@@ -79,7 +96,7 @@
     return seconds
 
 
-def _play_and_exit(campaign: Campaign, shorten: bool) -> NoReturn:
+def _run_and_exit(campaign: Campaign, shorten: bool) -> NoReturn:
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.ledger import LedgerError
     from linetrack.experiments.sidecar_process import RunError
@@ -87,15 +104,15 @@
 
     results: list[SoakResult] = []
     try:
-        for result in campaign.play():
+        for result in campaign.run():
             results.append(result)
             _print_result(campaign, result, len(results))
             if shorten and result.verdict is SoakVerdict.BROKEN:
                 _shorten(campaign, result)
     except KeyboardInterrupt:
-        exit_invalid(f"stopped; what had ended is kept in {campaign.out}")
+        exit_invalid(f"stopped; the results of completed runs are in {campaign.out}")
     except (ChildFailedError, RunError, LedgerError, OSError) as error:
-        exit_invalid(f"{error}; nothing is claimed")
+        exit_invalid(f"{error}; there is no verdict")
     _print_summary(campaign, results)
     verdicts = {result.verdict for result in results}
     if SoakVerdict.BROKEN in verdicts:
@@ -116,30 +133,31 @@
         return
     for finding in result.findings:
         click.echo(f"    {finding}")
-    for trouble_number, trouble in enumerate(result.troubles):
-        click.echo(f"    trouble {trouble_number}: {trouble}")
+    for fault_number, description in enumerate(result.troubles):
+        click.echo(f"    trouble {fault_number}: {description}")
     command = replay_command(result.seed, campaign.length_s, campaign.without)
-    click.echo(f"    again: {command}; kept in {campaign.folder_of(result.seed)}")
+    click.echo(f"    replay: {command}; results in {campaign.folder_of(result.seed)}")
 
 
 def _shorten(campaign: Campaign, result: SoakResult) -> None:
     from linetrack.experiments.soak.campaign import replay_command
 
-    def print_tried(number: int, tried: SoakResult) -> None:
-        click.echo(f"    without trouble {number}: {tried.verdict.value}")
+    def print_verdict(number: int, reduced: SoakResult) -> None:
+        """Print the verdict of a run without one more fault."""
+        click.echo(f"    without trouble {number}: {reduced.verdict.value}")
 
-    needless = campaign.shorten(result, print_tried)
-    click.echo(f"    shortest: {replay_command(result.seed, campaign.length_s, needless)}")
+    without = campaign.shorten(result, print_verdict)
+    click.echo(f"    shortest: {replay_command(result.seed, campaign.length_s, without)}")
 
 
 def _print_summary(campaign: Campaign, results: list[SoakResult]) -> None:
-    from linetrack.experiments.soak.campaign import verdicts_by_trouble
+    from linetrack.experiments.soak.campaign import verdicts_by_fault_kind
     from linetrack.experiments.soak.run import SoakVerdict
 
     table = Table("trouble", *(verdict.value for verdict in SoakVerdict))
-    for kind, counts in sorted(verdicts_by_trouble(results).items()):
+    for kind, counts in sorted(verdicts_by_fault_kind(results).items()):
         table.add_row(kind, *(str(counts[verdict]) for verdict in SoakVerdict))
     Console().print(table)
     held = sum(result.verdict is SoakVerdict.HELD for result in results)
     requests = sum(result.requests for result in results)
-    click.echo(f"{held} of {len(results)} seeds held, {requests} requests; kept in {campaign.out}")
+    click.echo(f"{held} of {len(results)} seeds held, {requests} requests; results in {campaign.out}")
--- a/linetrack/experiments/soak/__init__.py
+++ b/linetrack/experiments/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: random histories of troubles against the program as operators start it, judged from ledgers."""
+"""The soak test: random fault scenarios run against the real program and checked from its ledgers."""
--- a/linetrack/experiments/soak/campaign.py
+++ b/linetrack/experiments/soak/campaign.py
@@ -1,4 +1,8 @@
-"""Many seeds of the soak, several at a time: kept as they end, resumed, shortened where one fails."""
+"""Runs many soak seeds, several in parallel.
+
+Each result is stored when its run ends, so that an interrupted campaign resumes.  A failing seed can be
+reduced to the faults that it needs in order to fail.
+"""
 
 from __future__ import annotations
 
@@ -13,25 +17,26 @@
 
 from linetrack.config.check import FileError
 from linetrack.experiments.run import ROOT
-from linetrack.experiments.soak.history import draw_history
+from linetrack.experiments.soak.history import draw_scenario
 from linetrack.experiments.soak.run import RESULT_FILE, SoakResult, SoakRun, SoakVerdict
 
-DESCRIPTORS_PER_RUN = 1000  # of this process and of each that it starts
+# Resources that a run needs.  The descriptor limit applies to this process and to each one that it starts.
+DESCRIPTORS_PER_RUN = 1000
 MEMORY_PER_RUN_MB = 700
 KB_PER_MB = 1024
 
 
 @dataclass(frozen=True)
 class Campaign:
-    """Which seeds are played, and how.
+    """The seeds to run, and how to run them.
 
     Attributes:
-        seeds: the seeds.
-        out: the folder of all runs.
-        jobs: how many are played at a time.
-        length_s: of each run; None: as the seed draws it.
-        without: the numbers of troubles to leave out.
-        build: the folder of the program that is played.
+        seeds: the seeds to run.
+        out: the parent folder of the runs' folders.
+        jobs: the number of runs in parallel.
+        length_s: the length of each run; None uses the length that the seed draws.
+        without: the numbers of the faults to leave out.
+        build: the folder of the build under test.
     """
 
     seeds: tuple[int, ...]
@@ -42,54 +47,70 @@
     build: Path = ROOT
 
     def check_machine(self) -> None:
-        """Raise a FileError where the machine has no descriptors or memory for so many runs at a time."""
+        """Check that the machine has the file descriptors and memory for `jobs` parallel runs.
+
+        Raises:
+            FileError: it has too few.
+        """
         descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         if descriptors < self.jobs * DESCRIPTORS_PER_RUN:
             needed = self.jobs * DESCRIPTORS_PER_RUN
-            raise FileError("--jobs", f"{needed} descriptors are needed, {descriptors} are allowed")
+            raise FileError("--jobs", f"requires {needed} file descriptors, but the limit is {descriptors}")
         available = _available_memory_mb()
         if available < self.jobs * MEMORY_PER_RUN_MB:
             needed = self.jobs * MEMORY_PER_RUN_MB
-            raise FileError("--jobs", f"{needed} MB of memory are needed, {available} MB are available")
+            raise FileError(
+                "--jobs", f"requires {needed} MB of memory, but only {available} MB are available"
+            )
 
-    def play(self) -> Iterator[SoakResult]:
-        """Play the seeds that have no result in the folder yet; yield each result as it is there."""
-        left = []
+    def run(self) -> Iterator[SoakResult]:
+        """Yield the stored results; run the other seeds and yield each result as its run ends."""
+        pending_seeds = []
         for seed in self.seeds:
-            if (known := self._known_result(seed)) is not None:
-                yield known
+            if (stored := self._read_stored_result(seed)) is not None:
+                yield stored
             else:
-                left.append(seed)
+                pending_seeds.append(seed)
         pool = ThreadPoolExecutor(self.jobs)
         try:
-            futures = [pool.submit(self.play_seed, seed, self.without) for seed in left]
+            futures = [pool.submit(self.run_seed, seed, self.without) for seed in pending_seeds]
             for future in as_completed(futures):
                 yield future.result()
         finally:
             pool.shutdown(cancel_futures=True)
 
-    def play_seed(self, seed: int, without: frozenset[int]) -> SoakResult:
-        """Play one seed, with some of its troubles left out."""
-        history = draw_history(seed, self.length_s).without(without)
-        return SoakRun(history, self.folder_of(seed), self.build).play()
+    def run_seed(self, seed: int, without: frozenset[int]) -> SoakResult:
+        """Run one seed without the faults of these numbers."""
+        scenario = draw_scenario(seed, self.length_s).without(without)
+        return SoakRun(scenario, self.folder_of(seed), self.build).execute()
 
     def folder_of(self, seed: int) -> Path:
-        """The folder of a seed's run."""
+        """Return the folder of a seed's run."""
         return self.out / f"seed-{seed}"
 
-    def shorten(self, failed: SoakResult, on_tried: Callable[[int, SoakResult], None]) -> frozenset[int]:
-        """Leave troubles out one at a time while the seed still fails; return which are needless."""
+    def shorten(self, failed: SoakResult, on_result: Callable[[int, SoakResult], None]) -> frozenset[int]:
+        """Reduce a failing seed to the faults that it needs in order to fail.
+
+        Faults are left out one at a time, and stay out where the run without them still breaks a rule.
+
+        Args:
+            failed: the result of the failing seed.
+            on_result: called after each run with the number of the fault left out and the result.
+
+        Returns:
+            The numbers of the faults to leave out.
+        """
         without: frozenset[int] = self.without
-        for number in range(draw_history(failed.seed, self.length_s).trouble_count):
+        for number in range(draw_scenario(failed.seed, self.length_s).fault_count):
             if number in without:
                 continue
-            result = self.play_seed(failed.seed, without | {number})
-            on_tried(number, result)
+            result = self.run_seed(failed.seed, without | {number})
+            on_result(number, result)
             if result.verdict is SoakVerdict.BROKEN:
                 without |= {number}
         return without
 
-    def _known_result(self, seed: int) -> SoakResult | None:
+    def _read_stored_result(self, seed: int) -> SoakResult | None:
         try:
             data = (self.folder_of(seed) / RESULT_FILE).read_bytes()
             return msgspec.json.decode(data, type=SoakResult)
@@ -98,7 +119,7 @@
 
 
 def replay_command(seed: int, length_s: float | None, without: frozenset[int] = frozenset()) -> str:
-    """The command that plays a seed again, alone and the same."""
+    """Return the command that repeats the run of one seed."""
     command = f"linetrack experiment soak --seed {seed}"
     if length_s is not None:
         command += f" --length {length_s:g}"
@@ -107,11 +128,11 @@
     return command
 
 
-def verdicts_by_trouble(results: list[SoakResult]) -> dict[str, Counter[SoakVerdict]]:
-    """How many runs with each kind of trouble held, were broken or invalid."""
+def verdicts_by_fault_kind(results: list[SoakResult]) -> dict[str, Counter[SoakVerdict]]:
+    """Count the verdicts of the runs that had each kind of fault."""
     counts: dict[str, Counter[SoakVerdict]] = {}
     for result in results:
-        for kind in sorted({trouble.split(" ")[0] for trouble in result.troubles}):
+        for kind in sorted({description.split(" ")[0] for description in result.troubles}):
             counts.setdefault(kind, Counter())[result.verdict] += 1
     return counts
 
--- a/linetrack/experiments/soak/clients.py
+++ b/linetrack/experiments/soak/clients.py
@@ -1,6 +1,6 @@
-"""Clients of a soak that behave badly: they rest, pipeline, write slowly, leave in the middle or cancel.
+"""Misbehaving clients of a soak run: idle, slow, pipelining, disconnecting and cancelling ones.
 
-They write a ledger of their own, with the same events as the load generator's.
+They record their requests in a ledger of their own, with the same events as the load generator's.
 """
 
 from __future__ import annotations
@@ -24,21 +24,27 @@
 from linetrack.emulator.schema import RequestClass
 
 LEDGER = "load-rude.jsonl"
-TIMEOUT_SECONDS = 2.0  # that these clients give their requests
-RESPONSE_GRACE_SECONDS = 0.5  # after which a response counts as lost
-PAUSE_SECONDS = 0.15  # between two of them, on average
-SLOW_PAUSE_SECONDS = 0.4  # within a request that is written slowly
-MAX_REST_SECONDS = 1.0
+# These clients request TIMEOUT_SECONDS as the deadline and wait for the grace on top; a response that is
+# not there by then counts as lost.
+TIMEOUT_SECONDS = 2.0
+RESPONSE_GRACE_SECONDS = 0.5
+MEAN_PAUSE_SECONDS = 0.15  # between the end of one client and the start of the next
+SLOW_REQUEST_PAUSE_SECONDS = 0.4  # in the middle of a request that is sent slowly
+MAX_IDLE_SECONDS = 1.0
 READ_BYTES = 65536
 
 
-class RudeClients:
-    """One thread that plays them, one after the other, until it is stopped."""
+class MisbehavingClients:
+    """Runs misbehaving clients one after the other, in a thread of its own, until stopped."""
 
     def __init__(
         self, folder: Path, request_class: RequestClass, sidecars: tuple[str, ...], seed: int
     ) -> None:
-        """`request_class` is idempotent: a client that leaves does not know what became of its request."""
+        """Create the clients; `start` runs them.
+
+        `request_class` has to be idempotent, as a client that disconnects does not learn whether its request
+        was executed.
+        """
         self._ledger = Ledger(folder / LEDGER)
         self._class_name = request_class.name
         self._sidecars = sidecars
@@ -48,43 +54,43 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
-        """Begin."""
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """End, and write what waits to be written."""
+        """Stop the thread, and write the rest of the ledger."""
         self._stopping.set()
         self._thread.join()
         self._ledger.close()
 
     def _run(self) -> None:
-        kinds: list[Callable[[socket.socket, int], None]] = [
-            self._rest,
-            self._leave_in_the_middle,
-            self._write_slowly,
+        behaviors: list[Callable[[socket.socket, int], None]] = [
+            self._stay_idle,
+            self._disconnect_mid_request,
+            self._send_slowly,
             self._pipeline,
             self._cancel,
         ]
-        while not self._stopping.wait(self._random.uniform(0, 2 * PAUSE_SECONDS)):
+        while not self._stopping.wait(self._random.uniform(0, 2 * MEAN_PAUSE_SECONDS)):
             sidecar = self._random.randrange(len(self._sidecars))
-            play = self._random.choice(kinds)
+            behavior = self._random.choice(behaviors)
             host, _, port = self._sidecars[sidecar].rpartition(":")
             with suppress(OSError), socket.create_connection((host, int(port)), TIMEOUT_SECONDS) as sock:
                 sock.settimeout(TIMEOUT_SECONDS + RESPONSE_GRACE_SECONDS)
-                play(sock, sidecar)
+                behavior(sock, sidecar)
 
-    def _rest(self, _sock: socket.socket, _sidecar: int) -> None:
-        self._stopping.wait(self._random.uniform(0, MAX_REST_SECONDS))
+    def _stay_idle(self, _sock: socket.socket, _sidecar: int) -> None:
+        self._stopping.wait(self._random.uniform(0, MAX_IDLE_SECONDS))
 
-    def _leave_in_the_middle(self, sock: socket.socket, _sidecar: int) -> None:
+    def _disconnect_mid_request(self, sock: socket.socket, _sidecar: int) -> None:
         data = self._encode("rude-unsent")
         sock.sendall(data[: self._random.randrange(1, len(data) - 1)])
 
-    def _write_slowly(self, sock: socket.socket, sidecar: int) -> None:
+    def _send_slowly(self, sock: socket.socket, sidecar: int) -> None:
         trace = self._next_trace()
         data = self._encode(trace)
         sock.sendall(data[:20])
-        self._stopping.wait(SLOW_PAUSE_SECONDS)
+        self._stopping.wait(SLOW_REQUEST_PAUSE_SECONDS)
         self._record_sent(trace, sidecar)
         self._send_and_read(sock, data[20:], [trace])
 
@@ -138,7 +144,10 @@
         self._ledger.write(RequestEnded(now(), trace, status, responding_trace, "", ""))
 
     def _send_and_read(self, sock: socket.socket, data: bytes, traces: list[str]) -> None:
-        """Send requests and read a response to each; a connection that is shut unread took none of them."""
+        """Send requests, read a response to each and record how they ended.
+
+        Requests on a connection that is closed without any response count as not connected.
+        """
         received = b""
         status = STATUS_CUT_OFF
         try:
@@ -152,9 +161,9 @@
             status = STATUS_TIMED_OUT
         except OSError:
             status = STATUS_CUT_OFF
-        heads = received.split(b"HTTP/1.1 ")[1:]
-        if not heads and status == STATUS_CUT_OFF:
+        responses = received.split(b"HTTP/1.1 ")[1:]
+        if not responses and status == STATUS_CUT_OFF:
             status = STATUS_NOT_CONNECTED
         for number, trace in enumerate(traces):
-            has_response = number < len(heads)
-            self._record_end(trace, int(heads[number][:3]) if has_response else status)
+            has_response = number < len(responses)
+            self._record_end(trace, int(responses[number][:3]) if has_response else status)
--- a/linetrack/experiments/soak/history.py
+++ b/linetrack/experiments/soak/history.py
@@ -1,4 +1,4 @@
-"""One random history: a deployment, its load and its troubles, all drawn from one seed."""
+"""Random soak scenarios: a deployment, its load and its faults, all drawn from one seed."""
 
 from __future__ import annotations
 
@@ -31,17 +31,20 @@
 ZONES = ("north", "south", "west")
 MIN_LENGTH_S = 20.0
 MAX_LENGTH_S = 40.0
-QUIET_S = 3.0  # at the end, without troubles: what is not over by then is a finding
-FIRST_TROUBLE_S = 2.0
-LATE_MS = 100.0  # a send that left later was the machine's fault
-NO_OVERLOAD_MULTIPLE = 1e6  # of upstreams that cannot be overloaded in slow start
-#: Longer than a stall, a client's patience and a deadline together.  Upstreams count it from the first
-#: execution, the protocol from the first sending; what a stall delays beyond it no sidecar can prevent.
+#: No fault starts in the last seconds of a run; what has not recovered by its end is a finding.
+RECOVERY_S = 3.0
+FIRST_FAULT_S = 2.0
+LATE_MS = 100.0  # a send that is later than this is attributed to a slow test machine
+NO_OVERLOAD_MULTIPLE = 1e6  # no load can overload an upstream with it in slow start
+#: Longer than a stall, a client's timeout and a deadline together.  Upstreams measure the window from the
+#: first execution, the protocol measures it from the first send, so a sidecar cannot prevent a second
+#: execution where a stall delays the request beyond the window.
 DEDUPLICATION_WINDOW_MS = 20_000.0
 MAX_FAULT_S = 6.0
-MEMORY_LIMITS_MB = (96, 128, 192)  # a second successor is a third process, of some 28 MB at rest
-RESPONSE_SIZES = (200, 200, 65_536, 1_000_000)
-MAX_BUFFERED_BYTES = 65_536  # of a response; a larger one is streamed
+#: Each limit holds three processes, as a second successor adds a third one; an idle process uses some 28 MB.
+MEMORY_LIMITS_MB = (96, 128, 192)
+RESPONSE_SIZES_BYTES = (200, 200, 65_536, 1_000_000)
+MAX_BUFFERED_RESPONSE_BYTES = 65_536  # larger responses are streamed
 UPSTREAM_FAULTS = (
     FaultKind.SLOW,
     FaultKind.ERRORS,
@@ -56,8 +59,8 @@
 DISCOVERY_FAULTS = (FaultKind.DISCOVERY_DOWN, FaultKind.DISCOVERY_LAG, FaultKind.DISCOVERY_STALE)
 
 
-class SidecarTrouble(Enum):
-    """What happens to the processes of one sidecar."""
+class SidecarFaultKind(Enum):
+    """The faults that are injected into the processes of one sidecar."""
 
     RELOAD_TWICE = "reload_twice"
     RELOAD_THEN_TERMINATE = "reload_then_terminate"
@@ -70,69 +73,86 @@
     SUCCESSOR_KILLED = "successor_killed"
     SECOND_SUCCESSOR = "second_successor"
     KILLED = "killed"
-    CROWD = "crowd"  # idle clients fill the descriptors
+    CONNECTION_FLOOD = "crowd"  # idle connections use up the file descriptors
 
 
 @dataclass(frozen=True, slots=True)
-class SidecarStep:
-    """One trouble of one sidecar."""
+class SidecarFault:
+    """One scheduled fault of one sidecar.
+
+    Attributes:
+        at_s: the time since the start of the run.
+        sidecar: the index of the sidecar.
+        kind: the kind of fault.
+        first_pause_s: a pause between two actions of the fault, 0 to 1.5 s; which ones depends on the kind.
+        second_pause_s: a shorter pause for the same purpose, up to 0.1 s.
+    """
 
     at_s: float
     sidecar: int
-    kind: SidecarTrouble
-    first_pause_s: float  # between what it does first and next
+    kind: SidecarFaultKind
+    first_pause_s: float
     second_pause_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class History:
-    """What one seed draws.
+class Scenario:
+    """The scenario that one seed draws.
 
     Attributes:
         seed: the seed.
-        experiment: deployment, load and the troubles of upstreams and discovery.
-        steps: the troubles of sidecars, by time.
-        has_overload_rule: whether the settings state what a warming upstream bears.
+        experiment: the deployment, the load, and the faults of upstreams and discovery.
+        sidecar_faults: the faults of sidecars, by time.
+        has_overload_rule: whether the sidecars' settings limit the load on an upstream in slow start.
     """
 
     seed: int
     experiment: Experiment
-    steps: tuple[SidecarStep, ...]
+    sidecar_faults: tuple[SidecarFault, ...]
     has_overload_rule: bool
 
     @property
-    def trouble_count(self) -> int:
-        """How many troubles there are; `without` takes their numbers."""
-        return len(self.experiment.faults) + len(self.steps)
-
-    def trouble_names(self) -> list[str]:
-        """What each trouble is, by its number."""
-        names = [f"{fault.kind.value} at {fault.at_s:.1f} s" for fault in self.experiment.faults]
-        return names + [f"{step.kind.value} of {step.sidecar} at {step.at_s:.1f} s" for step in self.steps]
-
-    def without(self, numbers: frozenset[int]) -> History:
-        """The same history with some troubles left out."""
+    def fault_count(self) -> int:
+        """The number of faults of all kinds; faults are numbered from 0, those of sidecars last."""
+        return len(self.experiment.faults) + len(self.sidecar_faults)
+
+    def describe_faults(self) -> list[str]:
+        """Return a description of each fault, in the order of their numbers."""
+        descriptions = [f"{fault.kind.value} at {fault.at_s:.1f} s" for fault in self.experiment.faults]
+        return descriptions + [
+            f"{fault.kind.value} of {fault.sidecar} at {fault.at_s:.1f} s" for fault in self.sidecar_faults
+        ]
+
+    def without(self, numbers: frozenset[int]) -> Scenario:
+        """Return the same scenario without the faults of these numbers."""
         faults = self.experiment.faults
         kept = tuple(fault for number, fault in enumerate(faults) if number not in numbers)
-        steps = tuple(step for number, step in enumerate(self.steps, len(faults)) if number not in numbers)
+        sidecar_faults = tuple(
+            fault for number, fault in enumerate(self.sidecar_faults, len(faults)) if number not in numbers
+        )
         experiment = msgspec.structs.replace(self.experiment, faults=kept)
-        return replace(self, experiment=experiment, steps=steps)
+        return replace(self, experiment=experiment, sidecar_faults=sidecar_faults)
+
 
+def draw_scenario(seed: int, length_s: float | None = None) -> Scenario:
+    """Draw the scenario of a seed.
 
-def draw_history(seed: int, length_s: float | None = None) -> History:
-    """The history of a seed; `length_s` instead of one that is drawn."""
+    Args:
+        seed: the seed.
+        length_s: the length of the run; None uses a drawn one.
+    """
     random = Random(seed)
-    drawn = random.uniform(MIN_LENGTH_S, MAX_LENGTH_S)
-    length = drawn if length_s is None else length_s
+    drawn_length_s = random.uniform(MIN_LENGTH_S, MAX_LENGTH_S)
+    run_length_s = drawn_length_s if length_s is None else length_s
     zones = ZONES[: random.randint(1, len(ZONES))]
     has_overload_rule = random.random() < 0.7
     sidecars = _sidecars(random, zones)
-    faults = _faults(random, length)
+    faults = _faults(random, run_length_s)
     experiment = Experiment(
         version=1,
         name=f"soak-{seed}",
         question="Does a rule break?",
-        length_s=length,
+        length_s=run_length_s,
         warm_s=0.0,
         seeds=(seed,),
         sidecars=sidecars,
@@ -142,13 +162,13 @@
         faults=faults,
         expect={"lost": "== 0"},
     )
-    steps = _steps(random, length, len(sidecars.zones))
-    return History(seed, experiment, steps, has_overload_rule)
+    sidecar_faults = _sidecar_faults(random, run_length_s, len(sidecars.zones))
+    return Scenario(seed, experiment, sidecar_faults, has_overload_rule)
 
 
 def _sidecars(random: Random, zones: tuple[str, ...]) -> Sidecars:
     count = random.randint(1, 4)
-    window = random.choice((0.0, 0.0, 2000.0))
+    retry_window_ms = random.choice((0.0, 0.0, 2000.0))
     return Sidecars(
         zones=tuple(zones[number % len(zones)] for number in range(count)),
         limits=Limits(sockets=random.choice((128, 256, 512)), memory_mb=random.choice(MEMORY_LIMITS_MB)),
@@ -156,9 +176,9 @@
             max_attempts=random.randint(1, 4),
             may_hedge=random.random() < 0.5,
             may_cancel=random.random() < 0.8,
-            retry_window_ms=window,
-            retry_window_allowance=2.0 if window else 0.0,
-            retry_window_ratio=0.2 if window else 0.0,
+            retry_window_ms=retry_window_ms,
+            retry_window_allowance=2.0 if retry_window_ms else 0.0,
+            retry_window_ratio=0.2 if retry_window_ms else 0.0,
         ),
         overload_control=OverloadControl(enabled=random.random() < 0.3),
         drain_grace_ms=random.choice((300.0, 1000.0)),
@@ -173,9 +193,11 @@
         slow_start_ms=random.choice((0.0, 5000.0, 15_000.0)),
         overload_multiple=3.0 if has_overload_rule else NO_OVERLOAD_MULTIPLE,
     )
-    least = -(-4 // len(zones))
+    min_count = -(-4 // len(zones))
     groups = tuple(
-        UpstreamGroup(zone=zone, host_class="plain", count=random.randint(least, 20 // len(zones)), cells=2)
+        UpstreamGroup(
+            zone=zone, host_class="plain", count=random.randint(min_count, 20 // len(zones)), cells=2
+        )
         for zone in zones
     )
     return Fleet(
@@ -187,20 +209,23 @@
 
 
 def _classes(random: Random, faults: tuple[Fault, ...]) -> tuple[RequestClass, ...]:
-    """Classes of all effects.
+    """Draw one class of each idempotency.
 
-    No response is streamed where upstreams reset them in the middle, as that ends them for the client too.
+    Where a fault makes upstreams reset their responses, all responses are small enough to be buffered: a
+    streamed response would be cut off for the client too.
     """
     can_stream = all(fault.kind is not FaultKind.RESET for fault in faults)
     sizes = (
-        RESPONSE_SIZES if can_stream else tuple(size for size in RESPONSE_SIZES if size <= MAX_BUFFERED_BYTES)
+        RESPONSE_SIZES_BYTES
+        if can_stream
+        else tuple(size for size in RESPONSE_SIZES_BYTES if size <= MAX_BUFFERED_RESPONSE_BYTES)
     )
     return tuple(
         RequestClass(
             name=idempotency.value,
             idempotency=idempotency,
-            latency_objective_ms=timeout / 2,
-            timeout_ms=timeout,
+            latency_objective_ms=timeout_ms / 2,
+            timeout_ms=timeout_ms,
             deduplication_window_ms=DEDUPLICATION_WINDOW_MS,
             deduplication_scope=random.choice(list(DeduplicationScope)),
             work_ms=random.choice((2.0, 8.0)),
@@ -209,7 +234,7 @@
             share=share,
         )
         for idempotency, share in zip(Idempotency, (6.0, 3.0, 1.0), strict=True)
-        for timeout in (random.choice((300.0, 1000.0, 2000.0, 3000.0)),)
+        for timeout_ms in (random.choice((300.0, 1000.0, 2000.0, 3000.0)),)
     )
 
 
@@ -224,17 +249,17 @@
     )
 
 
-def _faults(random: Random, length: float) -> tuple[Fault, ...]:
-    """Troubles of upstreams and discovery."""
+def _faults(random: Random, length_s: float) -> tuple[Fault, ...]:
+    """Draw the faults of upstreams and discovery."""
     faults = []
     for _ in range(random.randint(1, 4)):
-        duration = random.uniform(0.5, MAX_FAULT_S)
+        duration_s = random.uniform(0.5, MAX_FAULT_S)
         kinds = DISCOVERY_FAULTS if random.random() < 0.3 else UPSTREAM_FAULTS
         faults.append(
             Fault(
                 kind=random.choice(kinds),
-                at_s=random.uniform(FIRST_TROUBLE_S, max(FIRST_TROUBLE_S, length - QUIET_S - duration)),
-                duration_s=duration,
+                at_s=random.uniform(FIRST_FAULT_S, max(FIRST_FAULT_S, length_s - RECOVERY_S - duration_s)),
+                duration_s=duration_s,
                 upstreams=UpstreamSelector(share=random.choice((0.1, 0.25, 0.5))),
                 one_in=random.choice((1, 3)),
                 grace_ms=random.choice((1500.0, 3000.0)),
@@ -243,16 +268,16 @@
     return tuple(faults)
 
 
-def _steps(random: Random, length: float, sidecar_count: int) -> tuple[SidecarStep, ...]:
-    """Troubles of sidecars, by time."""
-    steps = [
-        SidecarStep(
-            at_s=random.uniform(FIRST_TROUBLE_S, length - QUIET_S),
+def _sidecar_faults(random: Random, length_s: float, sidecar_count: int) -> tuple[SidecarFault, ...]:
+    """Draw the faults of sidecars, by time."""
+    faults = [
+        SidecarFault(
+            at_s=random.uniform(FIRST_FAULT_S, length_s - RECOVERY_S),
             sidecar=random.randrange(sidecar_count),
-            kind=random.choice(list(SidecarTrouble)),
+            kind=random.choice(list(SidecarFaultKind)),
             first_pause_s=random.choice((0.0, 0.002, 0.05, 0.4, 1.5)),
             second_pause_s=random.choice((0.0, 0.001, 0.01, 0.1)),
         )
         for _ in range(random.randint(2, 5))
     ]
-    return tuple(sorted(steps, key=lambda step: step.at_s))
+    return tuple(sorted(faults, key=lambda fault: fault.at_s))
--- a/linetrack/experiments/soak/troubles.py
+++ b/linetrack/experiments/soak/troubles.py
@@ -1,4 +1,4 @@
-"""What each trouble of a sidecar does, step by step, to its processes."""
+"""Injects the faults of a sidecar: one function for each kind of fault."""
 
 from __future__ import annotations
 
@@ -10,127 +10,130 @@
 from contextlib import ExitStack, suppress
 from typing import Any
 
-from linetrack.experiments.soak.history import SidecarStep, SidecarTrouble
-from linetrack.experiments.soak.processes import BROKEN_FILE, SoakSidecar
+from linetrack.experiments.soak.history import SidecarFault, SidecarFaultKind
+from linetrack.experiments.soak.processes import TRUNCATED_CONFIG, SoakSidecar
 
-CROWD_SECONDS = 3.0  # for which idle clients stay
+FLOOD_SECONDS = 3.0  # how long the idle connections stay open
 CONNECT_TIMEOUT_SECONDS = 0.5
-SUCCESSOR_EXIT_SECONDS = 8.0  # by which a successor that found no turn gives up
+SUCCESSOR_EXIT_TIMEOUT_SECONDS = 8.0  # for a successor that cannot take over to give up
 
 
-def carry_out(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    """Play one trouble to its end; afterwards one process serves again."""
+def inject(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    """Inject one fault and wait for its end; start a new process if the current one has ended."""
     with sidecar.lock:
-        _TROUBLES[step.kind](sidecar, step)
+        _INJECTORS[fault.kind](sidecar, fault)
         if not sidecar.current.is_running:
             sidecar.wait_until_ready(sidecar.start())
 
 
 def changed_settings(config: dict[str, Any]) -> dict[str, Any]:
-    """A configuration that differs in a setting which takes effect at a reload."""
+    """Return a copy of a configuration with another value for a setting that a reload applies."""
     settings = config["settings"]
     allowed = settings["allowed"]
-    other = {**allowed, "maxRetryAfterUs": allowed["maxRetryAfterUs"] + 1000}
-    return {**config, "settings": {**settings, "allowed": other}}
+    changed = {**allowed, "maxRetryAfterUs": allowed["maxRetryAfterUs"] + 1000}
+    return {**config, "settings": {**settings, "allowed": changed}}
 
 
-def _reload(sidecar: SoakSidecar) -> None:
+def _reload_config(sidecar: SoakSidecar) -> None:
     process = sidecar.current
     process.config = changed_settings(process.config)
     sidecar.write_config(process, json.dumps(process.config))
     process.signal(signal.SIGHUP)
 
 
-def _reload_twice(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    _reload(sidecar)
-    time.sleep(step.second_pause_s)
-    _reload(sidecar)
+def _reload_twice(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    _reload_config(sidecar)
+    time.sleep(fault.second_pause_s)
+    _reload_config(sidecar)
 
 
-def _broken_then_good_file(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    sidecar.write_config(sidecar.current, BROKEN_FILE)
+def _broken_then_good_file(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    sidecar.write_config(sidecar.current, TRUNCATED_CONFIG)
     sidecar.current.signal(signal.SIGHUP)
-    time.sleep(step.first_pause_s)
-    _reload(sidecar)
+    time.sleep(fault.first_pause_s)
+    _reload_config(sidecar)
 
 
-def _terminate(sidecar: SoakSidecar, between: Callable[[], None]) -> None:
+def _terminate(sidecar: SoakSidecar, while_draining: Callable[[], None]) -> None:
+    """Terminate the current process, and call `while_draining` between SIGTERM and the wait for its end."""
     process = sidecar.current
     kill_at = sidecar.begin_termination(process)
-    between()
+    while_draining()
     sidecar.finish_termination(process, kill_at)
 
 
-def _reload_then_terminate(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    _reload(sidecar)
-    time.sleep(step.second_pause_s)
+def _reload_then_terminate(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    _reload_config(sidecar)
+    time.sleep(fault.second_pause_s)
     _terminate(sidecar, lambda: None)
 
 
-def _terminate_twice(sidecar: SoakSidecar, step: SidecarStep) -> None:
+def _terminate_twice(sidecar: SoakSidecar, fault: SidecarFault) -> None:
     process = sidecar.current
 
-    def again() -> None:
-        time.sleep(step.second_pause_s)
+    def send_second_sigterm() -> None:
+        """Send SIGTERM again while the process drains."""
+        time.sleep(fault.second_pause_s)
         process.signal(signal.SIGTERM)
 
-    _terminate(sidecar, again)
+    _terminate(sidecar, send_second_sigterm)
 
 
-def _reload_while_draining(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    def reload() -> None:
-        time.sleep(step.second_pause_s)
-        _reload(sidecar)
+def _reload_while_draining(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    def reload_config() -> None:
+        """Reload the configuration while the process drains."""
+        time.sleep(fault.second_pause_s)
+        _reload_config(sidecar)
 
-    _terminate(sidecar, reload)
+    _terminate(sidecar, reload_config)
 
 
-def _successor_before_terminate(sidecar: SoakSidecar, _step: SidecarStep) -> None:
+def _successor_before_terminate(sidecar: SoakSidecar, _fault: SidecarFault) -> None:
     old = sidecar.current
     if sidecar.wait_until_ready(sidecar.start()):
         sidecar.finish_termination(old, sidecar.begin_termination(old))
 
 
-def _successor_at_terminate(sidecar: SoakSidecar, step: SidecarStep) -> None:
+def _successor_at_terminate(sidecar: SoakSidecar, fault: SidecarFault) -> None:
     old = sidecar.current
     new = sidecar.start()
-    time.sleep(step.first_pause_s)
+    time.sleep(fault.first_pause_s)
     kill_at = sidecar.begin_termination(old)
     sidecar.finish_termination(old, kill_at)
     sidecar.wait_until_ready(new)
 
 
-def _successor_after_terminate(sidecar: SoakSidecar, step: SidecarStep) -> None:
+def _successor_after_terminate(sidecar: SoakSidecar, fault: SidecarFault) -> None:
     old = sidecar.current
     kill_at = sidecar.begin_termination(old)
-    time.sleep(step.second_pause_s)
+    time.sleep(fault.second_pause_s)
     new = sidecar.start()
     sidecar.finish_termination(old, kill_at)
     sidecar.wait_until_ready(new)
 
 
-def _successor_killed(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    """Terminate a process and kill its successor at an instant of the handover."""
+def _successor_killed(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    """Terminate a process and kill its successor during the handover."""
     old = sidecar.current
     new = sidecar.start()
-    if step.first_pause_s:
+    if fault.first_pause_s:
         sidecar.wait_until_ready(new)
     kill_at = sidecar.begin_termination(old)
-    time.sleep(step.second_pause_s)
+    time.sleep(fault.second_pause_s)
     sidecar.kill(new)
     sidecar.finish_termination(old, kill_at)
 
 
-def _second_successor(sidecar: SoakSidecar, step: SidecarStep) -> None:
-    """Start two successors; the one that waits takes over from the other, or ends."""
+def _second_successor(sidecar: SoakSidecar, fault: SidecarFault) -> None:
+    """Start two successors; the second one waits to take over from the first, or gives up."""
     old = sidecar.current
     first = sidecar.start()
     sidecar.wait_until_ready(first)
     second = sidecar.start()
-    sidecar.expected_to_end.add(second.process.pid)  # it may give up, as the first has the turn
-    time.sleep(step.second_pause_s)
+    sidecar.expected_to_end.add(second.process.pid)  # it may give up, as the first is taking over
+    time.sleep(fault.second_pause_s)
     sidecar.finish_termination(old, sidecar.begin_termination(old))
-    deadline = time.monotonic() + SUCCESSOR_EXIT_SECONDS
+    deadline = time.monotonic() + SUCCESSOR_EXIT_TIMEOUT_SECONDS
     while second.is_running and not second.is_ready and time.monotonic() < deadline:
         time.sleep(0.02)
     if second.is_running and second.is_ready:
@@ -144,32 +147,32 @@
     sidecar.processes.remove(second)
 
 
-def _killed(sidecar: SoakSidecar, _step: SidecarStep) -> None:
+def _kill(sidecar: SoakSidecar, _fault: SidecarFault) -> None:
     sidecar.kill(sidecar.current)
 
 
-def _crowd(sidecar: SoakSidecar, _step: SidecarStep) -> None:
-    """Idle clients connect until no more are taken, and stay for a while."""
+def _connection_flood(sidecar: SoakSidecar, _fault: SidecarFault) -> None:
+    """Open as many idle connections as the sidecar may have descriptors, and keep them open for a while."""
     host, _, port = sidecar.address.rpartition(":")
     with ExitStack() as clients:
         for _ in range(sidecar.config["limits"]["sockets"]):
             with suppress(OSError):
                 client = socket.create_connection((host, int(port)), CONNECT_TIMEOUT_SECONDS)
                 clients.enter_context(client)
-        time.sleep(CROWD_SECONDS)
-
-
-_TROUBLES: dict[SidecarTrouble, Callable[[SoakSidecar, SidecarStep], None]] = {
-    SidecarTrouble.RELOAD_TWICE: _reload_twice,
-    SidecarTrouble.RELOAD_THEN_TERMINATE: _reload_then_terminate,
-    SidecarTrouble.TERMINATE_TWICE: _terminate_twice,
-    SidecarTrouble.RELOAD_WHILE_DRAINING: _reload_while_draining,
-    SidecarTrouble.BROKEN_THEN_GOOD_FILE: _broken_then_good_file,
-    SidecarTrouble.SUCCESSOR_BEFORE_TERMINATE: _successor_before_terminate,
-    SidecarTrouble.SUCCESSOR_AT_TERMINATE: _successor_at_terminate,
-    SidecarTrouble.SUCCESSOR_AFTER_TERMINATE: _successor_after_terminate,
-    SidecarTrouble.SUCCESSOR_KILLED: _successor_killed,
-    SidecarTrouble.SECOND_SUCCESSOR: _second_successor,
-    SidecarTrouble.KILLED: _killed,
-    SidecarTrouble.CROWD: _crowd,
+        time.sleep(FLOOD_SECONDS)
+
+
+_INJECTORS: dict[SidecarFaultKind, Callable[[SoakSidecar, SidecarFault], None]] = {
+    SidecarFaultKind.RELOAD_TWICE: _reload_twice,
+    SidecarFaultKind.RELOAD_THEN_TERMINATE: _reload_then_terminate,
+    SidecarFaultKind.TERMINATE_TWICE: _terminate_twice,
+    SidecarFaultKind.RELOAD_WHILE_DRAINING: _reload_while_draining,
+    SidecarFaultKind.BROKEN_THEN_GOOD_FILE: _broken_then_good_file,
+    SidecarFaultKind.SUCCESSOR_BEFORE_TERMINATE: _successor_before_terminate,
+    SidecarFaultKind.SUCCESSOR_AT_TERMINATE: _successor_at_terminate,
+    SidecarFaultKind.SUCCESSOR_AFTER_TERMINATE: _successor_after_terminate,
+    SidecarFaultKind.SUCCESSOR_KILLED: _successor_killed,
+    SidecarFaultKind.SECOND_SUCCESSOR: _second_successor,
+    SidecarFaultKind.KILLED: _kill,
+    SidecarFaultKind.CONNECTION_FLOOD: _connection_flood,
 }
