--- a/linetrack/experiments/__init__.py
+++ b/linetrack/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: emulator, sidecars and load run together, audited, measured and judged."""
+"""Experiments: runs of emulator, sidecars and load together, with audit, metrics and a verdict."""
--- a/linetrack/experiments/arms.py
+++ b/linetrack/experiments/arms.py
@@ -1,4 +1,4 @@
-"""The ways in which an experiment is run: with the program, and with each of what it is compared with."""
+"""The arms of an experiment: the main arm, and one for each comparison."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass
 class Arm:
-    """One way in which an experiment is run, and the bounds on its metrics or differences."""
+    """One variant of an experiment, and the bounds on its metrics or the main arm's differences from it."""
 
     name: str
     policy: PolicyName
@@ -25,22 +25,22 @@
 
     @property
     def is_main(self) -> bool:
-        """Whether it is the one that the others are compared with."""
+        """Whether this is the arm that the others are compared with."""
         return self.name == MAIN_ARM
 
     def faults_of(self, experiment: Experiment) -> tuple[Fault, ...]:
-        """The faults of its runs."""
+        """Return the faults that are injected into the runs of this arm."""
         return () if Omission.FAULTS in self.without else experiment.faults
 
     def load_of(self, experiment: Experiment) -> Load:
-        """The load of its runs."""
+        """Return the load of the runs of this arm."""
         load = experiment.load
         if Omission.RETRIES not in self.without:
             return load
         return msgspec.structs.replace(load, retries=msgspec.structs.replace(load.retries, max_retries=0))
 
     def adapt(self, experiment: Experiment) -> Experiment:
-        """The experiment with the sidecars of its runs."""
+        """Return the experiment with the sidecar settings of this arm."""
         if Omission.OVERLOAD_CONTROL not in self.without:
             return experiment
         sidecars = msgspec.structs.replace(experiment.sidecars, overload_control=OverloadControl())
@@ -48,7 +48,7 @@
 
 
 def arms_of(experiment: Experiment) -> list[Arm]:
-    """The main arm first."""
+    """Return all arms of an experiment, the main arm first."""
     sidecars = experiment.sidecars
     main = Arm(MAIN_ARM, sidecars.policy, sidecars.build, (), experiment.expect)
     others = [
--- a/linetrack/experiments/audit.py
+++ b/linetrack/experiments/audit.py
@@ -1,19 +1,22 @@
-"""The four rules, checked from ledgers alone.
-
-Reads the files that the emulator, the load generator and the runner wrote and nothing else, and shares no
-code with the program that it judges.
-
-- **Lost**: a client's request has no end, or one without a complete response (cut off, or silent until the
-  client gave up), unless its sidecar was killed while it was in flight.
-- **Executed twice**: an effect that may happen once happened again: a class that is not idempotent was
-  executed twice for one key, or one with idempotency keys was executed twice within one request without
-  being discarded, or a request was executed although its client was notified of a rejection, and executed
-  again for the same key.  A key that a client itself sends again after the window is counted apart.
-- **Sent to a draining upstream**: the first byte of an attempt reached an upstream later than the grace after
-  its sidecar had been notified that it was draining or removed.
-- **Crashed in slow start**: an upstream in slow start was sent too much.
-
-Beside them, **begun too late**: an attempt began over 0.1 s after its client had closed the connection.
+"""Checks the four rules from the ledgers of a run alone.
+
+Reads only the files that the emulator, the load generator and the runner wrote, and shares no code with the
+program under test.
+
+- **Lost**: a client's request has no recorded end, or ended without a complete response (cut off, or no
+  response before the client's timeout), unless its sidecar was killed while the request was in flight.
+- **Executed twice**: an effect that may happen only once happened again: a class that is not idempotent was
+  executed twice for one key; or one with idempotency keys was executed twice within one request without
+  the repeat being discarded; or a request was executed although its client was notified of a rejection, and
+  executed again for the same key.  A key that a client itself sends again after the deduplication window is
+  counted separately.
+- **Sent to a draining upstream**: the first byte of an attempt reached an upstream later than the drain grace
+  after its sidecar had been notified that the upstream was draining or removed.
+- **Crashed in slow start**: an upstream in slow start crashed because it was sent too much load.
+
+Three more checks: **too many attempts** for one request, **wrong response** (one that belongs to another
+request, or an attempt that no client sent), and **begun too late** (an attempt that began over 0.1 s after
+its client had closed the connection).
 """
 
 from __future__ import annotations
@@ -46,17 +49,17 @@
 EMULATOR_LEDGERS = "emulator-*.jsonl"
 FACTS_FILE = "run.json"
 
-SOCKET_SLACK_US = 50_000  # by which sockets may be later than a rule's own figure
-MAX_BEGIN_AFTER_LEAVING_US = (
-    100_000  # from a client's close until the last moment at which an attempt may begin
+SOCKET_DELAY_TOLERANCE_US = 50_000  # added to the time limits of the rules
+MAX_BEGIN_AFTER_DISCONNECT_US = (
+    100_000  # from the client's close until the latest allowed begin of an attempt
 )
-MAX_EXAMPLES = 5  # breaches of one rule that are described
+MAX_EXAMPLES = 5  # breaches described for each rule
 REJECTION_STATUSES = (429, 503)
 SERVING = "SERVING"
 
 
 class Rule(StrEnum):
-    """What is checked, by the names of results and reports."""
+    """The rules that are checked; their values are the names in results and reports."""
 
     LOST = "lost"
     EXECUTED_TWICE = "twice"
@@ -68,10 +71,10 @@
 
 
 class SidecarKill(msgspec.Struct, frozen=True, array_like=True):
-    """A sidecar was killed, or ended on its own."""
+    """The kill of a sidecar, or its unexpected end."""
 
     sidecar: int
-    at: int  # microseconds of the ledger's clock
+    at: int  # in microseconds of the ledgers' clock
 
 
 class RunFacts(
@@ -85,33 +88,33 @@
         "crashes": "crashed",
     },
 ):
-    """What the rules need to know of a run: `run.json` in its folder."""
+    """The facts of a run that the rules need, stored as `run.json` in its folder."""
 
     max_attempts: int
     drain_grace: int  # microseconds
     idempotency_by_class: dict[str, Idempotency]
-    upstream_zones: dict[str, str] = {}  # by the index of the address, as text
+    upstream_zones: dict[str, str] = {}  # by the index of the upstream's address, as text
     sidecar_zones: tuple[str, ...] = ()
     start: int = 0
     kills: tuple[SidecarKill, ...] = ()
-    crashes: int = 0  # sidecars that ended on their own
+    crashes: int = 0  # sidecars that ended unexpectedly
 
 
 @dataclass
 class Findings:
-    """What the audit has found."""
+    """The result of an audit."""
 
     breaches: Counter[Rule] = field(default_factory=Counter)
     examples: dict[Rule, list[str]] = field(default_factory=lambda: defaultdict(list))
     requests: int = 0
     attempts: int = 0
-    excused: int = 0  # lost with a sidecar that was killed
+    excused: int = 0  # requests lost with a sidecar that was killed
     not_connected: int = 0
-    repeated_by_clients: int = 0  # executed again because a client itself repeated a failed request
+    repeated_by_clients: int = 0  # keys executed again because the client retried a failed request
     incomplete_files: list[str] = field(default_factory=list)
 
     def add(self, rule: Rule, description: str) -> None:
-        """Count a breach."""
+        """Record a breach of a rule; the first `MAX_EXAMPLES` are described."""
         self.breaches[rule] += 1
         if len(self.examples[rule]) < MAX_EXAMPLES:
             self.examples[rule].append(description)
@@ -123,7 +126,7 @@
 
 
 class _History:
-    """The events of a run by the trace that they belong to."""
+    """The events of a run, grouped by the trace id of their request."""
 
     def __init__(self, load: list[Event], emulator: list[Event]) -> None:
         self.emulator = emulator
@@ -142,10 +145,10 @@
 
 
 def read_events(folder: Path, pattern: str) -> list[Event]:
-    """The events of all ledgers of that pattern, by time.
+    """Return the events of all ledgers that match a file name pattern, by time.
 
     Raises:
-        LedgerError: a line is no event.
+        LedgerError: a line of a ledger is not a valid event.
     """
     events = [event for path in sorted(folder.glob(pattern)) for event in read_ledger(path)]
     events.sort(key=lambda event: event.at)
@@ -153,21 +156,21 @@
 
 
 def read_facts(folder: Path) -> RunFacts:
-    """What is known of the run in a folder.
+    """Read the facts of the run in a folder.
 
     Raises:
         OSError: the file cannot be read.
-        msgspec.DecodeError: it is invalid.
+        msgspec.DecodeError: the file is invalid.
     """
     return msgspec.json.decode((folder / FACTS_FILE).read_bytes(), type=RunFacts)
 
 
 def audit(folder: Path) -> Findings:
-    """Check the run in a folder.
+    """Check the run in a folder against all rules.
 
     Raises:
         OSError: a file is missing.
-        LedgerError: a line of a ledger is no event.
+        LedgerError: a line of a ledger is not a valid event.
     """
     facts = read_facts(folder)
     findings = Findings(incomplete_files=_incomplete_files(folder))
@@ -184,13 +187,13 @@
 
 
 def _incomplete_files(folder: Path) -> list[str]:
-    """Ledgers that are cut off in their last line."""
-    found = []
+    """Return the names of the ledgers whose last line is cut off."""
+    incomplete = []
     for path in sorted(folder.glob("*.jsonl")):
         data = path.read_bytes()
         if data and not data.endswith(b"\n"):
-            found.append(path.name)
-    return found
+            incomplete.append(path.name)
+    return incomplete
 
 
 def _check_crashes(history: _History, findings: Findings) -> None:
@@ -216,7 +219,7 @@
         if _was_killed(facts, sent, in_flight_until):
             findings.excused += 1
         elif len(ends) > 1:
-            findings.add(Rule.LOST, f"{trace} had {len(ends)} ends")
+            findings.add(Rule.LOST, f"{trace}: {len(ends)} ends were recorded")
         else:
             findings.add(Rule.LOST, f"{trace}: {_describe_end(ends)}")
 
@@ -225,18 +228,20 @@
     """Whether the sidecar of a request was killed while it was in flight."""
     return any(
         kill.sidecar == sent.sidecar
-        and sent.at - SOCKET_SLACK_US <= kill.at <= in_flight_until + SOCKET_SLACK_US
+        and sent.at - SOCKET_DELAY_TOLERANCE_US <= kill.at <= in_flight_until + SOCKET_DELAY_TOLERANCE_US
         for kill in facts.kills
     )
 
 
 def _describe_end(ends: list[RequestEnded]) -> str:
     descriptions = {STATUS_TIMED_OUT: "no response in time", STATUS_CUT_OFF: "cut off"}
-    return descriptions.get(ends[0].status, "no end") if ends else "no end"
+    return descriptions.get(ends[0].status, "no end recorded") if ends else "no end recorded"
 
 
 def _check_executed_twice(facts: RunFacts, history: _History, findings: Findings) -> None:
-    traces_by_key: dict[str, list[str]] = defaultdict(list)  # of executions with an effect of their own
+    traces_by_key: dict[str, list[str]] = defaultdict(
+        list
+    )  # of executions that were not discarded as duplicates
     for trace, executions in history.executions.items():
         idempotency = facts.idempotency_by_class.get(executions[0].class_name, Idempotency.NON_IDEMPOTENT)
         if idempotency is Idempotency.IDEMPOTENT:
@@ -253,7 +258,7 @@
 
 
 def _check_repeated_key(key: str, traces: list[str], history: _History, findings: Findings) -> None:
-    """A key was executed for several requests of its client."""
+    """Check a key that was executed for several requests of its client."""
     statuses = [ends[0].status for trace in traces if (ends := history.ends.get(trace))]
     if any(status in REJECTION_STATUSES for status in statuses):
         description = f"key {key} was rejected, retried by its client and executed for {', '.join(traces)}"
@@ -263,7 +268,7 @@
 
 
 def _check_sent_to_draining(facts: RunFacts, history: _History, findings: Findings) -> None:
-    notified_at: dict[tuple[int, str], int] = {}  # by sidecar and upstream
+    notified_at: dict[tuple[int, str], int] = {}  # in microseconds, by sidecar and upstream
     for event in history.emulator:
         if isinstance(event, SidecarNotified):
             if event.state == SERVING:
@@ -271,17 +276,22 @@
             else:
                 notified_at.setdefault((event.sidecar, event.upstream), event.at)
         elif isinstance(event, AttemptReceived) and event.trace in history.sent:
-            at = notified_at.get((history.sent[event.trace].sidecar, event.upstream))
-            if at is not None and event.first_byte_at > at + facts.drain_grace + SOCKET_SLACK_US:
-                late = (event.first_byte_at - at) / 1e6
-                description = f"{event.trace} to {event.upstream}, {late:.2f} s after it was notified"
+            draining_since = notified_at.get((history.sent[event.trace].sidecar, event.upstream))
+            if (
+                draining_since is not None
+                and event.first_byte_at > draining_since + facts.drain_grace + SOCKET_DELAY_TOLERANCE_US
+            ):
+                delay_s = (event.first_byte_at - draining_since) / 1e6
+                description = (
+                    f"{event.trace} to {event.upstream}, {delay_s:.2f} s after its sidecar was notified"
+                )
                 findings.add(Rule.SENT_TO_DRAINING, description)
 
 
 def _check_attempts(facts: RunFacts, history: _History, findings: Findings) -> None:
     for trace, attempts in history.attempts.items():
         if trace not in history.sent:
-            description = f"{trace} reached {attempts[0].upstream} and no client sent it"
+            description = f"{trace} reached {attempts[0].upstream}, but no client sent it"
             findings.add(Rule.WRONG_RESPONSE, description)
         if len(attempts) > facts.max_attempts:
             description = f"{trace}: {len(attempts)} attempts, {facts.max_attempts} allowed"
@@ -292,15 +302,15 @@
     for trace, ends in history.ends.items():
         if ends[0].status != STATUS_CLIENT_LEFT:
             continue
-        latest = ends[0].at + MAX_BEGIN_AFTER_LEAVING_US + SOCKET_SLACK_US
+        latest_begin = ends[0].at + MAX_BEGIN_AFTER_DISCONNECT_US + SOCKET_DELAY_TOLERANCE_US
         for attempt in history.attempts.get(trace, []):
-            if attempt.first_byte_at > latest:
-                late = (attempt.first_byte_at - ends[0].at) / 1e6
-                findings.add(Rule.BEGUN_TOO_LATE, f"{trace}, {late:.2f} s after its client left")
+            if attempt.first_byte_at > latest_begin:
+                delay_s = (attempt.first_byte_at - ends[0].at) / 1e6
+                findings.add(Rule.BEGUN_TOO_LATE, f"{trace}, {delay_s:.2f} s after its client disconnected")
 
 
 def summary(findings: Findings) -> dict[str, Any]:
-    """The findings as results and the command line show them."""
+    """Return the findings under the names of results files and of the command line's JSON."""
     return {
         "held": findings.held,
         "asked": findings.requests,
--- a/linetrack/experiments/baselines.py
+++ b/linetrack/experiments/baselines.py
@@ -1,10 +1,10 @@
-"""Simple policies behind the policy's interface, to compare with; never part of the program.
+"""Baseline policies that implement the policy interface, for comparisons; the program does not use them.
 
-Each selects an endpoint in its own way: at random, in turn, or by the fewest requests of its own in flight.
-Each retries on another endpoint what was never executed, keeps drains and the limit of attempts, and does
-nothing else.
+A baseline selects an endpoint at random, in turn, or by the fewest requests that the sidecar itself has in
+flight.  All of them retry a request that was not executed on another endpoint, send nothing to draining
+endpoints and respect the limit of attempts; they have no other features.
 
-Run with `python -m linetrack.experiments.baselines NAME`: a sidecar on EDGE_* with that policy.
+`python -m linetrack.experiments.baselines NAME` runs a sidecar with that policy, set up by EDGE_* variables.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class Baseline(Enum):
-    """How an endpoint is selected, by the names of experiment files."""
+    """The ways to select an endpoint; their values are the names in experiment files."""
 
     RANDOM = "random"
     ROUND_ROBIN = "round_robin"
@@ -53,13 +53,13 @@
 
 @dataclass
 class _Request:
-    """A request without a final response."""
+    """A request that has no final response yet."""
 
     attempted: set[str] = field(default_factory=set)
 
 
 class BaselinePolicy:
-    """One of the baselines."""
+    """A policy that selects endpoints as its baseline does."""
 
     def __init__(self, baseline: Baseline, settings: Settings, seed: int) -> None:
         self.baseline = baseline
@@ -68,11 +68,11 @@
         self._entries: dict[str, EndpointEntry] = {}
         self._in_flight: dict[str, int] = {}
         self._requests: dict[int, _Request] = {}
-        self._turn = 0
+        self._round_robin_index = 0
         self._is_watching = False
 
     def handle(self, _now: int, event: Event) -> list[Action]:
-        """The actions that follow from an event."""
+        """Return the actions that an event requires."""
         match event:
             case EndpointListUpdate():
                 return self._update_endpoints(event)
@@ -129,8 +129,8 @@
         if self.baseline is Baseline.RANDOM:
             return self._random.choice(candidates)
         if self.baseline is Baseline.ROUND_ROBIN:
-            self._turn += 1
-            return candidates[self._turn % len(candidates)]
+            self._round_robin_index += 1
+            return candidates[self._round_robin_index % len(candidates)]
         self._random.shuffle(candidates)
         return min(candidates, key=lambda endpoint: self._in_flight.get(endpoint, 0))
 
--- a/linetrack/experiments/latency.py
+++ b/linetrack/experiments/latency.py
@@ -1,4 +1,4 @@
-"""Percentiles of latencies, and intervals of metrics over several seeds."""
+"""Percentiles of latencies, and confidence intervals of metrics over several seeds."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from hdrh.histogram import HdrHistogram
 from numpy.typing import NDArray
 
-MAX_LATENCY_US = 120_000_000  # that a histogram holds
-SIGNIFICANT_DIGITS = 4  # of a latency, so that the histogram's own error stays far below 1 %
+MAX_LATENCY_US = 120_000_000  # histograms count higher latencies as this one
+SIGNIFICANT_DIGITS = 4  # keeps the error of a histogram far below 1 %
 PERCENTILES = {"p50_ms": 50.0, "p99_ms": 99.0, "p999_ms": 99.9}
 BOOTSTRAP_SAMPLES = 2000
 BOOTSTRAP_SEED = 1
@@ -26,20 +26,20 @@
 
 
 def histogram(latencies: Sequence[int]) -> HdrHistogram:
-    """A histogram of latencies in microseconds."""
-    made = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+    """Return a histogram of latencies in microseconds."""
+    recorded = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     for latency in latencies:
-        made.record_value(min(max(1, latency), MAX_LATENCY_US))
-    return made
+        recorded.record_value(min(max(1, latency), MAX_LATENCY_US))
+    return recorded
 
 
 def summarize(prefix: str, latencies: Sequence[int]) -> dict[str, float]:
-    """Percentiles and mean in milliseconds, of latencies in microseconds; nothing where there are none."""
+    """Return percentiles and mean, in milliseconds, of latencies in microseconds; empty without latencies."""
     if not latencies:
         return {}
-    made = histogram(latencies)
+    recorded = histogram(latencies)
     metrics = {
-        prefix + name: made.get_value_at_percentile(percentile) / 1000
+        prefix + name: recorded.get_value_at_percentile(percentile) / 1000
         for name, percentile in PERCENTILES.items()
     }
     metrics[prefix + "mean_ms"] = float(np.mean(latencies)) / 1000
@@ -47,9 +47,9 @@
 
 
 def interval(values: Sequence[float]) -> Interval:
-    """The median, and its 90 % bootstrap interval (Efron's percentile method).
+    """Return the median and its 90 % bootstrap interval (Efron's percentile method).
 
-    The interval is the values' own range where there are too few of them.
+    With fewer than `MIN_VALUES_FOR_BOOTSTRAP` values, the interval is their range.
     """
     data: NDArray[np.float64] = np.array(values, dtype=float)
     median = float(np.median(data))
--- a/linetrack/experiments/load_metrics.py
+++ b/linetrack/experiments/load_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of load that was sent without an experiment around it."""
+"""Metrics of load that was sent outside an experiment."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def load_metrics(folder: Path, start: int, counts: Mapping[str, int]) -> dict[str, float]:
-    """The metrics of the requests that were due from `start` on."""
+    """Return the metrics of the requests that were due at or after `start`, in microseconds."""
     outcomes = client_outcomes(read_events(folder, LOAD_LEDGERS))
-    requests = [one for one in outcomes if one.due_at >= start]
-    served = [one for one in requests if one.served_at is not None]
+    requests = [outcome for outcome in outcomes if outcome.due_at >= start]
+    served = [outcome for outcome in requests if outcome.served_at is not None]
     count = max(1, len(requests))
     return {
         "requests": len(requests),
         "served": len(served) / count,
         "late": counts.get("late", 0) / count,
-        **latency.summarize("", [one.latency for one in served]),
-        **latency.summarize("sent_", [one.latency_from_send for one in served]),
+        **latency.summarize("", [outcome.latency for outcome in served]),
+        **latency.summarize("sent_", [outcome.latency_from_send for outcome in served]),
     }
--- a/linetrack/experiments/measurements.py
+++ b/linetrack/experiments/measurements.py
@@ -1,6 +1,6 @@
-"""The metrics of one run, worked out from its ledgers.
+"""Computes the metrics of one run from its ledgers.
 
-Knows how each metric of `schema.METRICS` is worked out, and judges none.
+This module defines how each metric of `schema.METRICS` is computed; it checks no bounds.
 """
 
 from __future__ import annotations
@@ -35,33 +35,34 @@
 from linetrack.experiments.schema import Experiment, Goal
 
 SECOND_US = 1_000_000
-RECOVERED_FRACTION = 0.9  # of what was served in time before the first fault
+RECOVERED_FRACTION = 0.9  # of the share served in time before the first fault
 PLOTTED_PERCENTILES = [0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 100]
 
 
 @dataclass
 class ClientOutcome:
-    """What became of one client's request, over all its retries."""
+    """The outcome of one client's request, over all its retries."""
 
+    # Times are in microseconds.
     due_at: int
-    sent_at: int  # when the request that was served was written, or else the first one was sent
+    sent_at: int  # when the retry that was served was written, or, if none was, when the first one was sent
     class_name: str
-    served_at: int | None = None  # when its response was complete
+    served_at: int | None = None  # when the response was complete
 
     @property
     def latency(self) -> int:
-        """Microseconds from when it was due; 0 less that moment where it was not served."""
+        """Microseconds from the due time to the response; `-due_at` where the request was not served."""
         return (self.served_at or 0) - self.due_at
 
     @property
     def latency_from_send(self) -> int:
-        """Microseconds from when it was sent."""
+        """Microseconds from the send to the response; `-sent_at` where the request was not served."""
         return (self.served_at or 0) - self.sent_at
 
 
 @dataclass
 class Counts:
-    """What a run has counted besides its ledgers."""
+    """The measurements of a run that its ledgers do not contain."""
 
     late: int = 0
     not_sent: int = 0
@@ -72,7 +73,7 @@
 
 @dataclass
 class _Run:
-    """The events of a run, and those that count: from the end of the warm-up on."""
+    """The events of a run; `outcomes`, `ends` and `attempts` have only those after the warm-up."""
 
     experiment: Experiment
     facts: RunFacts
@@ -84,9 +85,9 @@
         self.classes = {request_class.name: request_class for request_class in self.experiment.classes}
         self.sent = [event for event in self.load if isinstance(event, RequestSent)]
         self.all_outcomes = client_outcomes(self.load)
-        self.outcomes = [one for one in self.all_outcomes if one.due_at >= self.counted_from]
-        self.served = [one for one in self.outcomes if one.served_at is not None]
-        self.in_time = [one for one in self.served if self._is_in_time(one)]
+        self.outcomes = [outcome for outcome in self.all_outcomes if outcome.due_at >= self.counted_from]
+        self.served = [outcome for outcome in self.outcomes if outcome.served_at is not None]
+        self.in_time = [outcome for outcome in self.served if self._is_in_time(outcome)]
         self.ends = [
             event for event in self.load if isinstance(event, RequestEnded) and event.at >= self.counted_from
         ]
@@ -101,7 +102,7 @@
 
 
 def client_outcomes(load: list[Event]) -> list[ClientOutcome]:
-    """What became of each client's request, in the order in which they were first sent."""
+    """Return the outcome of each client's request, in the order in which they were first sent."""
     outcomes: dict[int, ClientOutcome] = {}
     request_by_trace: dict[str, int] = {}
     for event in load:
@@ -119,7 +120,7 @@
 def measure_run(
     experiment: Experiment, folder: Path, findings: Findings, counts: Counts
 ) -> tuple[dict[str, float], Series]:
-    """The metrics of the run in a folder, and what the plots show."""
+    """Return the metrics of the run in a folder, and the series for its plots."""
     run = _Run(
         experiment=experiment,
         facts=read_facts(folder),
@@ -152,8 +153,8 @@
 
 
 def _request_metrics(run: _Run) -> dict[str, float]:
-    offered_weight = sum(run.classes[one.class_name].priority_weight for one in run.outcomes)
-    served_weight = sum(run.classes[one.class_name].priority_weight for one in run.in_time)
+    offered_weight = sum(run.classes[outcome.class_name].priority_weight for outcome in run.outcomes)
+    served_weight = sum(run.classes[outcome.class_name].priority_weight for outcome in run.in_time)
     count = max(1, len(run.outcomes))
     ends = max(1, len(run.ends))
     rejected = sum(end.status in REJECTION_STATUSES for end in run.ends)
@@ -165,8 +166,8 @@
         "worth": served_weight / max(offered_weight, 1e-9),
         "refused": rejected / ends,
         "failed": failed / ends,
-        **latency.summarize("", [one.latency for one in run.served]),
-        **latency.summarize("sent_", [one.latency_from_send for one in run.served]),
+        **latency.summarize("", [outcome.latency for outcome in run.served]),
+        **latency.summarize("sent_", [outcome.latency_from_send for outcome in run.served]),
         "attempts": len(run.attempts) / ends,
     }
 
@@ -187,13 +188,14 @@
 
 
 def _cross_zone_share(run: _Run) -> float:
-    """The share of attempts that went to another zone than their sidecar's."""
+    """Return the share of attempts to an upstream outside the zone of their sidecar."""
     sidecars = {event.trace: event.sidecar for event in run.sent}
     zones = {f"u{index}": zone for index, zone in run.facts.upstream_zones.items()}
     crossing = [
         attempt
         for attempt in run.attempts
-        if run.facts.sidecar_zones[sidecars.get(attempt.trace, 0)] != zones.get(_stem(attempt.upstream))
+        if run.facts.sidecar_zones[sidecars.get(attempt.trace, 0)]
+        != zones.get(_without_version(attempt.upstream))
     ]
     return len(crossing) / max(1, len(run.attempts))
 
@@ -201,9 +203,9 @@
 def _goal_metric(run: _Run, weight: WeightBySecond, metrics: dict[str, float]) -> float:
     goal = run.experiment.goal
     shares = [
-        sum(one.class_name == name for one in run.in_time) / count
+        sum(outcome.class_name == name for outcome in run.in_time) / count
         for name in run.classes
-        if (count := sum(one.class_name == name for one in run.outcomes))
+        if (count := sum(outcome.class_name == name for outcome in run.outcomes))
     ]
     retries = max(0.0, metrics["attempts"] - 1)
     return (
@@ -214,9 +216,9 @@
 
 
 def _recovery_metric(experiment: Experiment, weight: WeightBySecond) -> float:
-    first = min(fault.at_s for fault in experiment.faults)
-    last = max(fault.at_s + fault.duration_s for fault in experiment.faults)
-    return recovery_seconds(weight, first, last)
+    first_fault_s = min(fault.at_s for fault in experiment.faults)
+    last_fault_end_s = max(fault.at_s + fault.duration_s for fault in experiment.faults)
+    return recovery_seconds(weight, first_fault_s, last_fault_end_s)
 
 
 # --- Single metrics ----------------------------------------------------------------------------------------
@@ -225,7 +227,7 @@
 def weight_by_second(
     outcomes: list[ClientOutcome], classes: dict[str, RequestClass], start: int, length: int
 ) -> WeightBySecond:
-    """Priority weight offered and served in time, by the second in which each request was due."""
+    """Return the priority weight offered and served in time, by the second in which each request was due."""
     seconds = max(1, -(-length // SECOND_US))
     offered = [0.0] * seconds
     served = [0.0] * seconds
@@ -240,62 +242,66 @@
     return WeightBySecond(offered, served)
 
 
-def recovery_seconds(weight: WeightBySecond, first_fault: float, last_fault: float) -> float:
-    """Seconds after the last fault until service has recovered.
+def recovery_seconds(weight: WeightBySecond, first_fault_s: float, last_fault_end_s: float) -> float:
+    """Return the seconds from the end of the last fault until service has recovered.
 
-    It has recovered once a second serves nine tenths of the share that those before the first fault did, and
-    the next one too; where none does, it is the rest of the run.
+    Service has recovered once two seconds in a row each serve nine tenths of the mean share that was served
+    before the first fault; if that never happens, the rest of the run counts.
     """
     shares = [
         served / offered if offered else 1.0
         for served, offered in zip(weight.served, weight.offered, strict=True)
     ]
-    before = shares[1 : max(2, int(first_fault))]
-    threshold = RECOVERED_FRACTION * float(np.mean(before)) if before else RECOVERED_FRACTION
-    for second in range(int(np.ceil(last_fault)), len(shares)):
+    shares_before = shares[1 : max(2, int(first_fault_s))]
+    threshold = RECOVERED_FRACTION * float(np.mean(shares_before)) if shares_before else RECOVERED_FRACTION
+    for second in range(int(np.ceil(last_fault_end_s)), len(shares)):
         if all(share >= threshold for share in shares[second : second + 2]):
-            return max(0.0, second - last_fault)
-    return max(0.0, len(shares) - last_fault)
+            return max(0.0, second - last_fault_end_s)
+    return max(0.0, len(shares) - last_fault_end_s)
 
 
-def goal_value(goal: Goal, weight: WeightBySecond, counted_from: int, worst_class: float) -> float:
-    """Weighted shares of priority weight served in time, before costs.
+def goal_value(goal: Goal, weight: WeightBySecond, counted_from: int, worst_class_share: float) -> float:
+    """Return the weighted sum of shares of priority weight served in time, before costs.
 
-    `counted_from` is in microseconds from the start, `worst_class` the share of the worst class.
+    Args:
+        goal: the weights of the sum.
+        weight: the priority weight by second.
+        counted_from: the end of the warm-up, in microseconds from the start.
+        worst_class_share: the lowest share of requests served in time of any class.
     """
-    first = -(-counted_from // SECOND_US)
-    offered = np.array(weight.offered[first:])
-    served = np.array(weight.served[first:])
-    width = min(goal.window_s, len(offered))
+    first_second = -(-counted_from // SECOND_US)
+    offered = np.array(weight.offered[first_second:])
+    served = np.array(weight.served[first_second:])
+    window_length = min(goal.window_s, len(offered))
 
     def share(begin: int, end: int) -> float:
-        """The share served of what was offered in these seconds."""
-        total = offered[begin:end].sum()
-        return float(served[begin:end].sum() / total) if total else 1.0
+        """Return the share served in time of the weight offered in these seconds."""
+        offered_weight = offered[begin:end].sum()
+        return float(served[begin:end].sum() / offered_weight) if offered_weight else 1.0
 
-    windows = [share(begin, begin + width) for begin in range(len(offered) - width + 1)]
+    windows = [share(begin, begin + window_length) for begin in range(len(offered) - window_length + 1)]
     total = goal.weight_of_total * share(0, len(offered))
-    return total + goal.weight_of_worst_window * min(windows) + goal.weight_of_worst_class * worst_class
+    return total + goal.weight_of_worst_window * min(windows) + goal.weight_of_worst_class * worst_class_share
 
 
 def _attempts_by_upstream(run: _Run) -> dict[str, list[int]]:
-    """Attempts at each address by second."""
+    """Return the number of attempts at each upstream address by second."""
     seconds = max(1, int(np.ceil(run.experiment.length_s)))
     counts: dict[str, list[int]] = defaultdict(lambda: [0] * seconds)
     for attempt in run.attempts:
         second = (attempt.at - run.facts.start) // SECOND_US
         if 0 <= second < seconds:
-            counts[_stem(attempt.upstream)][second] += 1
+            counts[_without_version(attempt.upstream)][second] += 1
     return dict(sorted(counts.items()))
 
 
-def _stem(upstream: str) -> str:
-    """The id without the version that each deploy gives."""
+def _without_version(upstream: str) -> str:
+    """Return an upstream's id without the version, which changes with each deploy."""
     return upstream.partition("v")[0]
 
 
 def _unevenness(experiment: Experiment, attempts: dict[str, list[int]]) -> float:
-    """The most attempts at one address over the mean, both by capacity."""
+    """Return the highest load of an address over the mean load; load is attempts divided by capacity."""
     fleet = experiment.fleet
     capacities = {host_class.name: host_class.cores * host_class.speed for host_class in fleet.host_classes}
     capacity_by_index = [capacities[group.host_class] for group in fleet.groups for _ in range(group.count)]
@@ -306,10 +312,10 @@
 
 
 def _latency_curves(run: _Run) -> dict[str, list[tuple[float, float]]]:
-    """For each class, latency in milliseconds at a row of percentiles."""
+    """Return for each class the latency in milliseconds at `PLOTTED_PERCENTILES`."""
     curves: dict[str, list[tuple[float, float]]] = {}
     for name in run.classes:
-        latencies = [one.latency for one in run.served if one.class_name == name]
+        latencies = [outcome.latency for outcome in run.served if outcome.class_name == name]
         if latencies:
             histogram = latency.histogram(latencies)
             curves[name] = [
--- a/linetrack/experiments/play.py
+++ b/linetrack/experiments/play.py
@@ -1,4 +1,4 @@
-"""All runs of an experiment, and its verdict."""
+"""Runs all arms and seeds of an experiment, and determines its verdict."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 
 def run_experiment(
     experiment: Experiment,
-    source: Path,
+    experiment_folder: Path,
     out: Path,
     seeds: tuple[int, ...] = (),
     progress: Progress = no_progress,
 ) -> Results:
-    """Run every arm and seed, and judge them.
+    """Run every arm with every seed, and determine the verdict.
 
-    The results are written into `out` after each run, so that what was completed before an interruption is
-    kept and marked as partial.
+    The results are written into `out` after each run, so that the runs completed before an interruption are
+    kept; results are marked as partial until the last run has ended.
 
     Args:
         experiment: the experiment.
-        source: the folder of its file.
-        out: the folder of ledgers and results.
-        seeds: instead of the experiment's.
-        progress: is called with the progress of each run.
+        experiment_folder: the folder of its file; the path of a recorded trace is relative to it.
+        out: the folder for ledgers and results.
+        seeds: the seeds to run; empty uses those of the experiment.
+        progress: called with the progress of each run.
 
     Raises:
-        RunError, ChildFailedError: something that a run needs did not come up.
+        RunError, ChildFailedError: a process that a run needs did not start, or ended early.
         LedgerError: a ledger is invalid.
     """
     out.mkdir(parents=True, exist_ok=True)
@@ -50,19 +50,19 @@
         runs: list[RunResult] = []
         results.arms[arm.name] = ArmResult(arm.policy.value, arm.build, runs)
         for seed in seeds or experiment.seeds:
-            run = Run(experiment, arm, seed, source, out / arm.name / str(seed), progress)
+            run = Run(experiment, arm, seed, experiment_folder, out / arm.name / str(seed), progress)
             try:
-                runs.append(run.play())
+                runs.append(run.execute())
             finally:
                 write_results(results, out)
     results.is_partial = False
-    judge(experiment, results)
+    evaluate(experiment, results)
     write_results(results, out)
     return results
 
 
 def _partial_results(experiment: Experiment) -> Results:
-    """The results before the first run."""
+    """Return the results as they are before the first run."""
     return Results(
         name=experiment.name,
         question=experiment.question,
@@ -73,8 +73,8 @@
     )
 
 
-def judge(experiment: Experiment, results: Results) -> None:
-    """Add the metrics over all seeds, each bound with what was found, and the verdict."""
+def evaluate(experiment: Experiment, results: Results) -> None:
+    """Add the metrics over all seeds, the outcome of each bound and the verdict to the results."""
     main = results.arms[MAIN_ARM]
     for name, result in results.arms.items():
         result.metrics = _intervals(result.runs)
@@ -82,7 +82,7 @@
             result.differences = _differences(main, result)
     bounds: list[BoundResult] = []
     for arm in arms_of(experiment):
-        bounds += _judge_arm(arm, results.arms[arm.name])
+        bounds += _check_bounds(arm, results.arms[arm.name])
     results.bounds = bounds
     if not all(run.is_valid for result in results.arms.values() for run in result.runs):
         results.verdict = Verdict.INVALID
@@ -91,7 +91,7 @@
 
 
 def _intervals(runs: list[RunResult]) -> dict[str, Interval]:
-    """Each metric that every run has."""
+    """Return the interval of each metric that every run has."""
     return {
         metric: interval([run.metrics[metric] for run in runs])
         for metric in runs[0].metrics
@@ -100,7 +100,7 @@
 
 
 def _differences(main: ArmResult, other: ArmResult) -> dict[str, Interval]:
-    """Differences of the main arm from another one, paired by seed."""
+    """Return the intervals of the main arm's metrics minus those of another arm, paired by seed."""
     assert main.metrics is not None
     assert other.metrics is not None
     pairs = list(zip(main.runs, other.runs, strict=True))
@@ -111,14 +111,14 @@
     }
 
 
-def _judge_arm(arm: Arm, result: ArmResult) -> list[BoundResult]:
-    """The bounds on the metrics of the main arm, or on the differences of another one."""
-    found = result.metrics if arm.is_main else result.differences
-    assert found is not None
+def _check_bounds(arm: Arm, result: ArmResult) -> list[BoundResult]:
+    """Check the bounds on the metrics of the main arm, or on the differences of another arm."""
+    values = result.metrics if arm.is_main else result.differences
+    assert values is not None
     bounds = []
     for metric, text in arm.expect.items():
         bound = Bound.parse(text)
-        value = found.get(metric)
+        value = values.get(metric)
         bounds.append(
             BoundResult(
                 metric=metric if arm.is_main else f"{metric}, beside {arm.name}",
--- a/linetrack/experiments/queue_comparison.py
+++ b/linetrack/experiments/queue_comparison.py
@@ -1,4 +1,4 @@
-"""Measured latencies beside those of the queue model, for load sent straight to one upstream."""
+"""Compares measured latencies with those of the queue model, for load sent directly to one upstream."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from linetrack.experiments import latency
 from linetrack.experiments.schema import Experiment
 
-RARE_PERCENTILE = "p999_ms"  # it rests on few requests, so it is compared apart
+TAIL_PERCENTILE = "p999_ms"  # compared separately, as few requests determine it
 
 
 def latency_differences(
     experiment: Experiment, start: int, sent: list[RequestSent], metrics: dict[str, float]
 ) -> dict[str, float]:
-    """The largest relative difference of the latencies measured from those of the model."""
+    """Return the largest relative difference of the measured latencies from those of the model."""
     model = model_latencies(experiment, start, sent)
-    rare = {RARE_PERCENTILE: model.pop(RARE_PERCENTILE)}
+    tail = {TAIL_PERCENTILE: model.pop(TAIL_PERCENTILE)}
     return {
-        "disagrees_p999": _largest_difference(metrics, rare),
+        "disagrees_p999": _largest_difference(metrics, tail),
         "disagrees": _largest_difference(metrics, model),
     }
 
 
 def model_latencies(experiment: Experiment, start: int, sent: list[RequestSent]) -> dict[str, float]:
-    """What the model gives for the scheduled times of these requests, with no socket between."""
+    """Return the latencies that the model gives for the due times of these requests, without any sockets."""
     host_class = experiment.fleet.host_classes[0]
     queue = UpstreamQueue(host_class, None)
     stalls = _stalls(experiment, start)
@@ -43,7 +43,7 @@
 
 
 def _stalls(experiment: Experiment, start: int) -> list[tuple[int, int]]:
-    """When each stall begins and ends."""
+    """Return the begin and end of each stall, in microseconds."""
     return [
         (start + round(fault.at_s * 1e6), start + round((fault.at_s + fault.duration_s) * 1e6))
         for fault in experiment.faults
--- a/linetrack/experiments/report.py
+++ b/linetrack/experiments/report.py
@@ -1,6 +1,6 @@
-"""Results as one self-contained HTML page with plots.
+"""Renders the results of an experiment as one self-contained HTML page with plots.
 
-Shows what `results.json` holds; it works out no metric and judges none.
+The page shows the content of `results.json`; this module computes no metrics and checks no bounds.
 """
 
 from __future__ import annotations
@@ -29,15 +29,15 @@
 .held{color:#176b36}.not_held,.invalid{color:#a4161a}"""
 FAULT_COLOR = "#a4161a"
 MIN_FAULT_WIDTH_S = 0.2
-PLOT_SIZE = (9, 3.2)  # inches
+PLOT_SIZE_INCHES = (9, 3.2)
 MAX_PLOTTED_PERCENTILE = 99.99
 
 
 def write_report(folder: Path) -> Path:
-    """Write the page of the results in this folder; returns its path.
+    """Write the report of the results in a folder into it, and return the path of the report.
 
     Raises:
-        FileError: there are no results, or they are invalid.
+        FileError: the results are missing or invalid.
     """
     path = folder / REPORT_FILE
     path.write_text(render(read_results(folder)))
@@ -45,7 +45,7 @@
 
 
 def render(results: Results) -> str:
-    """The page."""
+    """Return the report as HTML."""
     parts = [*_heading(results), _bounds_table(results)]
     if all(arm.runs for arm in results.arms.values()):
         parts += ["<h2>Priority weight served in time</h2>", _weight_plot(results)]
@@ -68,19 +68,19 @@
         f"<p>Verdict: <b class={verdict}>{verdict.replace('_', ' ')}</b></p>",
     ]
     if results.is_partial:
-        parts.append("<p class=invalid>The experiment was stopped: these are the runs that ended before.</p>")
+        parts.append("<p class=invalid>The experiment was stopped; only completed runs are shown.</p>")
     return parts
 
 
 def _bounds_table(results: Results) -> str:
     rows = []
     for bound in results.bounds or []:
-        found = bound.found
-        shown = "not measured"
-        if found is not None:
-            shown = " ".join(_number(value) for value in (found.median, found.low, found.high))
+        interval = bound.found
+        measured = "not measured"
+        if interval is not None:
+            measured = " ".join(_number(value) for value in (interval.median, interval.low, interval.high))
         verdict = "<span class=held>held</span>" if bound.held else "<span class=not_held>not held</span>"
-        rows.append([html.escape(bound.metric), html.escape(bound.bound), shown, verdict])
+        rows.append([html.escape(bound.metric), html.escape(bound.bound), measured, verdict])
     return _table(["figure", "bound", "median and 90 % interval", ""], rows)
 
 
@@ -138,8 +138,8 @@
 
 
 def _weight_plot(results: Results) -> str:
-    """The median over the seeds of the share of priority weight served in time, by second."""
-    figure, axes = plt.subplots(figsize=PLOT_SIZE)
+    """Plot the share of priority weight served in time by second, as the median over all seeds."""
+    figure, axes = plt.subplots(figsize=PLOT_SIZE_INCHES)
     for name, arm in results.arms.items():
         weights = [run.series.weight for run in arm.runs]
         percentages = [
@@ -158,8 +158,8 @@
 
 
 def _latency_plot(results: Results) -> str:
-    """The percentiles of the first seed."""
-    figure, axes = plt.subplots(figsize=PLOT_SIZE)
+    """Plot the latency percentiles of the first seed."""
+    figure, axes = plt.subplots(figsize=PLOT_SIZE_INCHES)
     for name, arm in results.arms.items():
         for class_name, points in arm.runs[0].series.latency.items():
             x = [1 / (1 - min(percentile, MAX_PLOTTED_PERCENTILE) / 100) for percentile, _ in points]
@@ -170,15 +170,15 @@
 
 
 def _upstreams_plot(results: Results) -> str:
-    """The attempts at each upstream by second, of the first seed."""
+    """Plot the attempts at each upstream by second, for the first seed."""
     loads = results.arms[MAIN_ARM].runs[0].series.upstreams
     figure, axes = plt.subplots(figsize=(9, 0.9 + 0.22 * max(4, len(loads))))
     names = sorted(loads, key=lambda name: int(name[1:]) if name[1:].isdigit() else 0)
-    shown = axes.imshow(
+    image = axes.imshow(
         [loads[name] for name in names], aspect="auto", cmap="viridis", interpolation="nearest"
     )
     axes.set_yticks(range(len(names)), names, fontsize=7)
     axes.set(xlabel="second")
-    figure.colorbar(shown, label="attempts a second")
+    figure.colorbar(image, label="attempts per second")
     _mark_faults(axes, results.faults)
     return _image(figure)
--- a/linetrack/experiments/results.py
+++ b/linetrack/experiments/results.py
@@ -1,4 +1,4 @@
-"""The results of an experiment, as `results.json` holds them."""
+"""The results of an experiment, as stored in `results.json`."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
     HELD = "held"
     NOT_HELD = "not_held"
-    INVALID = "invalid"  # the machine was too slow, or a run was not completed
+    INVALID = "invalid"  # the test machine was too slow, or a run was not completed
 
 
 class WeightBySecond(msgspec.Struct, frozen=True):
@@ -31,38 +31,38 @@
 
 
 class Series(msgspec.Struct, frozen=True, rename={"weight": "kept"}):
-    """What the plots of a run show."""
+    """The data for the plots of a run."""
 
     weight: WeightBySecond
     upstreams: dict[str, list[int]]  # attempts at each upstream by second
-    latency: dict[str, list[tuple[float, float]]]  # percentiles and milliseconds, by class
+    latency: dict[str, list[tuple[float, float]]]  # pairs of percentile and milliseconds, by class
 
 
 class RunResult(
     msgspec.Struct, frozen=True, rename={"metrics": "values", "is_valid": "valid", "is_partial": "partial"}
 ):
-    """One seed of one arm."""
+    """The result of one seed of one arm."""
 
     metrics: dict[str, float]
     series: Series
     seed: int
-    audit: dict[str, Any]  # as `audit.summary` gives it
+    audit: dict[str, Any]  # the findings as returned by `audit.summary`
     is_valid: bool
     is_partial: bool
 
 
 class ArmResult(msgspec.Struct, omit_defaults=True, rename={"metrics": "figures"}):
-    """All seeds of one arm; metrics and differences are there once the experiment is complete."""
+    """The results of all seeds of an arm; metrics and differences are set when the experiment is complete."""
 
     policy: str
     build: str
     runs: list[RunResult]
     metrics: dict[str, Interval] | None = None
-    differences: dict[str, Interval] | None = None  # of the main arm less this one
+    differences: dict[str, Interval] | None = None  # the main arm's metrics minus those of this arm
 
 
 class BoundResult(msgspec.Struct, frozen=True, rename={"metric": "figure"}):
-    """One bound, and what was found."""
+    """One bound, the measured interval and whether the bound holds."""
 
     metric: str
     bound: str
@@ -71,12 +71,12 @@
 
 
 class Results(msgspec.Struct, omit_defaults=True, rename={"is_partial": "partial"}):
-    """An experiment; bounds and verdict are there once it is complete."""
+    """The results of an experiment; bounds and verdict are set once it is complete."""
 
     name: str
     question: str
     is_partial: bool
-    faults: list[dict[str, Any]]  # as in the experiment's file
+    faults: list[dict[str, Any]]  # as in the experiment file
     warm_s: float
     arms: dict[str, ArmResult]
     bounds: list[BoundResult] | None = None
@@ -84,18 +84,18 @@
 
 
 def write_results(results: Results, folder: Path) -> None:
-    """Write `results.json` into a folder, at once as far as readers see."""
+    """Write `results.json` into a folder; it is replaced atomically, so that readers see no partial file."""
     path = folder / RESULTS_FILE
-    part = folder / f"{RESULTS_FILE}.part"
-    part.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
-    part.rename(path)
+    temporary_path = folder / f"{RESULTS_FILE}.part"
+    temporary_path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
+    temporary_path.rename(path)
 
 
 def read_results(folder: Path) -> Results:
-    """The results in a folder.
+    """Read the results in a folder.
 
     Raises:
-        FileError: there are none, or they are invalid.
+        FileError: the results are missing or invalid.
     """
     path = folder / RESULTS_FILE
     try:
--- a/linetrack/experiments/run.py
+++ b/linetrack/experiments/run.py
@@ -1,6 +1,6 @@
-"""One run of an experiment: emulator, sidecars and load started, watched and ended; its ledgers audited.
+"""One run of an experiment: starts, watches and ends emulator, sidecars and load, and audits the ledgers.
 
-Every process that a run starts is ended by it, also when it fails or is interrupted.
+A run ends every process that it started, also when it fails or is interrupted.
 """
 
 from __future__ import annotations
@@ -30,54 +30,54 @@
 from linetrack.load.workers import WorkerGroup
 
 ROOT = Path(__file__).parent.parent.parent
-START_DELAY_US = 400_000  # between the order to start and the first send
+START_DELAY_US = 400_000  # from the start command until the load begins
 WATCH_INTERVAL_SECONDS = 0.05
 
-#: Called with what is under way and how much of it is done, from 0 to 1.
+#: Called with the name of the run in progress and the fraction of it that is done.
 Progress = Callable[[str, float], None]
 
 
-def no_progress(what: str, fraction: float) -> None:
-    """Show no progress."""
+def no_progress(run_name: str, fraction: float) -> None:
+    """Do nothing, as a progress callback."""
 
 
 class Run:
-    """One seed of one arm, in a folder of its own."""
+    """The run of one seed of one arm, in a folder of its own."""
 
     def __init__(
         self,
         experiment: Experiment,
         arm: Arm,
         seed: int,
-        source: Path,
+        experiment_folder: Path,
         folder: Path,
         progress: Progress = no_progress,
     ) -> None:
-        """`source` is the folder of the experiment's file, `folder` that of the run."""
+        """`experiment_folder` is the folder of the experiment's file, `folder` that of the run."""
         self.experiment = arm.adapt(experiment)
         self.faults = arm.faults_of(experiment)
         self.load = arm.load_of(experiment)
         self.arm = arm
         self.seed = seed
-        self.source = source
+        self.experiment_folder = experiment_folder
         self.folder = folder
         self.progress = progress
-        self.length = round(experiment.length_s * 1e6)
+        self.length_us = round(experiment.length_s * 1e6)
         self.sidecars: list[SidecarProcess] = []
         self.kills: list[SidecarKill] = []
         self.crashes = 0
         self.ending = threading.Event()
 
-    def play(self) -> RunResult:
-        """Run it, audit and measure it.
+    def execute(self) -> RunResult:
+        """Execute the run, audit its ledgers and compute its metrics.
 
         Raises:
-            RunError, ChildFailedError: something did not come up, or a process of the emulator ended early.
+            RunError, ChildFailedError: a process did not start, or one of the emulator ended early.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         for old_ledger in self.folder.glob("*.jsonl"):
             old_ledger.unlink()
-        load_counts = self._play()
+        load_counts = self._run_deployment()
         counts = Counts(
             late=load_counts["late"],
             not_sent=load_counts["unsent"],
@@ -96,8 +96,8 @@
             is_partial=False,
         )
 
-    def _play(self) -> Counter[str]:
-        """Run everything until the load has ended; the load's counts."""
+    def _run_deployment(self) -> Counter[str]:
+        """Run emulator, sidecars and load until the load has ended; return the load generator's counts."""
         experiment = self.experiment
         sidecar_count = 1 if experiment.direct else len(experiment.sidecars.zones)
         start = 0
@@ -110,10 +110,10 @@
                 workers = WorkerGroup(
                     self.load,
                     experiment.classes,
-                    self.length,
+                    self.length_us,
                     self.seed,
                     addresses,
-                    self.source,
+                    self.experiment_folder,
                     self.folder,
                 )
                 with workers:
@@ -133,7 +133,7 @@
         return counts
 
     def _start_sidecars(self, emulator: Emulator) -> tuple[str, ...]:
-        """The addresses to which the load goes."""
+        """Start the sidecars, if any, and return the addresses to which the load is sent."""
         if self.experiment.direct:
             return (emulator.entries[0]["addr"],)
         build = Path(self.arm.build).resolve() if self.arm.build else ROOT
@@ -152,18 +152,18 @@
     def _sidecar_command(self, build: Path) -> list[str]:
         if self.arm.policy is not PolicyName.LINETRACK:
             return [sys.executable, "-m", "linetrack.experiments.baselines", self.arm.policy.value]
-        # the platform's environment where it is built: that of the tools holds packages which the program
-        # would load
+        # The build's own environment is used if there is one, as the environment of the tools has packages
+        # that the program would load.
         python = build / ".venv" / "bin" / "python"
         return [str(python) if python.exists() else sys.executable, "-m", "linetrack"]
 
     # --- While it runs ---------------------------------------------------------------------------------
 
     def _watch(self, start: int) -> None:
-        """Restart sidecars by the timeline and those that end on their own, and show the progress."""
+        """Restart sidecars as planned by the timeline or after a crash, and report the progress."""
         restarts = self._planned_restarts(start)
         while not self.ending.wait(WATCH_INTERVAL_SECONDS):
-            fraction = min(1.0, max(0.0, (now() - start) / self.length))
+            fraction = min(1.0, max(0.0, (now() - start) / self.length_us))
             self.progress(f"{self.arm.name}, seed {self.seed}", fraction)
             while restarts and restarts[0][0] <= now():
                 _, index, kind = restarts.pop(0)
@@ -174,7 +174,7 @@
                     self._restart_crashed(sidecar)
 
     def _planned_restarts(self, start: int) -> list[tuple[int, int, FaultKind]]:
-        """The time, sidecar and kind of each restart of the timeline, in order."""
+        """Return the time, sidecar index and fault kind of each restart of the timeline, by time."""
         steps = timeline(self.experiment.fleet, self.faults, self.seed)
         restarts = [
             (start + step.at + index // step.batch_size * step.batch_interval, index, step.kind)
@@ -185,7 +185,7 @@
         return sorted(restarts, key=lambda restart: (restart[0], restart[1], restart[2].value))
 
     def _restart_crashed(self, sidecar: SidecarProcess) -> None:
-        """A sidecar that ended on its own is a finding about the program, and ends no run."""
+        """Record the crash of a sidecar and restart it; the run goes on."""
         self.crashes += 1
         sidecar.end(signal.SIGKILL)
         self.kills.append(SidecarKill(sidecar.index, now()))
@@ -206,12 +206,14 @@
             sidecar.should_run = True
 
     def _write_facts(self, start: int) -> None:
-        """Write what the audit needs to know."""
+        """Write the facts of the run that the audit needs."""
         experiment = self.experiment
         facts = RunFacts(
             max_attempts=experiment.sidecars.retries.max_attempts,
             drain_grace=round(experiment.sidecars.drain_grace_ms * 1000),
-            idempotency_by_class={one.name: one.idempotency for one in experiment.classes},
+            idempotency_by_class={
+                request_class.name: request_class.idempotency for request_class in experiment.classes
+            },
             upstream_zones={str(spec.index): spec.zone for spec in upstream_specs(experiment.fleet)},
             sidecar_zones=() if experiment.direct else experiment.sidecars.zones,
             start=start,
--- a/linetrack/experiments/schema.py
+++ b/linetrack/experiments/schema.py
@@ -1,6 +1,6 @@
-"""An experiment file (YAML, version 1): topology, load, faults, and the bounds that it must hold.
+"""The experiment file (YAML, version 1): topology, load, faults, and the bounds that the metrics must meet.
 
-The only module that knows its keys and checks, and the names of all metrics.
+This module alone defines its keys and checks, and the names of all metrics.
 """
 
 from __future__ import annotations
@@ -29,42 +29,42 @@
 from linetrack.emulator.timeline import FaultError, timeline
 from linetrack.load.schema import Load
 
-#: Every metric that a run gives, and what it means.
+#: The metrics of a run, by name, and their descriptions.
 METRICS = {
-    "requests": "clients' requests, retries not counted",
+    "requests": "client requests, not counting retries",
     "in_time": "share of requests served within their class's latency objective, from the scheduled time",
     "served": "share of requests served at all, retries included",
-    "worth": "priority weight served in time over that offered",
-    "goal": "priority weight in time over the run, its worst window and worst class, less costs (`goal`)",
-    "refused": "share of requests and retries rejected (429 or 503)",
-    "failed": "share of requests and retries that failed otherwise",
+    "worth": "priority weight served in time relative to the offered weight",
+    "goal": "priority weight served in time (whole run, worst window, worst class), less costs (`goal`)",
+    "refused": "share of requests and retries that were rejected (429 or 503)",
+    "failed": "share of requests and retries that failed in another way",
     "p50_ms": "median latency of served requests from their scheduled time",
-    "p99_ms": "99th percentile of the same",
-    "p999_ms": "99.9th percentile of the same",
-    "mean_ms": "mean of the same",
-    "sent_p50_ms": "median latency from when the request was sent",
-    "sent_p99_ms": "99th percentile of the same",
-    "sent_p999_ms": "99.9th percentile of the same",
-    "sent_mean_ms": "mean of the same",
-    "attempts": "attempts at upstreams for each request or retry of a client",
-    "crossings": "share of attempts that went to another zone than the sidecar's",
-    "dialled": "connections that clients opened for each request or retry",
-    "cpu_us": "microseconds of CPU of the sidecars for each request or retry",
-    "memory_mb": "most resident memory of a sidecar",
-    "discovery_calls": "calls to discovery a second, over all sidecars",
-    "uneven": "most attempts at one upstream over the mean, by capacity",
-    "recovers_s": "seconds after the last fault's end until a second is served as before the first",
-    "disagrees": "largest relative difference of mean, p50, p99 from the queue model's (direct runs)",
-    "disagrees_p999": "the same of p99.9, which rests on few requests",
-    "late": "share of sends that left late",
-    "lost": "requests lost: cut off, or without a response before the client gave up",
-    "twice": "requests executed twice that must not be",
-    "drained": "attempts at an upstream known as draining or removed, after the grace",
+    "p99_ms": "99th percentile of latency from the scheduled time",
+    "p999_ms": "99.9th percentile of latency from the scheduled time",
+    "mean_ms": "mean latency from the scheduled time",
+    "sent_p50_ms": "median latency from the time at which the request was sent",
+    "sent_p99_ms": "99th percentile of latency from the send time",
+    "sent_p999_ms": "99.9th percentile of latency from the send time",
+    "sent_mean_ms": "mean latency from the send time",
+    "attempts": "attempts at upstreams per request or retry of a client",
+    "crossings": "share of attempts to upstreams outside the zone of the sidecar",
+    "dialled": "connections that clients opened per request or retry",
+    "cpu_us": "CPU time of the sidecars per request or retry, in microseconds",
+    "memory_mb": "highest resident memory of a sidecar, in MB",
+    "discovery_calls": "calls to discovery per second, over all sidecars",
+    "uneven": "highest load of an upstream relative to the mean; load is attempts per capacity",
+    "recovers_s": "seconds from the end of the last fault until service is as before the first fault",
+    "disagrees": "largest relative difference of mean, p50, p99 from the queue model (direct runs)",
+    "disagrees_p999": "relative difference of p99.9 from the queue model; few requests determine it",
+    "late": "share of sends that were late or did not happen",
+    "lost": "requests lost: cut off, or without a response before the client's timeout",
+    "twice": "requests executed twice although they must not be",
+    "drained": "attempts at an upstream known to be draining or removed, after the drain grace",
     "pushed_over": "upstreams that crashed in slow start",
     "too_many": "requests with more attempts than allowed",
     "wrong": "responses that belong to another request",
     "begun_late": "attempts that began over 0.1 s after their client had closed its connection",
-    "crashed": "sidecars that ended on their own",
+    "crashed": "sidecars that ended unexpectedly",
 }
 
 _BOUND = re.compile(r"^\s*(<=|>=|==|<|>)\s*(-?[0-9.]+(?:e-?[0-9]+)?)\s*(%?)\s*$")
@@ -86,10 +86,10 @@
 
     @staticmethod
     def parse(text: str) -> Bound:
-        """The bound that a text means.
+        """Parse the text of a bound.
 
         Raises:
-            ValueError: it means none.
+            ValueError: the text is not a bound.
         """
         match = _BOUND.match(text)
         if match is None:
@@ -105,7 +105,7 @@
 
 
 class PolicyName(Enum):
-    """The policies that sidecars can run, by the file's words."""
+    """The policies that sidecars can run; the values are the names in experiment files."""
 
     LINETRACK = "linetrack"
     RANDOM = "random"
@@ -114,7 +114,7 @@
 
 
 class Omission(Enum):
-    """What an arm is run without, by the file's words."""
+    """What an arm can be run without; the values are the names in experiment files."""
 
     FAULTS = "faults"
     RETRIES = "retries"
@@ -140,7 +140,7 @@
 
 
 class Comparison(Table, frozen=True, kw_only=True):
-    """What the same experiment is run with once more, and bounds on the differences (this less that one)."""
+    """Another arm of the experiment, and bounds on the differences (main arm minus this one)."""
 
     name: Name
     policy: PolicyName = PolicyName.LINETRACK
@@ -161,27 +161,27 @@
         "wasted_work_cost": "waste",
     },
 ):
-    """One metric for a whole day: weighted shares of priority weight served in time, less costs."""
+    """The metric `goal` of a whole day: weighted shares of priority weight served in time, less costs."""
 
     weight_of_total: Fraction = 0.7
     weight_of_worst_window: Fraction = 0.2
     weight_of_worst_class: Fraction = 0.1
     window_s: Annotated[int, Meta(ge=1)] = 10
-    cross_zone_cost: NotNegative = 0.0  # for each request of which an attempt went to another zone
-    wasted_work_cost: NotNegative = 0.0  # for each attempt beyond a request's first
+    cross_zone_cost: NotNegative = 0.0  # per request of which an attempt went to another zone
+    wasted_work_cost: NotNegative = 0.0  # per attempt beyond the first of a request
 
 
 class Experiment(Table, frozen=True, kw_only=True, rename={"comparisons": "against"}):
-    """One question, and how its answer is judged."""
+    """An experiment: the question that it answers, its setup, and the bounds that decide the answer."""
 
     version: Literal[1]
     name: Name
     question: Annotated[str, Meta(min_length=1)]
     length_s: Annotated[float, Meta(gt=0, le=7200)] = 10.0
-    warm_s: NotNegative = 1.0  # at the beginning, which metrics leave out
+    warm_s: NotNegative = 1.0  # the warm-up at the beginning, which the metrics leave out
     seeds: Annotated[tuple[int, ...], Meta(min_length=1)] = (1,)
     sidecars: Sidecars = Sidecars()
-    direct: bool = False  # load goes to the upstreams themselves, with no sidecar between
+    direct: bool = False  # whether the load is sent to an upstream directly, without sidecars
     fleet: Fleet = Fleet()
     classes: Annotated[tuple[RequestClass, ...], Meta(min_length=1)] = (RequestClass(name="lookup"),)
     load: Load
@@ -191,11 +191,11 @@
     comparisons: tuple[Comparison, ...] = ()
 
     def __post_init__(self) -> None:
-        """Check the tables against one another."""
+        """Check the values that depend on one another."""
         for bounds in (self.expect, *(comparison.expect for comparison in self.comparisons)):
             for metric, text in bounds.items():
                 if metric not in METRICS:
-                    raise ValueError(f"expected one of the figures for {metric!r}: {', '.join(METRICS)}")
+                    raise ValueError(f"unknown metric {metric!r}, expected one of: {', '.join(METRICS)}")
                 Bound.parse(text)
         if self.warm_s >= self.length_s:
             raise ValueError("expected warm_s to be less than length_s")
@@ -209,14 +209,14 @@
 
 
 def read_experiment(path: Path, overrides: tuple[str, ...] = ()) -> Experiment:
-    """The file, with overrides of the form `path=value` applied to it.
+    """Read an experiment file and apply overrides of the form `path=value`.
 
     Raises:
-        FileError: it cannot be read, or a value is missing or invalid.
+        FileError: the file cannot be read, or a value is missing or invalid.
     """
     values = _load_yaml(path)
     for override in overrides:
-        _apply(override, values)
+        _apply_override(override, values)
     experiment = convert(values, Experiment, path)
     try:
         timeline(experiment.fleet, experiment.faults, experiment.seeds[0])
@@ -234,20 +234,20 @@
         raise FileError(f"{path}{position}", str(getattr(error, "problem", error))) from None
 
 
-def _apply(override: str, values: Any) -> None:
-    """Set one value of the file."""
-    path, sign, value = override.partition("=")
+def _apply_override(override: str, values: Any) -> None:
+    """Set the value at the path of an override."""
+    path, separator, value = override.partition("=")
     source = f"--set {override}"
-    if not sign:
+    if not separator:
         raise FileError(source, "expected path=value")
-    *parents, last = path.split(".")
+    *parents, last_name = path.split(".")
     node = values
     try:
         for name in parents:
             node = node[int(name)] if isinstance(node, list) else node.setdefault(name, {})
         if isinstance(node, list):
-            node[int(last)] = yaml.safe_load(value)
+            node[int(last_name)] = yaml.safe_load(value)
         else:
-            node[last] = yaml.safe_load(value)
+            node[last_name] = yaml.safe_load(value)
     except (IndexError, ValueError, TypeError, AttributeError, yaml.YAMLError):
-        raise FileError(source, "there is no such place") from None
+        raise FileError(source, "the path does not exist, or the value is not valid YAML") from None
--- a/linetrack/experiments/sidecar_config.py
+++ b/linetrack/experiments/sidecar_config.py
@@ -1,4 +1,4 @@
-"""The configuration of an experiment's sidecars, in the platform's form."""
+"""The configuration of an experiment's sidecars, in the platform's format."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def sidecar_config(experiment: Experiment, index: int, emulator: Emulator, listen: str) -> dict[str, Any]:
-    """The configuration of one sidecar, which listens at the address `listen`."""
+    """Return the configuration of one sidecar, which listens at the address `listen`."""
     sidecars = experiment.sidecars
     file = operators.OperatorsFile(
         version=1,
@@ -53,9 +53,11 @@
         keep_alive_ms=fleet.keep_alive_ms,
         load_report_fields=fleet.load_reports.fields,
         host_classes=tuple(host_class.name for host_class in host_classes),
-        slow_start_initial_fraction=min(one.slow_start_initial_fraction for one in host_classes),
+        slow_start_initial_fraction=min(
+            host_class.slow_start_initial_fraction for host_class in host_classes
+        ),
         slow_start_ms=host_classes[0].slow_start_ms,
-        overload_multiple=min(one.overload_multiple for one in host_classes),
+        overload_multiple=min(host_class.overload_multiple for host_class in host_classes),
         overload_window_ms=host_classes[0].overload_window_ms,
         drain_grace_ms=sidecars.drain_grace_ms,
         cross_zone_cost=sidecars.cross_zone_cost,
--- a/linetrack/experiments/sidecar_process.py
+++ b/linetrack/experiments/sidecar_process.py
@@ -1,4 +1,4 @@
-"""One sidecar of a run: its process, started, restarted and measured."""
+"""The sidecar processes of a run: start, restart, resource use, and free ports."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 from pathlib import Path
 from random import Random
 
-READY_TIMEOUT_SECONDS = 20.0  # for a sidecar to respond
-EXIT_TIMEOUT_SECONDS = 12.0  # for one to end after a signal
+READY_TIMEOUT_SECONDS = 20.0  # from the start of a sidecar until it responds
+EXIT_TIMEOUT_SECONDS = 12.0  # from a signal until the sidecar has ended
 READY_POLL_SECONDS = 0.02
 MAX_PORT_TRIES = 1000
-#: A sidecar's port stays free while it is restarted: outgoing connections get those from 32768 on.
+#: Sidecars listen below 32768, where the ports of outgoing connections begin, so that no connection is given
+#: the port of a sidecar while it restarts.
 PORTS_BEGIN = 12_000
 PORTS_END = 32_768
 CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 
-#: Begins anywhere, so that two programs rarely meet; safe to advance from several threads.
+#: Begins at a random offset, so that two programs rarely try the same ports.  Threads may share the iterator.
 _port_numbers = itertools.count(Random().randrange(PORTS_END - PORTS_BEGIN))
 
 
 class RunError(Exception):
-    """Something that a run needs did not come up; nothing is claimed of the program."""
+    """A run failed because a process did not start or ended early; it says nothing about the program."""
 
 
 @dataclass
 class SidecarProcess:
-    """Where a sidecar listens, and its process, whichever serves there now."""
+    """A sidecar of a run, and the process that currently serves its address."""
 
     index: int
     folder: Path
@@ -41,8 +42,8 @@
     address: str
     process: subprocess.Popen[bytes] | None = None
     should_run: bool = True
-    ended_cpu_us: int = 0  # of processes that have ended
-    current_cpu_us: int = 0
+    ended_cpu_us: int = 0  # CPU time of the processes that have ended
+    current_cpu_us: int = 0  # CPU time of the current process
     max_memory_mb: float = 0.0
 
     def start(self) -> None:
@@ -59,10 +60,10 @@
             )
 
     def wait_until_ready(self) -> None:
-        """Wait until it responds that it is ready.
+        """Wait until the sidecar responds that it is ready.
 
         Raises:
-            RunError: it does not.
+            RunError: it does not within `READY_TIMEOUT_SECONDS`, or its process ends.
         """
         deadline = time.monotonic() + READY_TIMEOUT_SECONDS
         while time.monotonic() < deadline and not self.has_ended:
@@ -73,8 +74,8 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether a process was started and has ended on its own."""
-        process = self.process  # another thread may end it meanwhile
+        """Whether a process was started and has ended unexpectedly."""
+        process = self.process  # read once, as another thread may set it to None
         return process is not None and process.poll() is not None
 
     def _is_ready(self) -> bool:
@@ -85,7 +86,7 @@
         return False
 
     def measure(self) -> None:
-        """Record the processor time and memory that it has used so far."""
+        """Record the CPU time and the peak memory that the process has used so far."""
         process = self.process
         if process is None:
             return
@@ -99,7 +100,7 @@
             self.max_memory_mb = max(self.max_memory_mb, int(peak_kb) / 1024)
 
     def end(self, signal_: signal.Signals) -> None:
-        """End the process with a signal, and kill it where that takes too long."""
+        """End the process with a signal; kill it if it does not end within `EXIT_TIMEOUT_SECONDS`."""
         if self.process is None:
             return
         self.measure()
@@ -116,13 +117,13 @@
 
 
 def free_port() -> int:
-    """A port on loopback that nobody uses at present, and that no outgoing connection will be given.
+    """Return a free port on loopback that no outgoing connection will be given.
 
     Raises:
-        RunError: there is none.
+        RunError: no port is free.
     """
     for _ in range(MAX_PORT_TRIES):
         port = PORTS_BEGIN + next(_port_numbers) % (PORTS_END - PORTS_BEGIN)
         with contextlib.suppress(OSError), socket.create_server(("127.0.0.1", port)):
             return port
-    raise RunError("no port of loopback is free")
+    raise RunError("no port on loopback is free")
--- a/tests/experiments/test_audit.py
+++ b/tests/experiments/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit finds each planted breach of the four rules, and none where there is none."""
+"""The audit reports each planted breach under its rule, and none in a run that keeps the rules."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -23,7 +23,7 @@
 from linetrack.experiments.audit import FACTS_FILE, Findings, Rule, RunFacts, SidecarKill, audit
 from linetrack.experiments.schema import METRICS
 
-MS = 1000
+MS = 1000  # times are in microseconds
 SECOND = 1_000_000
 IDEMPOTENCY = {
     "look": Idempotency.IDEMPOTENT,
@@ -32,20 +32,20 @@
 }
 
 
-class Story:
-    """Ledgers of a small run in which nothing is wrong, and ways to spoil it."""
+class RecordedRun:
+    """Writes the ledgers of a small run that keeps all rules, and further events on request."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.load = Ledger(folder / "load-0.jsonl")
         self.emulator = Ledger(folder / "emulator-0.jsonl")
         self.kills: tuple[SidecarKill, ...] = ()
-        for n in range(20):
-            class_name = list(IDEMPOTENCY)[n % 3]
-            self.send(f"t{n}", n * SECOND, class_name)
-            self.attempt(f"t{n}", n * SECOND + MS)
-            self.execute(f"t{n}", n * SECOND + 2 * MS, class_name)
-            self.end(f"t{n}", n * SECOND + 3 * MS)
+        for number in range(20):
+            class_name = list(IDEMPOTENCY)[number % 3]
+            self.send(f"t{number}", number * SECOND, class_name)
+            self.attempt(f"t{number}", number * SECOND + MS)
+            self.execute(f"t{number}", number * SECOND + 2 * MS, class_name)
+            self.end(f"t{number}", number * SECOND + 3 * MS)
 
     def send(self, trace: str, at: int, class_name: str = "look", key: str = "") -> Self:
         event = RequestSent(
@@ -97,105 +97,110 @@
         return audit(self.folder)
 
 
-T = 100 * SECOND
-BREACHES: dict[str, tuple[Rule, Callable[[Story], object]]] = {
-    "no end": (Rule.LOST, lambda s: s.send("x", T)),
-    "no response": (Rule.LOST, lambda s: (s.send("x", T), s.end("x", T + SECOND, STATUS_TIMED_OUT))),
-    "cut off": (Rule.LOST, lambda s: (s.send("x", T), s.end("x", T, STATUS_CUT_OFF))),
-    "two ends": (Rule.LOST, lambda s: (s.send("x", T), s.end("x", T), s.end("x", T + 1))),
+T = 100 * SECOND  # after the events that every RecordedRun has
+BREACHES: dict[str, tuple[Rule, Callable[[RecordedRun], object]]] = {
+    "no end": (Rule.LOST, lambda run: run.send("x", T)),
+    "no response": (Rule.LOST, lambda run: (run.send("x", T), run.end("x", T + SECOND, STATUS_TIMED_OUT))),
+    "cut off": (Rule.LOST, lambda run: (run.send("x", T), run.end("x", T, STATUS_CUT_OFF))),
+    "two ends": (Rule.LOST, lambda run: (run.send("x", T), run.end("x", T), run.end("x", T + 1))),
     "executed twice": (
         Rule.EXECUTED_TWICE,
-        lambda s: (s.send("x", T, "pay"), s.execute("x", T, "pay"), s.execute("x", T, "pay"), s.end("x", T)),
+        lambda run: (
+            run.send("x", T, "pay"),
+            run.execute("x", T, "pay"),
+            run.execute("x", T, "pay"),
+            run.end("x", T),
+        ),
     ),
-    "idempotency key, past the window": (
+    "idempotency key, executed again past the window": (
         Rule.EXECUTED_TWICE,
-        lambda s: (
-            s.send("x", T, "sale"),
-            s.execute("x", T, "sale"),
-            s.execute("x", T + 2, "sale", upstream="u2"),
-            s.end("x", T),
+        lambda run: (
+            run.send("x", T, "sale"),
+            run.execute("x", T, "sale"),
+            run.execute("x", T + 2, "sale", upstream="u2"),
+            run.end("x", T),
         ),
     ),
-    "rejected and yet executed": (
+    "rejected, but executed": (
         Rule.EXECUTED_TWICE,
-        lambda s: (
-            s.send("x", T, "pay", "k"),
-            s.execute("x", T, "pay", "k"),
-            s.end("x", T, 503),
-            s.send("y", T + 1, "pay", "k"),
-            s.execute("y", T + 1, "pay", "k"),
-            s.end("y", T + 1),
+        lambda run: (
+            run.send("x", T, "pay", "k"),
+            run.execute("x", T, "pay", "k"),
+            run.end("x", T, 503),
+            run.send("y", T + 1, "pay", "k"),
+            run.execute("y", T + 1, "pay", "k"),
+            run.end("y", T + 1),
         ),
     ),
     "sent to a draining upstream": (
         Rule.SENT_TO_DRAINING,
-        lambda s: (
-            s.notify("u2", T, "DRAINING"),
-            s.send("x", T + SECOND),
-            s.attempt("x", T + 1100 * MS, "u2"),
-            s.end("x", T),
+        lambda run: (
+            run.notify("u2", T, "DRAINING"),
+            run.send("x", T + SECOND),
+            run.attempt("x", T + 1100 * MS, "u2"),
+            run.end("x", T),
         ),
     ),
     "crashed in slow start": (
         Rule.CRASHED_IN_SLOW_START,
-        lambda s: s.emulator.write(UpstreamCrashed(T, "u3", 3)),
+        lambda run: run.emulator.write(UpstreamCrashed(T, "u3", 3)),
     ),
     "four attempts": (
         Rule.TOO_MANY_ATTEMPTS,
-        lambda s: (s.send("x", T), *(s.attempt("x", T + n) for n in range(4)), s.end("x", T)),
+        lambda run: (run.send("x", T), *(run.attempt("x", T + delay) for delay in range(4)), run.end("x", T)),
     ),
     "the response of another request": (
         Rule.WRONG_RESPONSE,
-        lambda s: (s.send("x", T), s.end("x", T, 200, "t1")),
+        lambda run: (run.send("x", T), run.end("x", T, 200, "t1")),
     ),
-    "a request that nobody sent": (Rule.WRONG_RESPONSE, lambda s: s.attempt("ghost", T)),
+    "an attempt that no client sent": (Rule.WRONG_RESPONSE, lambda run: run.attempt("unknown", T)),
 }
 
 
-@pytest.mark.parametrize(("rule", "spoil"), BREACHES.values(), ids=BREACHES)
-def test_each_breach_is_found_under_its_rule_alone(
-    tmp_path: Path, rule: Rule, spoil: Callable[[Story], object]
+@pytest.mark.parametrize(("rule", "plant_breach"), BREACHES.values(), ids=BREACHES)
+def test_each_breach_is_reported_under_its_rule_only(
+    tmp_path: Path, rule: Rule, plant_breach: Callable[[RecordedRun], object]
 ) -> None:
-    story = Story(tmp_path)
-    spoil(story)
-    findings = story.audit()
+    run = RecordedRun(tmp_path)
+    plant_breach(run)
+    findings = run.audit()
     assert not findings.held
     assert dict(findings.breaches) == {rule: 1}
     assert findings.examples[rule]
 
 
-def test_what_is_allowed_is_no_breach(tmp_path: Path) -> None:
-    story = Story(tmp_path)
-    story.send("a", T, "sale", "k")  # discarded as a repeat: no second effect
-    story.execute("a", T, "sale", "k")
-    story.execute("a", T + 1, "sale", "k", duplicate_of="a", upstream="u2")
-    story.end("a", T + 2)
-    story.send("b", T, "look")  # idempotent: it may be executed any number of times
-    story.execute("b", T)
-    story.execute("b", T + 1)
-    story.end("b", T + 2, 502)
-    story.notify("u2", T, "DRAINING")  # within the grace, to another sidecar, and when it serves again
-    story.send("c", T)
-    story.attempt("c", T + 900 * MS, "u2")
-    story.end("c", T + SECOND)
-    story.notify("u2", T + 2 * SECOND, "SERVING")
-    story.send("d", T + 3 * SECOND)
-    story.attempt("d", T + 3 * SECOND, "u2")
-    story.end("d", T + 3 * SECOND)
-    story.send("e", T + 5 * SECOND)  # its sidecar was killed while it was in flight
-    story.end("e", T + 5 * SECOND + 100 * MS, STATUS_CUT_OFF)
-    story.send("f", T + 6 * SECOND)  # no connection came up
-    story.end("f", T + 6 * SECOND, STATUS_NOT_CONNECTED)
-    story.kills = (SidecarKill(0, T + 5 * SECOND + 90 * MS),)
-    findings = story.audit()
+def test_permitted_events_are_no_breach(tmp_path: Path) -> None:
+    run = RecordedRun(tmp_path)
+    run.send("a", T, "sale", "k")  # the second execution is discarded as a duplicate
+    run.execute("a", T, "sale", "k")
+    run.execute("a", T + 1, "sale", "k", duplicate_of="a", upstream="u2")
+    run.end("a", T + 2)
+    run.send("b", T, "look")  # idempotent, so it may be executed more than once
+    run.execute("b", T)
+    run.execute("b", T + 1)
+    run.end("b", T + 2, 502)
+    run.notify("u2", T, "DRAINING")  # attempts within the grace, and after it serves again
+    run.send("c", T)
+    run.attempt("c", T + 900 * MS, "u2")
+    run.end("c", T + SECOND)
+    run.notify("u2", T + 2 * SECOND, "SERVING")
+    run.send("d", T + 3 * SECOND)
+    run.attempt("d", T + 3 * SECOND, "u2")
+    run.end("d", T + 3 * SECOND)
+    run.send("e", T + 5 * SECOND)  # its sidecar is killed while it is in flight
+    run.end("e", T + 5 * SECOND + 100 * MS, STATUS_CUT_OFF)
+    run.send("f", T + 6 * SECOND)  # the client could not connect
+    run.end("f", T + 6 * SECOND, STATUS_NOT_CONNECTED)
+    run.kills = (SidecarKill(0, T + 5 * SECOND + 90 * MS),)
+    findings = run.audit()
     assert findings.held
     assert findings.excused == 1
     assert findings.not_connected == 1
 
 
-def test_a_file_cut_off_is_reported_and_its_last_line_left_out(tmp_path: Path) -> None:
-    story = Story(tmp_path)
-    assert story.audit().held
+def test_a_truncated_ledger_is_reported_and_its_last_line_ignored(tmp_path: Path) -> None:
+    run = RecordedRun(tmp_path)
+    assert run.audit().held
     path = tmp_path / "load-0.jsonl"
     path.write_bytes(path.read_bytes()[:-5])
     findings = audit(tmp_path)
@@ -203,5 +208,5 @@
     assert findings.breaches[Rule.LOST] == 1
 
 
-def test_each_rule_is_a_metric_that_reports_can_name() -> None:
+def test_each_rule_is_a_metric() -> None:
     assert {rule.value for rule in Rule} <= METRICS.keys()
--- a/tests/experiments/test_baselines.py
+++ b/tests/experiments/test_baselines.py
@@ -1,4 +1,4 @@
-"""The baselines keep the rules that any policy must."""
+"""The baselines follow the rules that apply to any policy."""
 
 import pytest
 
@@ -17,23 +17,27 @@
 
 
 @pytest.mark.parametrize("baseline", Baseline)
-def test_baselines_keep_the_rules_that_any_policy_must(baseline: Baseline) -> None:
+def test_baselines_avoid_draining_endpoints_and_retry_only_what_was_not_executed(baseline: Baseline) -> None:
     policy = BaselinePolicy(baseline, settings(), 1)
     driver = Driver()
     policy.handle(0, EndpointListUpdate(ListForm.SNAPSHOT, listed_entries()))
     draining = EndpointEntry("h0", status=EndpointStatus.DRAINING)
     policy.handle(0, EndpointListUpdate(ListForm.DELTA, (draining,)))
-    sent = set()
-    for n in range(200):
-        (action,) = policy.handle(n, RequestReceived(n, 0, 1000))
+    selected = set()
+    for request_id in range(200):
+        (action,) = policy.handle(request_id, RequestReceived(request_id, 0, 1000))
         assert isinstance(action, StartAttempt)
         assert action.endpoint != "h0"
-        sent.add(action.endpoint)
-        if n % 3 == 0:
-            (again,) = policy.handle(n, AttemptEnded(n, 0, action.endpoint, Outcome.OVERLOADED, 1))
-            assert isinstance(again, StartAttempt)
-            assert again.endpoint != action.endpoint
-            (failed,) = policy.handle(n, AttemptEnded(n, 1, again.endpoint, Outcome.RESET, 1))
-            assert failed == FailRequest(n)
-    assert len(sent) == 6
+        selected.add(action.endpoint)
+        if request_id % 3 == 0:
+            (retry,) = policy.handle(
+                request_id, AttemptEnded(request_id, 0, action.endpoint, Outcome.OVERLOADED, 1)
+            )
+            assert isinstance(retry, StartAttempt)
+            assert retry.endpoint != action.endpoint
+            (failed,) = policy.handle(
+                request_id, AttemptEnded(request_id, 1, retry.endpoint, Outcome.RESET, 1)
+            )
+            assert failed == FailRequest(request_id)
+    assert len(selected) == 6
     assert driver.count == 0
--- a/tests/experiments/test_run.py
+++ b/tests/experiments/test_run.py
@@ -1,4 +1,4 @@
-"""Whole experiments on loopback."""
+"""Complete experiments on loopback."""
 
 import json
 import os
@@ -26,9 +26,10 @@
     )
 
 
-def test_a_short_experiment_is_run_audited_judged_and_drawn(tmp_path: Path) -> None:
-    # light load, so that a busy machine changes nothing: what is judged is that every part did its work
-    sets = [
+def test_a_short_experiment_gives_a_verdict_an_audit_and_a_report(tmp_path: Path) -> None:
+    # The load is light, so that a busy machine does not change the result; the test checks that all parts work
+    # together.
+    overrides = [
         "length_s=6",
         "warm_s=1",
         "load.shapes=[{rate: 60}]",
@@ -38,27 +39,35 @@
         'expect={lost: "== 0", twice: "== 0", drained: "== 0", wrong: "== 0", served: "> 0.8"}',
     ]
     out = tmp_path / "out"
-    done = run("experiment", "run", "demo", "--json", "--out", str(out), *(f"--set={text}" for text in sets))
-    assert done.returncode == 0, done.stdout + done.stderr
-    printed = json.loads(done.stdout)
+    completed = run(
+        "experiment",
+        "run",
+        "demo",
+        "--json",
+        "--out",
+        str(out),
+        *(f"--set={override}" for override in overrides),
+    )
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    printed = json.loads(completed.stdout)
     assert printed["verdict"] == "held"
     assert printed["figures"]["main"]["requests"][0] > 200
-    again = run("audit", str(out / "main" / "1"), "--json")
-    assert again.returncode == 0
-    assert json.loads(again.stdout)["asked"] > 200
-    page = (out / "report.html").read_text()
-    assert page.count("<img") == 3
-    assert 'src="data:' in page
-    assert "http" not in page
-    lines = (out / "main" / "1" / "emulator-discovery.jsonl").read_text()
-    assert '"DRAINING"' in lines
-    assert '"DELETED"' in lines
-    # nothing that was started is left
+    audit = run("audit", str(out / "main" / "1"), "--json")
+    assert audit.returncode == 0
+    assert json.loads(audit.stdout)["asked"] > 200
+    report = (out / "report.html").read_text()
+    assert report.count("<img") == 3
+    assert 'src="data:' in report
+    assert "http" not in report
+    ledger = (out / "main" / "1" / "emulator-discovery.jsonl").read_text()
+    assert '"DRAINING"' in ledger
+    assert '"DELETED"' in ledger
+    # No sidecar is left running.
     assert len(list((out / "main" / "1").glob("sidecar-*.json"))) == 2
-    assert not listening(out / "main" / "1")
+    assert not listening_addresses(out / "main" / "1")
 
 
-def test_a_sidecar_that_dies_is_a_finding_and_the_run_goes_on(tmp_path: Path) -> None:
+def test_a_sidecar_crash_is_counted_and_the_run_continues(tmp_path: Path) -> None:
     (tmp_path / "linetrack").mkdir()
     (tmp_path / "linetrack" / "__main__.py").write_text(
         f"import os, sys, threading\nsys.path.insert(0, {str(ROOT)!r})\n"
@@ -66,7 +75,7 @@
         "gevent.spawn_later(1.2, os._exit, 7)\nsys.exit(main(os.environ))\n"
     )
     (tmp_path / "linetrack" / "__init__.py").write_text(f"__path__.append({str(ROOT / 'linetrack')!r})\n")
-    sets = [
+    overrides = [
         "length_s=4",
         "warm_s=0",
         "load.shapes=[{rate: 40}]",
@@ -76,42 +85,54 @@
         'expect={crashed: "== 0"}',
     ]
     out = tmp_path / "out"
-    done = run("experiment", "run", "demo", "--json", "--out", str(out), *(f"--set={text}" for text in sets))
-    assert done.returncode == 1, done.stdout + done.stderr
-    assert json.loads(done.stdout)["figures"]["main"]["crashed"][0] >= 2
+    completed = run(
+        "experiment",
+        "run",
+        "demo",
+        "--json",
+        "--out",
+        str(out),
+        *(f"--set={override}" for override in overrides),
+    )
+    assert completed.returncode == 1, completed.stdout + completed.stderr
+    assert json.loads(completed.stdout)["figures"]["main"]["crashed"][0] >= 2
 
 
-def test_a_recorded_trace_comes_through_sockets_at_its_times_and_with_its_classes(tmp_path: Path) -> None:
+def test_a_recorded_trace_is_sent_at_its_times_and_with_its_classes(tmp_path: Path) -> None:
     rows = [
-        {"at_s": 10 + n * 0.02, "class": "sale" if n % 3 else "lookup", "key": f"k{n % 5}"}
-        for n in range(100)
+        {"at_s": 10 + number * 0.02, "class": "sale" if number % 3 else "lookup", "key": f"k{number % 5}"}
+        for number in range(100)
     ]
     rows[40], rows[60] = rows[60], rows[40]  # out of order
     (tmp_path / "trace.jsonl").write_text("".join(json.dumps(row) + "\n" for row in rows))
-    demo = yaml.safe_load((ROOT / "experiments" / "demo.yaml").read_text())
-    demo |= {"length_s": 4, "warm_s": 0, "faults": [], "expect": {"served": "== 1", "wrong": "== 0"}}
-    demo["load"] = {"trace": {"file": "trace.jsonl"}, "workers": 2, "late_ms": 500}
-    (tmp_path / "e.yaml").write_text(yaml.safe_dump(demo))
+    experiment = yaml.safe_load((ROOT / "experiments" / "demo.yaml").read_text())
+    experiment |= {"length_s": 4, "warm_s": 0, "faults": [], "expect": {"served": "== 1", "wrong": "== 0"}}
+    experiment["load"] = {"trace": {"file": "trace.jsonl"}, "workers": 2, "late_ms": 500}
+    (tmp_path / "e.yaml").write_text(yaml.safe_dump(experiment))
     out = tmp_path / "out"
-    done = run("experiment", "run", str(tmp_path / "e.yaml"), "--json", "--no-report", "--out", str(out))
-    assert done.returncode == 0, done.stdout + done.stderr
+    completed = run("experiment", "run", str(tmp_path / "e.yaml"), "--json", "--no-report", "--out", str(out))
+    assert completed.returncode == 0, completed.stdout + completed.stderr
     start = json.loads((out / "main" / "1" / "run.json").read_text())["start"]
     lines = [json.loads(line) for path in (out / "main" / "1").glob("load-*.jsonl") for line in path.open()]
-    asked = sorted((line for line in lines if line["e"] == "ask"), key=lambda line: line["due"])
-    found = [(line["due"] - start, line["klass"]) for line in asked]
-    wanted = sorted((round((float(row["at_s"]) - 10) * 1e6), row["class"]) for row in rows)
-    assert [klass for _, klass in found] == [klass for _, klass in wanted]
-    assert all(abs(at - due) <= 1 for (at, _), (due, _) in zip(found, wanted, strict=True))
+    sent = sorted((line for line in lines if line["e"] == "ask"), key=lambda line: line["due"])
+    actual = [(line["due"] - start, line["klass"]) for line in sent]
+    expected = sorted((round((float(row["at_s"]) - 10) * 1e6), row["class"]) for row in rows)
+    assert [class_name for _, class_name in actual] == [class_name for _, class_name in expected]
+    assert all(abs(due - scheduled) <= 1 for (due, _), (scheduled, _) in zip(actual, expected, strict=True))
 
 
-def listening(folder: Path) -> list[str]:
-    """Addresses of the run's sidecars at which somebody still listens."""
+def listening_addresses(folder: Path) -> list[str]:
+    """Return the addresses of the run's sidecars at which a process still listens."""
     addresses = [json.loads(path.read_text())["listen"] for path in folder.glob("sidecar-*.json")]
-    table = Path("/proc/net/tcp").read_text()
-    return [at for at in addresses if f":{int(at.rpartition(':')[2]):04X} 00000000:0000 0A" in table]
+    tcp_sockets = Path("/proc/net/tcp").read_text()
+    return [
+        address
+        for address in addresses
+        if f":{int(address.rpartition(':')[2]):04X} 00000000:0000 0A" in tcp_sockets
+    ]
 
 
-def test_ctrl_c_ends_all_that_was_started_and_keeps_what_there_is_as_partial(tmp_path: Path) -> None:
+def test_ctrl_c_ends_all_processes_and_keeps_partial_results(tmp_path: Path) -> None:
     out = tmp_path / "out"
     folder = out / "main" / "1"
     command = [
@@ -134,25 +155,25 @@
         start_new_session=True,
     ) as running:
         wait_until(lambda: any(path.stat().st_size for path in folder.glob("load-*.jsonl")), "load began")
-        assert len(listening(folder)) == 2
+        assert len(listening_addresses(folder)) == 2
         os.killpg(running.pid, signal.SIGINT)
         _, errors = running.communicate(timeout=60)
     assert running.returncode == 3
     assert "marked as partial" in errors
-    assert not listening(folder)
+    assert not listening_addresses(folder)
     results = json.loads((out / "results.json").read_text())
     assert results["partial"] is True
     assert results["arms"]["main"]["runs"] == []
     assert run("audit", str(folder), "--json").returncode in (0, 1)
 
 
-def test_a_port_that_is_in_use_is_reported_and_nothing_is_left(
+def test_a_port_in_use_is_reported_and_no_process_is_left(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     experiment = read_experiment(ROOT / "experiments" / "demo.yaml")
-    with socket.create_server(("127.0.0.1", 0)) as other:
-        monkeypatch.setattr(sidecar_process, "free_port", lambda: other.getsockname()[1])
-        one = Run(experiment, arms_of(experiment)[0], 1, ROOT, tmp_path / "out")
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
+        monkeypatch.setattr(sidecar_process, "free_port", lambda: occupied.getsockname()[1])
+        experiment_run = Run(experiment, arms_of(experiment)[0], 1, ROOT, tmp_path / "out")
         with pytest.raises(RunError, match="sidecar 0 does not answer"):
-            one.play()
-    assert all(sidecar.process is None for sidecar in one.sidecars)
+            experiment_run.execute()
+    assert all(sidecar.process is None for sidecar in experiment_run.sidecars)
--- a/tests/experiments/test_schema.py
+++ b/tests/experiments/test_schema.py
@@ -1,4 +1,4 @@
-"""Experiment files: errors that name the key, values set by path, bounds."""
+"""Experiment files: errors that name the key, overrides by path, and bounds."""
 
 import re
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=[path.stem for path in FILES])
-def test_every_experiment_that_comes_with_the_program_is_valid(path: Path) -> None:
+def test_every_shipped_experiment_is_valid(path: Path) -> None:
     assert read_experiment(path).name == path.stem
 
 
@@ -35,9 +35,9 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "line"), INVALID)
-def test_an_invalid_experiment_is_named_and_nothing_is_started(
-    tmp_path: Path, change: dict[str, Any], line: str
+@pytest.mark.parametrize(("change", "pattern"), INVALID)
+def test_an_invalid_experiment_is_reported_with_its_key_and_nothing_is_started(
+    tmp_path: Path, change: dict[str, Any], pattern: str
 ) -> None:
     path = tmp_path / "e.yaml"
     path.write_text(
@@ -45,20 +45,20 @@
     )
     result = CliRunner().invoke(cli, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
     assert result.exit_code == 2
-    assert re.search(line, result.stderr), result.stderr
+    assert re.search(pattern, result.stderr), result.stderr
     assert result.stderr.startswith(f"linetrack: {path}: ")
     assert not (tmp_path / "out").exists()
 
 
-def test_values_are_set_by_path_and_invalid_yaml_is_located(tmp_path: Path) -> None:
+def test_overrides_set_values_by_path_and_yaml_errors_have_a_position(tmp_path: Path) -> None:
     path = ROOT / "experiments" / "demo.yaml"
-    found = read_experiment(path, ("load.shapes.0.rate=7", "faults=[]", "fleet.processes=2"))
-    assert found.load.shapes[0].rate == 7
-    assert not found.faults
-    assert found.fleet.processes == 2
-    for wrong in ("load.shapes.9.rate=7", "length_s", "name.x=1"):
+    experiment = read_experiment(path, ("load.shapes.0.rate=7", "faults=[]", "fleet.processes=2"))
+    assert experiment.load.shapes[0].rate == 7
+    assert not experiment.faults
+    assert experiment.fleet.processes == 2
+    for override in ("load.shapes.9.rate=7", "length_s", "name.x=1"):
         with pytest.raises(FileError, match="--set"):
-            read_experiment(path, (wrong,))
+            read_experiment(path, (override,))
     (tmp_path / "e.yaml").write_text("name: [demo\nversion: 1\n")
     with pytest.raises(FileError, match=r"e\.yaml:2:\d+: ") as raised:
         read_experiment(tmp_path / "e.yaml")
@@ -68,5 +68,5 @@
 @pytest.mark.parametrize(
     ("text", "value", "held"), [(">= 0.9", 0.9, True), ("== 0", 1, False), ("< 5 %", 0.04, True)]
 )
-def test_bounds(text: str, value: float, held: bool) -> None:
+def test_a_bound_is_parsed_and_applied(text: str, value: float, held: bool) -> None:
     assert Bound.parse(text).holds(value) is held
