--- a/linetrack/experiments/audit.py
+++ b/linetrack/experiments/audit.py
@@ -50,9 +50,7 @@
 FACTS_FILE = "run.json"
 
 SOCKET_DELAY_TOLERANCE_US = 50_000  # added to the time limits of the rules
-MAX_BEGIN_AFTER_DISCONNECT_US = (
-    100_000  # from the client's close until the latest allowed begin of an attempt
-)
+MAX_BEGIN_AFTER_DISCONNECT_US = 100_000  # the latest allowed begin of an attempt after the client's close
 MAX_EXAMPLES = 5  # breaches described for each rule
 REJECTION_STATUSES = (429, 503)
 SERVING = "SERVING"
@@ -239,9 +237,8 @@
 
 
 def _check_executed_twice(facts: RunFacts, history: _History, findings: Findings) -> None:
-    traces_by_key: dict[str, list[str]] = defaultdict(
-        list
-    )  # of executions that were not discarded as duplicates
+    # Only executions that were not discarded as duplicates.
+    traces_by_key: dict[str, list[str]] = defaultdict(list)
     for trace, executions in history.executions.items():
         idempotency = facts.idempotency_by_class.get(executions[0].class_name, Idempotency.NON_IDEMPOTENT)
         if idempotency is Idempotency.IDEMPOTENT:
--- a/linetrack/experiments/measurements.py
+++ b/linetrack/experiments/measurements.py
@@ -45,7 +45,7 @@
 
     # Times are in microseconds.
     due_at: int
-    sent_at: int  # when the retry that was served was written, or, if none was, when the first one was sent
+    sent_at: int  # send time of the request or retry that was served; of the first one if none was
     class_name: str
     served_at: int | None = None  # when the response was complete
 
--- a/tests/experiments/test_run.py
+++ b/tests/experiments/test_run.py
@@ -27,8 +27,8 @@
 
 
 def test_a_short_experiment_gives_a_verdict_an_audit_and_a_report(tmp_path: Path) -> None:
-    # The load is light, so that a busy machine does not change the result; the test checks that all parts work
-    # together.
+    # The load is light, so that a busy machine does not change the result; the test checks that all parts
+    # work together.
     overrides = [
         "length_s=6",
         "warm_s=1",
