--- a/linetrack/experiments/soak/clients.py
+++ b/linetrack/experiments/soak/clients.py
@@ -23,7 +23,7 @@
 )
 from linetrack.emulator.schema import RequestClass
 
-LEDGER = "load-rude.jsonl"
+LEDGER_FILE = "load-rude.jsonl"
 # These clients request TIMEOUT_SECONDS as the deadline and wait for the grace on top; a response that is
 # not there by then counts as lost.
 TIMEOUT_SECONDS = 2.0
@@ -45,11 +45,11 @@
         `request_class` has to be idempotent, as a client that disconnects does not learn whether its request
         was executed.
         """
-        self._ledger = Ledger(folder / LEDGER)
+        self._ledger = Ledger(folder / LEDGER_FILE)
         self._class_name = request_class.name
         self._sidecars = sidecars
         self._random = Random(seed)
-        self._count = 0
+        self._request_count = 0
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
@@ -110,8 +110,8 @@
         self._record_end(trace, STATUS_CLIENT_LEFT)
 
     def _next_trace(self) -> str:
-        self._count += 1
-        return f"rude-{self._count}"
+        self._request_count += 1
+        return f"rude-{self._request_count}"
 
     def _encode(self, trace: str) -> bytes:
         lines = [
@@ -132,7 +132,7 @@
                 sidecar=sidecar,
                 due_at=sent_at,
                 deadline=deadline,
-                client_request=-self._count,
+                client_request=-self._request_count,
                 retry=0,
                 key=trace,
                 class_name=self._class_name,
