--- a/linetrack/control/policy_snapshot.py
+++ b/linetrack/control/policy_snapshot.py
@@ -69,7 +69,7 @@
 ERROR_RATIO = "errors"
 FAULT_RATIO = "faults"
 ENDPOINT_LAST_RESPONSE_AT = "heard_at"
-ANSWERED_SENT_AT = "answered"
+LAST_SUCCESS_SENT_AT = "answered"
 SEND_TOKENS = "credit"
 SEND_TOKENS_AT = "credit_at"
 WARMUP_SENDS = "cold_sent"
@@ -165,7 +165,7 @@
         ERROR_RATIO: state.error_ratio,
         FAULT_RATIO: state.fault_ratio,
         ENDPOINT_LAST_RESPONSE_AT: state.last_response_at,
-        ANSWERED_SENT_AT: state.last_success_sent_at,
+        LAST_SUCCESS_SENT_AT: state.last_success_sent_at,
         SEND_TOKENS: state.send_tokens,
         SEND_TOKENS_AT: state.send_tokens_at,
         WARMUP_SENDS: state.warmup_sends,
@@ -277,7 +277,7 @@
             error_ratio=self._number(values[ERROR_RATIO]),
             fault_ratio=self._number(values[FAULT_RATIO]),
             last_response_at=self._number(values[ENDPOINT_LAST_RESPONSE_AT]),
-            last_success_sent_at=self._number(values[ANSWERED_SENT_AT]),
+            last_success_sent_at=self._number(values[LAST_SUCCESS_SENT_AT]),
             send_tokens=self._number(values[SEND_TOKENS]),
             send_tokens_at=self._number(values[SEND_TOKENS_AT]),
             warmup_sends=self._times(values[WARMUP_SENDS]),
