--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -101,7 +101,7 @@
 class RequestGroup:
     """The requests of one priority and class."""
 
-    priority_weight: float  # that of the group's latest request
+    value_per_work: float  # as given with the group's latest request
     offered_rate: DecayingRate
 
 
@@ -158,15 +158,15 @@
         self._rejected_count = 0
 
     # --- Calls of the policy -----------------------------------------------------------------------
-    def admit(self, now: int, arrival: RequestReceived, priority_weight: float) -> bool:
-        """Return whether to serve a new request; `priority_weight` is its value relative to its work."""
+    def admit(self, now: int, received: RequestReceived, value_per_work: float) -> bool:
+        """Return whether to serve a new request; `value_per_work` is its class's value relative to work."""
         self._update(now)
         self._offered_rate.add(now)
-        priority = self._classify(now, arrival)
+        priority = self._classify(now, received)
         if self.phase is OverloadPhase.NORMAL:
             return True
-        key = GroupKey(priority, arrival.class_index)
-        self._record_offered(now, key, priority_weight)
+        key = GroupKey(priority, received.class_index)
+        self._record_offered(now, key, value_per_work)
         self._refill(now)
         # the share is applied as a probability; no random number is drawn if there is no token
         admitted = self._has_token(priority) and self._random.random() < self._admitted_share(now, key)
@@ -209,9 +209,9 @@
         return self.retry_schedule.schedule_return(now, default, maximum, returns_per_second)
 
     # --- Admission within the limit ------------------------------------------------------------------
-    def _classify(self, now: int, arrival: RequestReceived) -> AdmissionPriority:
+    def _classify(self, now: int, received: RequestReceived) -> AdmissionPriority:
         """Return the priority of a request; a client's retry is charged to the retry budget."""
-        if not arrival.is_retry:
+        if not received.is_retry:
             return AdmissionPriority.FIRST_ATTEMPT
         self._retry_rate.add(now)
         self.retry_tokens = max(0.0, self.retry_tokens - RETRY_TOKENS_PER_GOOD_RESPONSE)
@@ -219,11 +219,11 @@
             return AdmissionPriority.SCHEDULED_RETRY
         return AdmissionPriority.EARLY_RETRY
 
-    def _record_offered(self, now: int, key: GroupKey, priority_weight: float) -> None:
+    def _record_offered(self, now: int, key: GroupKey, value_per_work: float) -> None:
         group = self.groups.get(key)
         if group is None:
-            group = self.groups[key] = RequestGroup(priority_weight, DecayingRate())
-        group.priority_weight = priority_weight
+            group = self.groups[key] = RequestGroup(value_per_work, DecayingRate())
+        group.value_per_work = value_per_work
         group.offered_rate.add(now)
 
     def _refill(self, now: int) -> None:
@@ -252,10 +252,10 @@
     def _admitted_share(self, now: int, key: GroupKey) -> float:
         """Return the share of a group's requests to admit.
 
-        The limit is allotted to the groups in the order of their priority and then of their weight.
+        The limit is allotted to the groups in the order of their priority and then of their value per work.
         """
         groups = self.groups
-        ranked = sorted(groups, key=lambda k: (k.priority, -groups[k].priority_weight, k.class_index))
+        ranked = sorted(groups, key=lambda k: (k.priority, -groups[k].value_per_work, k.class_index))
         remaining = self.rate_limit
         for candidate in ranked:
             rate = groups[candidate].offered_rate.per_second(now)
--- a/linetrack/policy/protocols.py
+++ b/linetrack/policy/protocols.py
@@ -31,7 +31,7 @@
 class OverloadController(Protocol):
     """Limits load to what the endpoints can take; implemented in `linetrack.control.overload_control`."""
 
-    def admit(self, now: int, arrival: RequestReceived, priority_weight: float) -> bool:
+    def admit(self, now: int, received: RequestReceived, value_per_work: float) -> bool:
         """Return whether to serve a new request; it is rejected otherwise."""
 
     def allow_retry(self, now: int) -> bool:
