--- a/linetrack/settings.py
+++ b/linetrack/settings.py
@@ -71,7 +71,7 @@
 
     def __init__(self, values: Any, path: str) -> None:
         if not isinstance(values, Mapping):
-            raise SettingsError(path, "is no object", repr(values))
+            raise SettingsError(path, "is not an object", repr(values))
         self.values = values
         self.path = path
 
@@ -90,7 +90,7 @@
         """Return the objects of the list under this key, or no objects if the key is missing."""
         value = self.values.get(name) or []
         if not isinstance(value, list):
-            raise self._error(name, "is no list", value)
+            raise self._error(name, "is not a list", value)
         return [SettingsNode(item, f"{self.path_of(name)}.{index}") for index, item in enumerate(value)]
 
     def names(self, name: str) -> list[str]:
@@ -99,21 +99,21 @@
         if isinstance(value, str):
             value = [part for part in value.split(",") if part]
         if not isinstance(value, list) or not all(isinstance(part, str) for part in value):
-            raise self._error(name, "is no list of names", value)
+            raise self._error(name, "is not a list of names", value)
         return value
 
     def text(self, name: str, default: str) -> str:
         """Return the text under this key."""
         value = self.values.get(name, default)
         if not isinstance(value, str):
-            raise self._error(name, "is no text", value)
+            raise self._error(name, "is not a string", value)
         return value
 
     def one_of(self, name: str, choices: Mapping[str, Any], default: str) -> Any:
         """Return what `choices` maps the text under this key to."""
         value = self.text(name, default)
         if value not in choices:
-            raise self._error(name, f"is none of {', '.join(choices)}", value)
+            raise self._error(name, f"is not one of {', '.join(choices)}", value)
         return choices[value]
 
     def number(self, name: str, default: float | None = None) -> float:
