--- a/linetrack/cli/experiment.py
+++ b/linetrack/cli/experiment.py
@@ -96,7 +96,7 @@
 ) -> Results:
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.ledger import LedgerError
-    from linetrack.experiments.play import run_experiment
+    from linetrack.experiments.runner import run_experiment
     from linetrack.experiments.sidecar_process import RunError
 
     try:
--- a/linetrack/experiments/soak/campaign.py
+++ b/linetrack/experiments/soak/campaign.py
@@ -17,8 +17,8 @@
 
 from linetrack.config.check import FileError
 from linetrack.experiments.run import ROOT
-from linetrack.experiments.soak.history import draw_scenario
 from linetrack.experiments.soak.run import RESULT_FILE, SoakResult, SoakRun, SoakVerdict
+from linetrack.experiments.soak.scenario import draw_scenario
 
 # Resources that a run needs.  The descriptor limit applies to this process and to each one that it starts.
 DESCRIPTORS_PER_RUN = 1000
--- a/linetrack/experiments/soak/run.py
+++ b/linetrack/experiments/soak/run.py
@@ -28,9 +28,9 @@
 from linetrack.experiments.sidecar_config import sidecar_config
 from linetrack.experiments.sidecar_process import RunError, free_port
 from linetrack.experiments.soak.clients import MisbehavingClients
-from linetrack.experiments.soak.history import Scenario
 from linetrack.experiments.soak.processes import SoakSidecar
-from linetrack.experiments.soak.troubles import inject
+from linetrack.experiments.soak.scenario import Scenario
+from linetrack.experiments.soak.sidecar_faults import inject
 from linetrack.load.workers import WorkerGroup
 
 RESULT_FILE = "soak.json"
--- a/linetrack/experiments/soak/troubles.py
+++ b/linetrack/experiments/soak/sidecar_faults.py
@@ -10,8 +10,8 @@
 from contextlib import ExitStack, suppress
 from typing import Any
 
-from linetrack.experiments.soak.history import SidecarFault, SidecarFaultKind
 from linetrack.experiments.soak.processes import TRUNCATED_CONFIG, SoakSidecar
+from linetrack.experiments.soak.scenario import SidecarFault, SidecarFaultKind
 
 FLOOD_SECONDS = 3.0  # how long the idle connections stay open
 CONNECT_TIMEOUT_SECONDS = 0.5
--- a/tests/experiments/test_play.py
+++ b/tests/experiments/test_runner.py
@@ -1,6 +1,5 @@
 """The verdict of an experiment."""
 
-from linetrack.experiments.play import evaluate
 from linetrack.experiments.results import (
     ArmResult,
     Results,
@@ -9,6 +8,7 @@
     Verdict,
     WeightBySecond,
 )
+from linetrack.experiments.runner import evaluate
 from linetrack.experiments.schema import METRICS, read_experiment
 from tests.support.paths import ROOT
 
--- a/tests/experiments/test_soak.py
+++ b/tests/experiments/test_soak.py
@@ -21,8 +21,8 @@
 from linetrack.experiments.audit import FACTS_FILE, Rule, RunFacts, audit
 from linetrack.experiments.sidecar_process import free_port
 from linetrack.experiments.soak.campaign import Campaign, replay_command
-from linetrack.experiments.soak.history import SidecarFaultKind, draw_scenario
 from linetrack.experiments.soak.run import SoakVerdict
+from linetrack.experiments.soak.scenario import SidecarFaultKind, draw_scenario
 from tests.support.paths import ROOT
 
 CI_SEEDS = (1, 2, 3, 4)
