--- a/linetrack/control/overload_control.py
+++ b/linetrack/control/overload_control.py
@@ -64,7 +64,7 @@
 
 # Admission within the limit.
 GROUP_SHARE_SLACK_FACTOR = 2.0  # a group may exceed its share: the token bucket bounds the sum of all groups
-MIN_GROUP_SHARE = 0.05  # share of the limit that each group may use, whatever its priority
+MIN_GROUP_SHARE = 0.05  # share of the limit that each group may use, regardless of its priority
 MIN_BURST_REQUESTS = 2.0
 MAX_OVERDRAFT_SECONDS = 0.5  # first attempts may use the tokens of this time in advance
 
--- a/linetrack/control/settings_switch.py
+++ b/linetrack/control/settings_switch.py
@@ -65,7 +65,7 @@
         return actions
 
     def hand_over(self) -> dict[str, Any]:
-        """Return the newest instance's snapshot for another process; it is empty if that is no `Balancer`.
+        """Return the newest instance's snapshot for another process; it is empty if that is not a `Balancer`.
 
         If retries are limited over a window, only the other process makes retries from now on: two processes
         that count separately could together exceed the limit of a window.
@@ -88,7 +88,7 @@
         )
 
     def count_unavailable(self, now: int) -> int:
-        """Return how many listed endpoints are out of rotation; 0 if the policy is no `Balancer`."""
+        """Return how many listed endpoints are out of rotation; 0 if the policy is not a `Balancer`."""
         return self.policy.count_unavailable(now) if isinstance(self.policy, Balancer) else 0
 
     def _select_policy(self, request_id: int | None) -> Policy:
--- a/linetrack/experiments/soak/processes.py
+++ b/linetrack/experiments/soak/processes.py
@@ -92,7 +92,7 @@
 
 @dataclass
 class SoakSidecar:
-    """The processes that serve one address, in turn or side by side.
+    """The processes that serve one address, one after the other or at the same time.
 
     Attributes:
         index: the number of the sidecar.
@@ -106,7 +106,7 @@
         findings: the requirements that processes have broken.
         started_count: the number of processes started.
         lock: held while a fault is injected, as the faults of one sidecar run one at a time.
-        expected_to_end: ids of the processes whose end is no crash.
+        expected_to_end: ids of the processes whose end does not count as a crash.
     """
 
     index: int
--- a/linetrack/policy/attempts.py
+++ b/linetrack/policy/attempts.py
@@ -30,7 +30,7 @@
 
 
 class RequestLifecycle:
-    """Leads the open requests of one instance to their final responses."""
+    """Handles the open requests of one instance until their final responses."""
 
     def __init__(
         self,
--- a/linetrack/policy/balancer.py
+++ b/linetrack/policy/balancer.py
@@ -143,7 +143,7 @@
         )
 
     def _make_lifecycle(self) -> None:
-        """Create the components that lead requests to their final responses."""
+        """Create the components that handle requests until their final responses."""
         self.outcomes = OutcomeRecorder(
             self.settings,
             self.models,
@@ -207,7 +207,9 @@
 
     def count_unavailable(self, now: int) -> int:
         """Return the number of listed endpoints that are draining, or ejected for every class."""
-        return sum(self.outlier_detector.is_unavailable(now, each) for each in self.endpoints.values())
+        return sum(
+            self.outlier_detector.is_unavailable(now, endpoint) for endpoint in self.endpoints.values()
+        )
 
     def make_successor(self, settings: Settings) -> Balancer:
         """Return a successor under other settings; open requests end here, under the old settings.
--- a/linetrack/policy/candidate_selection.py
+++ b/linetrack/policy/candidate_selection.py
@@ -207,28 +207,30 @@
             return []
         permitted = self._endpoint_list.routable(in_other_zones)
         if scope is not EVERYWHERE:
-            permitted = [each for each in permitted if self._guard.permits(now, request, scope, each)]
+            permitted = [
+                endpoint for endpoint in permitted if self._guard.permits(now, request, scope, endpoint)
+            ]
         elif self._slow_start.is_any_warming(now):
             # in this scope, the guard's checks of a warm endpoint reduce to whether it is routable
             permitted = [
-                each
-                for each in permitted
-                if (now >= each.warm_at and each.is_routable)
-                or self._guard.permits(now, request, scope, each)
+                endpoint
+                for endpoint in permitted
+                if (now >= endpoint.warm_at and endpoint.is_routable)
+                or self._guard.permits(now, request, scope, endpoint)
             ]
         if excluded:
-            permitted = [each for each in permitted if each not in excluded]
+            permitted = [endpoint for endpoint in permitted if endpoint not in excluded]
         admitting = [
-            each
-            for each in permitted
-            if not each.ejections or self._outlier_detector.admits(now, each, request)
+            endpoint
+            for endpoint in permitted
+            if not endpoint.ejections or self._outlier_detector.admits(now, endpoint, request)
         ]
         if admitting:
             return admitting
-        if reachable := [each for each in permitted if each.connected_until >= now]:
+        if reachable := [endpoint for endpoint in permitted if endpoint.connected_until >= now]:
             return reachable
         is_other_side_reachable = scope is EVERYWHERE and any(
-            each.connected_until >= now for each in self._endpoint_list.routable(not in_other_zones)
+            endpoint.connected_until >= now for endpoint in self._endpoint_list.routable(not in_other_zones)
         )
         return [] if is_other_side_reachable else permitted
 
--- a/linetrack/policy/endpoint_list.py
+++ b/linetrack/policy/endpoint_list.py
@@ -144,7 +144,7 @@
             self._models.load_reports.record_listed_capacity(now, endpoint, endpoint.capacity)
 
     def _keep_unlisted(self, now: int, removed: set[str]) -> set[str]:
-        """Keep removed endpoints as unlisted, as the list may be wrong; return those to remove all the same.
+        """Keep removed endpoints as unlisted, as the list may be wrong; return those to remove anyway.
 
         Unlisted endpoints that did not drain are on trial: a success ends the trial, repeated failures remove
         the record.
--- a/linetrack/policy/latency_model.py
+++ b/linetrack/policy/latency_model.py
@@ -67,7 +67,7 @@
         self._settings = settings
         self._load_reports = load_reports
         self._classes = classes
-        shortest = max(2, min(each.latency_objective for each in settings.classes))
+        shortest = max(2, min(request_class.latency_objective for request_class in settings.classes))
         self._baseline = math.log(INITIAL_BASELINE_RATIO * shortest)
         self._max_baseline = math.log(MAX_BASELINE_RATIO * shortest)
         self._zone_congestion: defaultdict[int, DecayingAverage] = defaultdict(DecayingAverage)
--- a/linetrack/policy/outlier_detection.py
+++ b/linetrack/policy/outlier_detection.py
@@ -41,8 +41,8 @@
         is_immediate = outcome in IMMEDIATE_EJECTION_OUTCOMES
         if not is_immediate and class_index not in endpoint.ejections and excess < ERROR_THRESHOLD:
             return False
-        for each in range(len(self._settings.classes)) if is_immediate else (class_index,):
-            self._eject(now, endpoint, each)
+        for index in range(len(self._settings.classes)) if is_immediate else (class_index,):
+            self._eject(now, endpoint, index)
         return True
 
     def eject_unlisted(self, now: int, endpoint: Endpoint) -> None:
--- a/linetrack/policy/send_guard.py
+++ b/linetrack/policy/send_guard.py
@@ -156,7 +156,7 @@
         executions = self._executions(now, request)
         if not executions:
             return 0
-        return min(each.sent_at for each in executions) + request.request_class.deduplication_window
+        return min(execution.sent_at for execution in executions) + request.request_class.deduplication_window
 
     def stored_key_expires_at(self, now: int, request: Request) -> int:
         """Return `key_expires_at` if keys are stored across requests, and 0 otherwise."""
--- a/linetrack/policy/slow_start.py
+++ b/linetrack/policy/slow_start.py
@@ -185,5 +185,5 @@
     def _request_time(self, now: int, endpoint: Endpoint) -> float:
         """Return the time of a request at a warm endpoint of the host class, deliberately overestimated."""
         slowdown = math.exp(max(0.0, self._latency_model.host_class_log(now, endpoint)))
-        longest = max(each.latency_objective for each in self._settings.classes)
+        longest = max(request_class.latency_objective for request_class in self._settings.classes)
         return SERVICE_TIME_RATIO * (self._latency_model.service_time * slowdown or longest)
--- a/linetrack/policy/success_model.py
+++ b/linetrack/policy/success_model.py
@@ -105,7 +105,7 @@
         is_fault = outcome in (Outcome.ERROR, Outcome.RESET)
         endpoint.fault_ratio += SLOWEST_EWMA_WEIGHT * (is_fault - endpoint.fault_ratio)
         if is_failed:
-            ratios = sorted([each.fault_ratio for each in self._endpoints.values()])
+            ratios = sorted([record.fault_ratio for record in self._endpoints.values()])
             self._usual_error_ratio = ratios[(len(ratios) - 1) // 2] if ratios else 0.0
 
     def keep_only(self, zones: set[int]) -> None:
--- a/linetrack/policy/traffic_share.py
+++ b/linetrack/policy/traffic_share.py
@@ -55,7 +55,7 @@
         self, now: int, endpoints: Iterable[Endpoint], rates: Mapping[int, DecayingAverage]
     ) -> float:
         warm_counts = Counter(
-            each.host_class for each in endpoints if each.is_routable and now >= each.warm_at
+            endpoint.host_class for endpoint in endpoints if endpoint.is_routable and now >= endpoint.warm_at
         )
         if not warm_counts or not all(
             host_class in rates and rates[host_class].weight for host_class in warm_counts
--- a/linetrack/server/discovery_client.py
+++ b/linetrack/server/discovery_client.py
@@ -275,7 +275,7 @@
 
 
 def _reserve_nothing(_size: int) -> None:
-    """Reserve no memory in the budget for a response: the list is needed whatever its size."""
+    """Reserve no memory in the budget for a response: the list is needed regardless of its size."""
 
 
 def _index_of(name: str, indexes: dict[str, int]) -> int:
--- a/linetrack/server/hot_restart_successor.py
+++ b/linetrack/server/hot_restart_successor.py
@@ -185,7 +185,7 @@
         except HotRestartProtocolError as error:
             log.warning("hot_restart_message_invalid", fault=str(error))
         except Exception:
-            # `follow` treats the end of this greenlet as the end of the channel, whatever caused it.
+            # `follow` treats the end of this greenlet as the end of the channel, regardless of its cause.
             log.exception("hot_restart_internal_error")
 
     def _execute_all(self, commands: list[Command]) -> None:
--- a/linetrack/server/notifications.py
+++ b/linetrack/server/notifications.py
@@ -1,6 +1,6 @@
 """The notifications that the network code sends to the dispatcher.
 
-None of them is modified.  Those that every request causes are not declared frozen all the same, as it takes
+None of them is modified.  Those that every request causes are nevertheless not declared frozen, as it takes
 three times as long to construct a frozen instance.  Latencies are in microseconds.
 """
 
--- a/tests/control/test_connection_slots.py
+++ b/tests/control/test_connection_slots.py
@@ -1,4 +1,4 @@
-"""Connection slots in simulated time: which connections are kept, evicted or expire, and how clients fare."""
+"""Connection slots in simulated time: which connections are kept, evicted or expire, and who gets one."""
 
 import random
 from dataclasses import dataclass
--- a/tests/control/test_discovery_schedule.py
+++ b/tests/control/test_discovery_schedule.py
@@ -149,15 +149,15 @@
     schedule = DiscoverySchedule(SUBSCRIBED, seed)
     now, deadline = silent_long_poll(schedule)
     polled_at = polls_of_failing_server(schedule, PollFailure.REJECTED, deadline + 60 * SECOND, now)
-    assert sum(at <= deadline for at in polled_at) >= 4
-    assert sum(at <= deadline + 2 * SECOND for at in polled_at) <= 25
-    long_after_deadline = [at for at in polled_at if at > deadline + 30 * SECOND]
+    assert sum(time <= deadline for time in polled_at) >= 4
+    assert sum(time <= deadline + 2 * SECOND for time in polled_at) <= 25
+    long_after_deadline = [time for time in polled_at if time > deadline + 30 * SECOND]
     assert all(after - before >= SECOND for before, after in pairwise(long_after_deadline))
 
 
 @given(st.integers(0, 10**6))
 def test_an_unreachable_server_is_polled_every_one_to_two_seconds(seed: int) -> None:
-    """A change is binding 6 s after discovery is reachable again, whatever failed before.
+    """A change is binding 6 s after discovery is reachable again, regardless of earlier failures.
 
     A backoff that grows to half of the poll interval is too long.  A refused connection costs discovery
     nothing.
@@ -271,7 +271,7 @@
 def test_the_list_is_read_before_it_is_binding_once_discovery_is_reachable(
     last_state: str, seed: int, states: list[tuple[str, int]], duration: int, pushed: bool
 ) -> None:
-    """Whatever failed before, timeouts and pauses add up to less than 6 s once discovery is reachable."""
+    """Once discovery is reachable, timeouts and pauses add up to less than 6 s after any earlier failures."""
     states = [("refuses", MS), *states, (last_state, duration)]
     states = [state for n, state in enumerate(states) if n == 0 or state[0] != states[n - 1][0]]
     schedule = DiscoverySchedule(PUSHED if pushed else SUBSCRIBED, seed)
--- a/tests/control/test_idempotency_keys.py
+++ b/tests/control/test_idempotency_keys.py
@@ -169,7 +169,7 @@
 
 
 def test_a_non_idempotent_request_with_a_key_is_not_retried() -> None:
-    """It is retried if the table holds the keys of requests of every class."""
+    """Such a request would be retried if the table held the keys of requests of every class."""
     settings = helpers.settings(may_run_parallel_attempts=False)
     balancer = Balancer(settings, 1, None, IdempotencyKeyTable())
     balancer.handle(START, EndpointListUpdate(ListForm.CACHED, helpers.listed_entries()))
--- a/tests/control/test_overload_control.py
+++ b/tests/control/test_overload_control.py
@@ -200,8 +200,8 @@
     controller = AdaptiveOverloadController(5)
     overloaded_at = overload(controller)
     rejected_at = [overloaded_at + n * 2 * MS for n in range(1000)]
-    return_times = [at + controller.retry_after(at, 500 * MS, 10 * SECOND) for at in rejected_at]
-    returns_by_second = Counter(at // SECOND for at in return_times)
+    return_times = [time + controller.retry_after(time, 500 * MS, 10 * SECOND) for time in rejected_at]
+    returns_by_second = Counter(time // SECOND for time in return_times)
     assert len(returns_by_second) >= 8
     assert max(returns_by_second.values()) <= 3 * len(return_times) / len(returns_by_second)
 
@@ -224,7 +224,7 @@
         if controller.admit(now, RequestReceived(n, 0, SECOND, is_retry=kind != "first"), 1.0):
             admitted[kind] += 1
             # responses are good up to 60 requests per second, and bad above
-            recently_admitted_at = [at for at in recently_admitted_at if at > now - SECOND] + [now]
+            recently_admitted_at = [time for time in recently_admitted_at if time > now - SECOND] + [now]
             is_good = len(recently_admitted_at) <= 60
             controller.record_response(now, is_good, is_good)
         elif n % 40 == 0:
--- a/tests/experiments/test_soak.py
+++ b/tests/experiments/test_soak.py
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("seed", CI_SEEDS)
 def test_the_program_keeps_the_rules_in_short_scenarios(tmp_path: Path, seed: int) -> None:
-    """Guards against failures that only overlapping faults cause; `experiment soak` runs more and longer."""
+    """Some failures occur only if faults overlap; `experiment soak` runs more and longer scenarios."""
     (result,) = Campaign((seed,), tmp_path, length_s=CI_LENGTH_S).run()
     assert result.verdict is SoakVerdict.HELD, (result.findings, replay_command(seed, CI_LENGTH_S))
     assert result.requests > 100
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -141,7 +141,7 @@
 
 
 def test_only_a_sample_is_admitted_of_a_class_that_alone_is_late() -> None:
-    """Its requests would take capacity from other classes, which would be shed as in an overload."""
+    """The late class would take capacity from other classes, which would be shed as in an overload."""
     driver = Driver(max_attempts=1)
     assert count_admitted(driver, KEYED_EVERYWHERE, 50 * MS) == 40
     count_admitted(driver, KEYED_EVERYWHERE, 900 * MS, 20)
--- a/tests/policy/test_endpoint_weights.py
+++ b/tests/policy/test_endpoint_weights.py
@@ -133,5 +133,5 @@
 def test_endpoints_that_refuse_connections_get_fewer_attempts() -> None:
     refusing = frozenset(f"h{n}" for n in range(0, 24, 2))
     counts = [attempts_by_endpoint(instance, refusing) for instance in range(8)]
-    refused_count = sum(count for one in counts for name, count in one.items() if name in refusing)
-    assert refused_count < 0.12 * sum(sum(one.values()) for one in counts), refused_count
+    refused_count = sum(count for by_name in counts for name, count in by_name.items() if name in refusing)
+    assert refused_count < 0.12 * sum(sum(by_name.values()) for by_name in counts), refused_count
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -140,7 +140,7 @@
 
 
 def test_a_start_in_the_future_counts_as_the_time_of_listing() -> None:
-    """Otherwise, the difference of two clocks would prolong the warm-up, or each list would restart it."""
+    """The difference of two clocks must not prolong the warm-up, and no later list may restart it."""
     driver = Driver(entries=())
     listed_at = driver.now
     entry = EndpointEntry("new", started_at=listed_at + 300 * SECOND)
@@ -168,7 +168,7 @@
 
 
 def test_open_requests_end_under_earlier_settings_without_slow_start_beside_a_warming_endpoint() -> None:
-    """A division by 0 once occurred in the predecessor that ends them after a settings switch."""
+    """After a settings switch, a division by 0 once occurred in the instance with the open requests."""
     driver = Driver(entries=(EndpointEntry("new", started_at=990 * SECOND),), slow_start_duration=0)
     request, actions = driver.ask()
     earlier = driver.balancer
@@ -179,7 +179,7 @@
 
 @pytest.mark.parametrize("overload_multiple", [0.0, 3.0])
 def test_an_endpoint_that_starts_without_capacity_is_used_as_it_warms_up(overload_multiple: float) -> None:
-    """A division by 0 once occurred at the time of its start."""
+    """A division by 0 once occurred at the start time of such an endpoint."""
     driver = Driver(
         entries=(EndpointEntry("new", started_at=1000 * SECOND),),
         slow_start_initial_fraction=0.0,
--- a/tests/policy/test_traffic_share.py
+++ b/tests/policy/test_traffic_share.py
@@ -69,7 +69,7 @@
 
 
 def test_the_shares_of_lost_instances_are_not_reassigned_at_once() -> None:
-    """The remaining ones would claim the whole traffic, while restarted ones claim the even share."""
+    """The remaining instances would claim all traffic, while restarted ones claim the even share."""
     share = TrafficShare(10)
     for n in range(100):
         share.record_send(BEGIN_US + n * 200 * MS)
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -121,7 +121,7 @@
 
 
 def test_a_stalled_response_fails_its_attempt(server: UpstreamServer) -> None:
-    """Otherwise it would occupy a descriptor until the deadline of its request."""
+    """A stalled attempt would occupy a descriptor until the deadline of its request."""
 
     def stall(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nx")
@@ -136,7 +136,7 @@
 
 
 def test_large_responses_wait_for_memory(server: UpstreamServer) -> None:
-    """All of them at the same time would need more memory than there is."""
+    """All responses at the same time would need more memory than there is."""
     server.script = lambda _request, _wire: http_response(b"x" * 300_000)
     attempts = RunningAttempts(server)
     memory = attempts.budget.memory
--- a/tests/server/test_connection_close.py
+++ b/tests/server/test_connection_close.py
@@ -68,15 +68,15 @@
 def test_a_request_completed_during_the_shutdown_gets_its_response_before_the_deadline(
     sidecar: InProcessSidecar,
 ) -> None:
-    """Its timeout must not end after the process does, which would leave it without a response."""
+    """A request whose timeout ends after the process does would be left without a response."""
     sock = sidecar.connect()
     sidecar.dispatcher.shutdown_deadline = clock() + SECOND
     sidecar.send_request(sock)
     assert sidecar.policy.received_requests()[-1].timeout <= SECOND
     sidecar.dispatcher.shutdown_deadline = clock()
-    late = sidecar.connect()
-    late.sendall(class_request(expires="20.0"))
-    assert late.recv(65536).startswith(b"HTTP/1.1 503")
+    late_client = sidecar.connect()
+    late_client.sendall(class_request(expires="20.0"))
+    assert late_client.recv(65536).startswith(b"HTTP/1.1 503")
     assert len(sidecar.policy.received_requests()) == 1
     # The timeout of a request with a streamed body starts with the body's last byte.
     sidecar.budget.memory.max_bytes = 0
--- a/tests/server/test_descriptor_shortage.py
+++ b/tests/server/test_descriptor_shortage.py
@@ -135,7 +135,7 @@
 
 
 def test_a_process_regains_all_descriptors_after_its_successor_has_ended() -> None:
-    """It accepts connections again and needs descriptors for the clients that reconnect to it."""
+    """The process accepts connections again and needs descriptors for the clients that reconnect to it."""
     values = sidecar_config("127.0.0.1:9", [])
     sidecar = Sidecar(lambda: parse_config({**values, "listen": "127.0.0.1:1"}, {}))
     sidecar.listener.listen(("127.0.0.1", 0))
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -230,7 +230,7 @@
 
 
 def test_a_process_of_another_customer_takes_over_nothing_and_blocks_no_successor(tmp_path: Path) -> None:
-    """Its name, address and folder are the same, but its settings are not.
+    """The other process has the same name, address and folder, but other settings.
 
     It takes over neither the listening socket nor the endpoint list or the request ids, and does not hide the
     serving process.
--- a/tests/server/test_interrupted_handover.py
+++ b/tests/server/test_interrupted_handover.py
@@ -1,4 +1,4 @@
-"""The successor ends during a handover: the predecessor undoes the handover and shuts down on its own."""
+"""The successor ends during a handover: the predecessor undoes the handover and shuts down without one."""
 
 from __future__ import annotations
 
@@ -153,11 +153,11 @@
         for descriptor in descriptors:
             socket.close(descriptor)
         partly_sent.sock.sendall(class_request()[20:])
-        late = sidecar.connect()
-        late.sock.sendall(class_request())
+        late_client = sidecar.connect()
+        late_client.sock.sendall(class_request())
         wait_until(lambda: len(server.seen) == 3)
         release.set()
-        replies = [connection.read() for connection in (in_flight, partly_sent, late)]
+        replies = [connection.read() for connection in (in_flight, partly_sent, late_client)]
         assert [reply and reply.status for reply in replies] == [200, 200, 200]
         assert sidecar.process.wait(20) == 0, sidecar.log()
         assert time.monotonic() - terminated_at < MAX_SHUTDOWN_SECONDS
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -105,7 +105,7 @@
 
 
 def test_a_request_read_before_a_switch_keeps_its_class_and_idempotency(tmp_path: Path) -> None:
-    """The switch drops its class, and the index then belongs to a non-idempotent class.
+    """The switch drops the request's class, and the index then belongs to a non-idempotent class.
 
     A request of that class that may have been executed could only fail.
     """
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -32,7 +32,7 @@
 
 
 def test_a_connection_closed_by_the_endpoint_is_not_reused(server: UpstreamServer) -> None:
-    """Otherwise the request would end as a reset and, as it may have been executed, could not be retried."""
+    """The request would end as a reset and, as it may have been executed, could not be retried."""
 
     def script(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(http_response(b"ok"))
@@ -104,12 +104,12 @@
 
 
 def test_a_closed_socket_counts_as_readable() -> None:
-    """It must not be reused, as its descriptor number may belong to another connection by then."""
-    one, other = gevent.socket.socketpair()
-    assert not is_readable(one)
-    one.close()
-    assert is_readable(one)
-    other.close()
+    """A closed socket must not be reused: its descriptor number may belong to another connection by then."""
+    sock, peer = gevent.socket.socketpair()
+    assert not is_readable(sock)
+    sock.close()
+    assert is_readable(sock)
+    peer.close()
 
 
 def test_a_connection_to_an_earlier_address_is_not_reused(server: UpstreamServer) -> None:
