--- a/linetrack/experiments/soak/run.py
+++ b/linetrack/experiments/soak/run.py
@@ -34,9 +34,9 @@
 from linetrack.load.workers import WorkerGroup
 
 RESULT_FILE = "soak.json"
-SAMPLE_INTERVAL_SECONDS = 0.25  # of descriptors, memory and crashes
-SETTLE_SECONDS = 1.0  # from the end of the load until no request may be open
-FAULT_TIMEOUT_SECONDS = 40.0  # for the faults that are still in progress once the last one has started
+SAMPLE_INTERVAL_SECONDS = 0.25  # between samples of descriptors, memory and crashes
+SETTLE_SECONDS = 1.0  # wait after the load; no request may be open at its end
+FAULT_TIMEOUT_SECONDS = 40.0  # wait for the faults in progress after the last one has started
 #: Parts of log lines that show a defect of the program.
 FORBIDDEN_LOG = re.compile(r"greenlet_crashed|internal_error|client_connection_failed|Traceback")
 MAX_EXAMPLES = 5  # forbidden lines reported for one log file
--- a/linetrack/experiments/soak/sidecar_faults.py
+++ b/linetrack/experiments/soak/sidecar_faults.py
@@ -15,7 +15,7 @@
 
 FLOOD_SECONDS = 3.0  # how long the idle connections stay open
 CONNECT_TIMEOUT_SECONDS = 0.5
-SUCCESSOR_EXIT_TIMEOUT_SECONDS = 8.0  # for a successor that cannot take over to give up
+SUCCESSOR_EXIT_TIMEOUT_SECONDS = 8.0  # within which a successor gives up if it cannot take over
 
 
 def inject(sidecar: SoakSidecar, fault: SidecarFault) -> None:
--- a/linetrack/server/hot_restart_channel.py
+++ b/linetrack/server/hot_restart_channel.py
@@ -36,7 +36,7 @@
 log = structlog.get_logger()
 
 MAX_DESCRIPTORS_PER_FRAME = 16
-WRITE_TIMEOUT_SECONDS = 0.5  # for the other process to read enough that a frame is written
+WRITE_TIMEOUT_SECONDS = 0.5  # to write a frame, which waits for the other process to read
 READ_SIZE_BYTES = 64 * 1024
 DESCRIPTOR_BYTES = struct.calcsize("i")
 SOCKET_NAME_DIGEST_BYTES = 8
--- a/linetrack/server/hot_restart_messages.py
+++ b/linetrack/server/hot_restart_messages.py
@@ -19,7 +19,7 @@
 
 LENGTH_FORMAT = "!I"
 LENGTH_BYTES = struct.calcsize(LENGTH_FORMAT)
-MAX_FRAME_BYTES = 16 * 1024 * 1024  # of JSON; more than several thousand endpoints need
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # of JSON; several thousand endpoints need less
 
 NAME_KEY = "what"
 DESCRIPTOR_COUNT_KEY = "fds"
--- a/tests/server/test_dispatcher.py
+++ b/tests/server/test_dispatcher.py
@@ -252,7 +252,7 @@
 
 
 def test_the_dispatchers_delay_does_not_count_as_latency(driver: DispatcherDriver) -> None:
-    """Otherwise a busy sidecar would look like slow endpoints.
+    """A busy sidecar must not look like slow endpoints.
 
     The time of an event is when it was seen on the socket, not when the dispatcher processes it.
     """
--- a/tests/server/test_upstream_pool.py
+++ b/tests/server/test_upstream_pool.py
@@ -127,7 +127,7 @@
 def test_a_connection_of_a_removed_endpoint_is_never_used_for_another_endpoint(
     server: UpstreamServer,
 ) -> None:
-    """Otherwise a new endpoint with the same name or address would get connections of the removed one."""
+    """A new endpoint with the same name or address must not get connections of the removed one."""
     server.script = never_respond
     attempts = RunningAttempts(server)
     pool = attempts.pool
