--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -85,9 +85,11 @@
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 1000 * SECOND
         self.count = 0
-        self.feed(EndpointListUpdate(ListForm.CACHED, listed_entries() if entries is None else entries))
+        self.handle_event(
+            EndpointListUpdate(ListForm.CACHED, listed_entries() if entries is None else entries)
+        )
 
-    def feed(self, event: Event, after: int = 0) -> list[Action]:
+    def handle_event(self, event: Event, after: int = 0) -> list[Action]:
         self.now += after
         return self.balancer.handle(self.now, event)
 
@@ -95,11 +97,11 @@
         """Go on with the successor under other settings."""
         self.balancer = self.balancer.make_successor(settings(**changes))
 
-    def ask(
+    def start_request(
         self, class_index: int = IDEMPOTENT, after: int = 0, timeout: int = 2 * SECOND
     ) -> tuple[int, list[Action]]:
         self.count += 1
-        return self.count, self.feed(RequestReceived(self.count, class_index, timeout), after)
+        return self.count, self.handle_event(RequestReceived(self.count, class_index, timeout), after)
 
     def end(
         self,
@@ -111,13 +113,15 @@
         report: tuple[float, ...] = (),
     ) -> list[Action]:
         over = outcome is Outcome.SUCCESS
-        return self.feed(AttemptEnded(request, attempt, endpoint, outcome, latency, over, report), latency)
+        return self.handle_event(
+            AttemptEnded(request, attempt, endpoint, outcome, latency, over, report), latency
+        )
 
     def finish(
         self, answer: Callable[[str], tuple[Outcome, int]], class_index: int = IDEMPOTENT
     ) -> list[str]:
         """Lead one request to its end, attempts ended as `answer` says; return where they went."""
-        request, actions = self.ask(class_index)
+        request, actions = self.start_request(class_index)
         went: list[str] = []
         while endpoints := sends(actions):
             outcome, latency = answer(endpoints[0])
@@ -129,7 +133,7 @@
         self, class_index: int = IDEMPOTENT, latency: int = 50 * MS, report: tuple[float, ...] = ()
     ) -> str:
         """Lead one request to its response from wherever it was sent; return where."""
-        request, actions = self.ask(class_index)
+        request, actions = self.start_request(class_index)
         endpoint = sends(actions)[0]
         self.end(request, endpoint, latency=latency, report=report)
         return endpoint
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -27,17 +27,17 @@
     driver = Driver(entries=listed_entries(2, 0))
     rejected = 0
     for _ in range(90):
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         rejected += any(isinstance(a, RejectRequest) for a in actions)
         for endpoint in sends(actions):
             driver.end(request, endpoint, latency=900 * MS)
     assert rejected > 10
     driver.now += 60 * SECOND
     for _ in range(60):
-        request, actions = driver.ask(after=100 * MS)
+        request, actions = driver.start_request(after=100 * MS)
         for endpoint in sends(actions):
             driver.end(request, endpoint, latency=30 * MS)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def one_received() -> tuple[Balancer, Request, Endpoint]:
@@ -45,7 +45,7 @@
     driver = Driver()
     for _ in range(30):
         driver.serve(latency=100 * MS)
-    request, _ = driver.ask()
+    request, _ = driver.start_request()
     return driver.balancer, driver.balancer.lifecycle.requests[request], driver.balancer.endpoints["h0"]
 
 
@@ -95,7 +95,7 @@
     quota_factors = {}
     for number in range(600):
         tenant = int(number % 12 == 0)
-        driver.feed(RequestReceived(number, IDEMPOTENT, SECOND, tenant), 10 * MS)
+        driver.handle_event(RequestReceived(number, IDEMPOTENT, SECOND, tenant), 10 * MS)
         if number in driver.balancer.lifecycle.requests:
             quota_factors[tenant] = driver.balancer.lifecycle.requests[number].quota_factor
     assert quota_factors[1] == 1.0
@@ -112,10 +112,10 @@
 
 def test_a_client_retry_with_less_time_is_judged_by_what_the_first_request_used() -> None:
     driver = Driver(slow_start_duration=0)
-    driver.ask(timeout=SECOND)
-    driver.feed(RequestReceived(7, IDEMPOTENT, 800 * MS, is_retry=True), 10 * MS)
-    driver.feed(RequestReceived(8, IDEMPOTENT, SECOND, is_retry=True), 10 * MS)
-    driver.feed(RequestReceived(9, IDEMPOTENT, 800 * MS), 10 * MS)
+    driver.start_request(timeout=SECOND)
+    driver.handle_event(RequestReceived(7, IDEMPOTENT, 800 * MS, is_retry=True), 10 * MS)
+    driver.handle_event(RequestReceived(8, IDEMPOTENT, SECOND, is_retry=True), 10 * MS)
+    driver.handle_event(RequestReceived(9, IDEMPOTENT, 800 * MS), 10 * MS)
     at = {n: driver.now - driver.balancer.lifecycle.requests[n].started_at for n in (7, 8, 9)}
     assert at == {7: 1200 * MS + 20 * MS, 8: 10 * MS, 9: 0}
 
@@ -126,7 +126,7 @@
     for _ in range(count):
         driver.now += 20 * MS
         driver.serve(IDEMPOTENT if class_index != IDEMPOTENT else KEYED_EVERYWHERE)
-        request, actions = driver.ask(class_index)
+        request, actions = driver.start_request(class_index)
         if endpoints := sends(actions):
             sent += 1
             driver.now -= latency  # both are in flight at once; their latencies alone matter here
@@ -140,7 +140,7 @@
     assert admitted(driver, KEYED_EVERYWHERE, 50 * MS) == 40
     admitted(driver, KEYED_EVERYWHERE, 900 * MS, 20)
     assert 0 < admitted(driver, KEYED_EVERYWHERE, 900 * MS, 200) < 30
-    assert sends(driver.ask(IDEMPOTENT)[1]), "the others go on"
+    assert sends(driver.start_request(IDEMPOTENT)[1]), "the others go on"
     admitted(driver, KEYED_EVERYWHERE, 50 * MS, 200)
     assert admitted(driver, KEYED_EVERYWHERE, 50 * MS, 20) == 20, "and the few that are sampled bring it back"
 
@@ -149,7 +149,7 @@
     driver = Driver()
     late = 0
     for class_index in (IDEMPOTENT, KEYED_EVERYWHERE) * 20:
-        request, actions = driver.ask(class_index, after=6 * SECOND)
+        request, actions = driver.start_request(class_index, after=6 * SECOND)
         if endpoints := sends(actions):
             late += 1
             driver.end(request, endpoints[0], latency=900 * MS)
--- a/tests/policy/test_attempts.py
+++ b/tests/policy/test_attempts.py
@@ -20,20 +20,20 @@
 
 def test_empty_list_is_answered_promptly() -> None:
     driver = Driver(entries=())
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     waited = 0
     while timers := [a for a in actions if isinstance(a, SetTimer)]:
         waited += timers[0].delay
-        actions = driver.feed(TimerFired(timers[0].token), timers[0].delay)
+        actions = driver.handle_event(TimerFired(timers[0].token), timers[0].delay)
     assert actions == [RejectRequest(request, 500 * MS)]
     assert waited <= 250 * MS
 
 
 def test_waiting_request_is_sent_once_an_endpoint_appears() -> None:
     driver = Driver(entries=())
-    request, actions = driver.ask()
-    driver.feed(EndpointListUpdate(ListForm.DELTA, listed_entries(1, 0)))
-    assert sends(driver.feed(TimerFired(f"hold:{request}"), 20 * MS)) == ["h0"]
+    request, actions = driver.start_request()
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, listed_entries(1, 0)))
+    assert sends(driver.handle_event(TimerFired(f"hold:{request}"), 20 * MS)) == ["h0"]
     assert actions
     assert isinstance(actions[0], SetTimer)
 
@@ -42,12 +42,12 @@
     driver = Driver()
     for _ in range(60):
         driver.serve()
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     timers = [a for a in actions if isinstance(a, SetTimer)]
     assert timers
     assert timers[0].token == f"copy:{request}"
     second = driver.balancer.lifecycle.requests[request].second_candidate
-    hedged = sends(driver.feed(TimerFired(timers[0].token), timers[0].delay))
+    hedged = sends(driver.handle_event(TimerFired(timers[0].token), timers[0].delay))
     assert second is not None
     assert hedged == [second.name]
 
@@ -57,12 +57,12 @@
     driver = Driver()
     for _ in range(50):
         driver.serve(latency=20 * MS)
-    _, actions = driver.ask()
+    _, actions = driver.start_request()
     (wait,) = [a.delay for a in actions if isinstance(a, SetTimer)]
     assert 250 * MS < wait < 450 * MS  # of 500 ms; three expected latencies are some 60 ms
     for _ in range(50):
         driver.serve(latency=150 * MS)
-    _, actions = driver.ask()
+    _, actions = driver.start_request()
     (wait,) = [a.delay for a in actions if isinstance(a, SetTimer)]
     assert wait > 300 * MS  # three expected latencies
 
@@ -72,8 +72,8 @@
         driver = Driver(may_cancel=allowed)
         for _ in range(60):
             driver.serve()
-        request, actions = driver.ask()
-        driver.feed(TimerFired(f"copy:{request}"), 200 * MS)
+        request, actions = driver.start_request()
+        driver.handle_event(TimerFired(f"copy:{request}"), 200 * MS)
         actions = driver.end(request, sends(actions)[0])
         assert actions == ([CancelAttempt(request, 1)] if allowed else [])
 
@@ -99,9 +99,9 @@
     """Return how many hedged attempts are started for so many requests without a response."""
     out = 0
     for _ in range(count):
-        _, actions = driver.ask()
+        _, actions = driver.start_request()
         for timer in hedge_timers(list(actions)):
-            out += len(sends(driver.feed(TimerFired(timer.token))))
+            out += len(sends(driver.handle_event(TimerFired(timer.token))))
     return out
 
 
@@ -117,9 +117,9 @@
         for _ in range(40):
             driver.serve()
     for _ in range(30):
-        request, actions = serving.ask()
+        request, actions = serving.start_request()
         first = sends(actions)[0]
-        out = sends(serving.feed(TimerFired(hedge_timers(list(actions))[0].token), 20 * MS))
+        out = sends(serving.handle_event(TimerFired(hedge_timers(list(actions))[0].token), 20 * MS))
         if out:
             served += 1
             serving.end(request, out[0], attempt=1)
@@ -140,6 +140,6 @@
         max_attempts=1,
         slow_start_duration=0,
     )
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     actions = driver.end(request, sends(actions)[0], Outcome.CONNECT_FAILED, MS)
     assert [a.request_id for a in actions if isinstance(a, RejectRequest)] == [request]
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -57,7 +57,7 @@
     driver = Driver()
     got: Counter[str] = Counter()
     for _ in range(300):
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         endpoint = sends(actions)[0]
         got[endpoint] += 1
         driver.end(request, endpoint, latency=200 * MS if endpoint == "h1" else 40 * MS)
@@ -70,7 +70,7 @@
         driver.serve()
     got: Counter[str] = Counter()
     for _ in range(100):
-        request, actions = driver.ask(after=20 * MS)
+        request, actions = driver.start_request(after=20 * MS)
         endpoint = sends(actions)[0]
         got[endpoint] += 1
         if endpoint != "h3":
@@ -96,7 +96,7 @@
 
 def test_zone_without_endpoints_is_served_from_the_other() -> None:
     driver = Driver(entries=listed_entries(0, 3))
-    assert sends(driver.ask()[1])[0].startswith("a")
+    assert sends(driver.start_request()[1])[0].startswith("a")
 
 
 def test_spillover_only_where_the_value_gained_exceeds_the_price() -> None:
@@ -104,7 +104,7 @@
         driver = Driver(cross_zone_cost=price)
         for _ in range(40):
             driver.serve(latency=60 * MS)
-        went = {name[0] for _ in range(60) for name in sends(driver.ask(IDEMPOTENT)[1])}
+        went = {name[0] for _ in range(60) for name in sends(driver.start_request(IDEMPOTENT)[1])}
         assert went == ({"h", "a"} if price < 1 else {"h"})
 
 
@@ -113,7 +113,7 @@
     driver = Driver(entries=listed_entries(1, 3))
     for _ in range(40):
         driver.finish(lambda u: (Outcome.ERROR if u == "h0" else Outcome.SUCCESS, 30 * MS))
-    assert sends(driver.ask()[1])[0].startswith("a")
+    assert sends(driver.start_request()[1])[0].startswith("a")
 
 
 @pytest.mark.parametrize(("others", "away"), [(180 * MS, True), (50 * MS, False)])
@@ -132,7 +132,7 @@
 
     monkeypatch.setattr(balancer.weights, "weigh", weigh)
     monkeypatch.setattr(candidate_selection, "SPILLOVER_WIDTH", 0.0)
-    went = {sends(driver.ask()[1])[0] for _ in range(40)}
+    went = {sends(driver.start_request()[1])[0] for _ in range(40)}
     assert went == {"a0"} if away else "a0" not in went
 
 
@@ -144,7 +144,7 @@
     further = set()
     for _ in range(60):
         driver.now += SECOND // 8
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         first = next(iter(sends(actions)), "")
         if first not in served and first:
             further.update(sends(driver.end(request, first, Outcome.CONNECT_FAILED, MS)))
@@ -172,7 +172,7 @@
     driver = Driver(
         entries=listed_entries(4, 4), keep_alive_timeout=30 * SECOND, may_run_parallel_attempts=False
     )
-    request, actions = driver.ask(KEYED_IN_ZONE)
+    request, actions = driver.start_request(KEYED_IN_ZONE)
     (first,) = sends(actions)
     for endpoint in driver.balancer.endpoints.values():
         if endpoint.zone == 0:
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -30,10 +30,14 @@
 
 def test_draining_and_missing_endpoints_get_nothing() -> None:
     driver = Driver()
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),)))
+    driver.handle_event(
+        EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),))
+    )
+    driver.handle_event(
+        EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),))
+    )
     assert not set(sends_by_endpoint(driver, 100)) & {"h0", "h1"}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(3, 0)[2:]))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(3, 0)[2:]))
     assert set(sends_by_endpoint(driver, 50)) == {"h2"}
 
 
@@ -41,10 +45,10 @@
     driver = Driver(must_subscribe=True, poll_interval=8 * SECOND, entries=())
     waits = []
     for _ in range(6):
-        timers = driver.feed(EndpointListUpdate(ListForm.REJECTED))
+        timers = driver.handle_event(EndpointListUpdate(ListForm.REJECTED))
         assert isinstance(timers[0], SetTimer)
         waits.append(timers[0].delay)
-        assert driver.feed(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
+        assert driver.handle_event(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
     assert waits[0] <= 1.5 * SECOND < 2 * SECOND <= waits[-1] <= 6 * SECOND
 
 
@@ -69,12 +73,12 @@
 def test_what_is_removed_is_forgotten_while_its_attempts_are_in_flight() -> None:
     # records must not grow with every endpoint, zone and host class that ever was
     driver = Driver()
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     old = sends(actions)[0]
     for n in range(300):
         entry = EndpointEntry(f"n{n}", zone=n % 7, host_class=n % 11, started_at=driver.now)
         gone = [EndpointEntry(f"n{n - 1}", status=EndpointStatus.REMOVED)] if n else []
-        driver.feed(
+        driver.handle_event(
             EndpointListUpdate(
                 ListForm.DELTA, (entry, *gone, EndpointEntry(old, status=EndpointStatus.REMOVED))
             ),
@@ -85,7 +89,7 @@
     assert len(balancer.endpoints) == 7
     # the rotation goes on although what was attempted last is no longer listed
     assert sends(driver.end(request, old, Outcome.RESET)) != [old]
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(2, 0)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(2, 0)))
     assert set(balancer.endpoints) == {"h0", "h1"}
     for _ in range(20):
         driver.serve(report=(1.0,))
@@ -97,7 +101,9 @@
 
 
 def list_status(driver: Driver, health: EndpointStatus, name: str = "h0", started: int = 0) -> None:
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=health, started_at=started),)))
+    driver.handle_event(
+        EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=health, started_at=started),))
+    )
 
 
 def count_sends_to(driver: Driver, name: str, down: bool = False) -> int:
@@ -105,7 +111,7 @@
     went = 0
     for _ in range(100):
         driver.now += 50 * MS
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         attempt = 0
         while endpoints := sends(actions):
             went += endpoints[0] == name
@@ -121,7 +127,7 @@
     for advice in (False, True):
         driver = Driver(removal_is_advisory=advice)
         if left_out:
-            driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
+            driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
         else:
             list_status(driver, EndpointStatus.REMOVED)
         assert (count_sends_to(driver, "h0") > 10) is advice
@@ -143,7 +149,7 @@
     driver = Driver(removal_is_advisory=True, slow_start_duration=0)
     list_status(driver, EndpointStatus.DRAINING)
     list_status(driver, EndpointStatus.REMOVED)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
     assert not count_sends_to(driver, "h0")
     list_status(driver, EndpointStatus.UP)
     assert not count_sends_to(driver, "h0"), "the same process"
@@ -156,10 +162,12 @@
     driver = Driver(removal_is_advisory=True, entries=())
     for generation in range(4):
         fleet = tuple(EndpointEntry(f"{generation}-{n}") for n in range(1024))
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet))
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, ()))
+        driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, fleet))
+        driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, ()))
         assert all(entry.endpoint in driver.balancer.endpoints for entry in fleet)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, tuple(EndpointEntry(f"4-{n}") for n in range(1024))))
+    driver.handle_event(
+        EndpointListUpdate(ListForm.SNAPSHOT, tuple(EndpointEntry(f"4-{n}") for n in range(1024)))
+    )
     assert 2 * 1024 <= len(driver.balancer.endpoints) <= 3 * 1024
 
 
@@ -173,12 +181,12 @@
 def test_what_is_open_at_a_settings_switch_sees_drains_that_its_successor_was_notified_of() -> None:
     """With a list of its own, the old instance would choose one that drains, and give up."""
     driver = Driver(slow_start_duration=0)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     first, old = sends(actions)[0], driver.balancer
     driver.switch_settings(slow_start_duration=0)
     left = next(name for name in old.endpoints if name != first)
     listed = tuple(entry for entry in helpers.listed_entries() if entry.endpoint in (first, left))
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed))
     list_status(driver, EndpointStatus.DRAINING, first)
     ended = AttemptEnded(request, 0, first, Outcome.CONNECT_FAILED, MS)
     assert sends(old.handle(driver.now, ended)) == [left]
--- a/tests/policy/test_endpoint_weights.py
+++ b/tests/policy/test_endpoint_weights.py
@@ -32,7 +32,7 @@
         return expected_latency(model, now, endpoint)
 
     monkeypatch.setattr(LatencyModel, "expected_latency", counted)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
     assert sum(worked.values()) <= 100 + 2  # and the one sent to once more at each of its steps
 
 
@@ -63,12 +63,12 @@
 def test_failure_in_another_zone_is_seen_at_the_next_request() -> None:
     """The other zones are weighed once in a while only; a failure there must not wait for the next time."""
     driver = Driver(entries=listed_entries(0, 4))
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     broken = sends(actions)[0]
     (other,) = sends(driver.end(request, broken, Outcome.CONNECT_FAILED, MS))
     driver.end(request, other, attempt=1)
     assert broken not in {driver.serve() for _ in range(15)}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(0, 1)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(0, 1)))
     assert {driver.serve() for _ in range(15)} == {"a0"}
 
 
@@ -78,7 +78,7 @@
         driver = Driver(seed=seed, has_affinity_keys=True, entries=listed_entries(20, 0))
         got: Counter[str] = Counter()
         for number in range(300):
-            actions = driver.feed(RequestReceived(number, IDEMPOTENT, 2 * SECOND, affinity_key="k:1"))
+            actions = driver.handle_event(RequestReceived(number, IDEMPOTENT, 2 * SECOND, affinity_key="k:1"))
             got[sends(actions)[0]] += 1
             driver.end(number, sends(actions)[0])
         went.append(got)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("warm", [True, False])
 def test_without_affinity_keys_no_endpoint_is_preferred(warm: bool) -> None:
     driver = Driver(has_affinity_keys=warm, entries=listed_entries(4, 0))
-    request, _ = driver.ask()
+    request, _ = driver.start_request()
     balancer = driver.balancer
     weighted = WeightedEndpoints(list(balancer.endpoints.values()), [], [], [1.0] * 4)
     received = balancer.lifecycle.requests[request]
--- a/tests/policy/test_four_rules.py
+++ b/tests/policy/test_four_rules.py
@@ -226,7 +226,7 @@
 def test_any_run_of_failures_ends_once(outcomes: list[Outcome]) -> None:
     for class_index in range(len(CLASSES)):
         driver = helpers.Driver()
-        request, actions = driver.ask(class_index)
+        request, actions = driver.start_request(class_index)
         finals = 0
         for attempt, outcome in enumerate(outcomes):
             finals += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
--- a/tests/policy/test_idle_connections.py
+++ b/tests/policy/test_idle_connections.py
@@ -18,17 +18,17 @@
     driver = Driver(entries=listed_entries(1, 0), slow_start_duration=0)
     for _ in range(10):
         driver.serve()
-    request, actions = driver.ask(after=3 * SECOND)
+    request, actions = driver.start_request(after=3 * SECOND)
     assert not any(isinstance(action, CloseIdleConnections) for action in actions)
     actions = driver.end(request, "h0", Outcome.RESET, MS)
     assert CloseIdleConnections("h0") in actions
     assert driver.balancer.endpoints["h0"].error_ratio == 0.0
     assert not driver.balancer.endpoints["h0"].ejections
     # a later rest as long is ended before the next use; a short one is not
-    _, actions = driver.ask(after=3 * SECOND)
+    _, actions = driver.start_request(after=3 * SECOND)
     assert actions.index(CloseIdleConnections("h0")) < [sends([a]) != [] for a in actions].index(True)
     driver.serve()
-    _, actions = driver.ask(after=100 * MS)
+    _, actions = driver.start_request(after=100 * MS)
     assert CloseIdleConnections("h0") not in actions
 
 
@@ -38,8 +38,8 @@
         for _ in range(10):
             driver.serve()
         if busy:
-            driver.ask()
-        request, _ = driver.ask(after=3 * SECOND if not busy else 0)
+            driver.start_request()
+        request, _ = driver.start_request(after=3 * SECOND if not busy else 0)
         driver.end(request, "h0", Outcome.RESET, latency)
         assert driver.balancer.endpoints["h0"].error_ratio > 0.0, (busy, latency)
 
@@ -47,7 +47,7 @@
 def test_a_non_idempotent_request_that_was_reset_after_idle_time_is_not_sent_again() -> None:
     driver = Driver(slow_start_duration=0)
     driver.serve(NON_IDEMPOTENT)
-    request, actions = driver.ask(NON_IDEMPOTENT, after=3 * SECOND)
+    request, actions = driver.start_request(NON_IDEMPOTENT, after=3 * SECOND)
     assert sends(driver.end(request, sends(actions)[0], Outcome.RESET, MS)) == []
 
 
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -21,7 +21,7 @@
     driver = Driver()
     for _ in range(20):
         driver.serve(latency=0)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def test_host_classes_are_opaque_groups() -> None:
@@ -47,7 +47,7 @@
     )
     driver = Driver(entries=entries)
     for _ in range(15):
-        request, actions = driver.ask(after=SECOND)
+        request, actions = driver.start_request(after=SECOND)
         name = sends(actions)[0]
         driver.end(request, name, latency=200 * MS if name[0] == "s" else 40 * MS)
     unobserved = {
@@ -66,14 +66,14 @@
     endpoint = driver.balancer.endpoints["h0"]
     model = driver.balancer.models.latency
     before = model.expected_latency(driver.now, endpoint)
-    (lost, _), (other, _) = driver.ask(), driver.ask(after=1 * MS)
-    driver.feed(TimerFired("none"), 400 * MS)
+    (lost, _), (other, _) = driver.start_request(), driver.start_request(after=1 * MS)
+    driver.handle_event(TimerFired("none"), 400 * MS)
     assert model.expected_latency(driver.now, endpoint) > 4 * before  # silent, as far as is known
     driver.end(other, "h0", latency=50 * MS)
     # it responds, so the response to what it was sent earlier is lost
     assert model.expected_latency(driver.now, endpoint) < 1.5 * before
     factor = endpoint.latency_factor.value
-    driver.feed(AttemptEnded(lost, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
+    driver.handle_event(AttemptEnded(lost, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
     assert endpoint.latency_factor.value == factor
 
 
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -43,7 +43,7 @@
     driver = Driver()
     for _ in range(30):
         driver.serve(report=report)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 @pytest.mark.parametrize("field", list(LoadField))
@@ -51,7 +51,7 @@
     driver = Driver(load_report_fields=(field,))
     for _ in range(30):
         driver.serve(report=(0.5,))
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def list_update(sizes: dict[str, float], kinds: dict[str, int] | None = None) -> EndpointListUpdate:
@@ -69,14 +69,14 @@
         load_report_fields=(LoadField.UTILIZATION, LoadField.IN_FLIGHT),
         slow_start_duration=0,
     )
-    driver.feed(list_update(sizes, kinds))
+    driver.handle_event(list_update(sizes, kinds))
     return driver
 
 
 def test_a_capacity_that_varies_with_load_is_parted_into_capacity_and_load() -> None:
     kinds = {"a": 0, "b": 1}
     driver = driver_with_varying_capacities({"a": 2.0, "b": 0.5}, kinds)
-    driver.feed(list_update({"a": 0.5, "b": 0.5}, kinds), SECOND)
+    driver.handle_event(list_update({"a": 0.5, "b": 0.5}, kinds), SECOND)
     a, b = (driver.balancer.endpoints[name] for name in "ab")
     assert (a.capacity, b.capacity) == (2.0, 0.5)
     assert 0 < a.reported_load <= 3.0
@@ -86,7 +86,7 @@
 def test_one_late_list_does_not_turn_all_traffic() -> None:
     # every instance follows the same list: a load that was listed once moves shares by less than it says
     driver = driver_with_varying_capacities(dict.fromkeys("abcd", 1.0))
-    driver.feed(list_update({"a": 1 / 7, "b": 1.0, "c": 1.0, "d": 1.0}), SECOND)
+    driver.handle_event(list_update({"a": 1 / 7, "b": 1.0, "c": 1.0, "d": 1.0}), SECOND)
     got = Counter(driver.serve(latency=1) for _ in range(400))
     assert got["a"] > 15, got
     assert got["a"] < min(got[name] for name in "bcd")
@@ -97,22 +97,22 @@
     for _ in range(20):
         driver.serve(latency=40 * MS)
     for _ in range(12):
-        driver.feed(list_update({"a": 1 / 9, "b": 1.0}), SECOND)
+        driver.handle_event(list_update({"a": 1 / 9, "b": 1.0}), SECOND)
     got = Counter(driver.serve(latency=1) for _ in range(200))
     assert got["a"] < 10, got
 
 
 def test_a_capacity_that_is_no_positive_number_tells_no_load() -> None:
     driver = driver_with_varying_capacities({"a": 1.0, "b": 1.0})
-    driver.feed(list_update({"a": 0.0, "b": float("nan")}), SECOND)
+    driver.handle_event(list_update({"a": 0.0, "b": float("nan")}), SECOND)
     assert all(u.reported_load == 0.0 and u.capacity == 1.0 for u in driver.balancer.endpoints.values())
 
 
 def test_endpoints_of_a_changed_list_keep_their_attempts_in_flight() -> None:
     driver = driver_with_varying_capacities({"a": 1.0})
-    request, _ = driver.ask()
+    request, _ = driver.start_request()
     (entry,) = list_update({"a": 0.5}).entries
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (replace(entry),)), SECOND)
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, (replace(entry),)), SECOND)
     assert len(driver.balancer.endpoints["a"].in_flight) == 1
     driver.end(request, "a")
     assert not driver.balancer.endpoints["a"].in_flight
@@ -139,6 +139,6 @@
         driver.serve(report=(value,))
     varying = driver_with_varying_capacities({"a": 1.0, "b": 1.0})
     for _ in range(20):
-        varying.feed(list_update({"a": value, "b": 1e300}), SECOND)
+        varying.handle_event(list_update({"a": value, "b": 1e300}), SECOND)
         varying.serve(report=(value,))
     assert all(record.reported_load <= 1 for record in varying.balancer.endpoints.values())
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -36,14 +36,14 @@
     driver = Driver(entries=listed_entries(3, 0))
     for _ in range(12):
         driver.finish(lambda _: (Outcome.CONNECT_FAILED, MS))
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def test_timeout_under_load_is_not_taken_for_failure() -> None:
     """An endpoint that responded since the attempt was sent is slow, not silent."""
     driver = Driver(entries=listed_entries(1, 0))
-    one, actions = driver.ask()
-    two, _ = driver.ask()
+    one, actions = driver.start_request()
+    two, _ = driver.start_request()
     driver.end(two, "h0", latency=900 * MS)
     driver.end(one, "h0", Outcome.TIMEOUT, 100 * MS)
     assert driver.balancer.endpoints["h0"].error_ratio == 0
@@ -96,7 +96,7 @@
 def test_an_endpoint_that_was_full_once_is_not_lost_to_non_idempotent_requests() -> None:
     """Only an own success ends a class's ejection, and non-idempotent requests are no trials."""
     driver = Driver(entries=listed_entries(3, 0))
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     full = sends(actions)[0]
     driver.end(request, full, Outcome.OVERLOADED, MS)
     driver.now += 3 * SECOND
@@ -170,12 +170,12 @@
 @pytest.mark.parametrize("outcome", [Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
 def test_an_attempt_that_ends_after_its_zone_has_left_the_list_is_taken_in(outcome: Outcome) -> None:
     driver = Driver(entries=listed_entries(0, 3))
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     endpoint = sends(actions)[0]
     gone = tuple(replace(entry, status=EndpointStatus.REMOVED) for entry in listed_entries(0, 3))
-    driver.feed(EndpointListUpdate(ListForm.DELTA, gone))
-    driver.feed(AttemptEnded(request, 0, endpoint, outcome, 900 * MS, outcome is Outcome.SUCCESS))
-    driver.ask()
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, gone))
+    driver.handle_event(AttemptEnded(request, 0, endpoint, outcome, 900 * MS, outcome is Outcome.SUCCESS))
+    driver.start_request()
 
 
 def test_ejections_in_a_row_double_up_to_the_maximum_and_one_success_ends_them() -> None:
--- a/tests/policy/test_retry_limits.py
+++ b/tests/policy/test_retry_limits.py
@@ -50,7 +50,7 @@
     """Return how many retries so many requests made of which every attempt finds no endpoint."""
     retries = 0
     for _ in range(count):
-        request, actions = driver.ask(after=after)
+        request, actions = driver.start_request(after=after)
         attempt = 0
         while endpoints := sends(actions):
             actions = driver.end(request, endpoints[0], Outcome.CONNECT_FAILED, 1, attempt)
@@ -92,11 +92,11 @@
 def test_hedged_attempts_and_retries_share_one_limit() -> None:
     driver = Driver(**{**LIMIT, "retry_window_allowance": 1.0, "retry_window_ratio": 0.0})
     driver.balancer.retry_budget.tokens = 8.0
-    _, actions = driver.ask()
+    _, actions = driver.start_request()
     timer = next(a for a in actions if isinstance(a, SetTimer))
-    copied = sends(driver.feed(TimerFired(timer.token), timer.delay))
+    copied = sends(driver.handle_event(TimerFired(timer.token), timer.delay))
     assert len(copied) == 1
-    second, actions = driver.ask()
+    second, actions = driver.start_request()
     assert not sends(driver.end(second, sends(actions)[0], Outcome.CONNECT_FAILED))
 
 
@@ -175,7 +175,7 @@
             event = AttemptEnded(
                 number, attempt, endpoint, data.draw(strategies.sampled_from(failures)), 10 * MS
             )
-        for action in driver.feed(event):
+        for action in driver.handle_event(event):
             if isinstance(action, SetTimer):
                 timers.append(action.token)
             elif isinstance(action, StartAttempt):
--- a/tests/policy/test_send_guard.py
+++ b/tests/policy/test_send_guard.py
@@ -29,15 +29,15 @@
     driver = Driver()
     for _ in range(30):
         driver.serve()
-    request, actions = driver.ask(NON_IDEMPOTENT)
+    request, actions = driver.start_request(NON_IDEMPOTENT)
     assert not [a for a in actions if isinstance(a, SetTimer)]
-    assert driver.feed(TimerFired(f"copy:{request}"), SECOND) == []
+    assert driver.handle_event(TimerFired(f"copy:{request}"), SECOND) == []
     assert driver.end(request, sends(actions)[0], Outcome.TIMEOUT) == [FailRequest(request)]
 
 
 def test_non_idempotent_request_is_retried_after_proof_that_it_was_never_executed() -> None:
     driver = Driver()
-    request, actions = driver.ask(NON_IDEMPOTENT)
+    request, actions = driver.start_request(NON_IDEMPOTENT)
     assert sends(driver.end(request, sends(actions)[0], Outcome.OVERLOADED, MS))
 
 
@@ -49,14 +49,14 @@
 ) -> None:
     for seed in range(20):
         driver = Driver(seed=seed)
-        request, actions = driver.ask(class_index)
+        request, actions = driver.start_request(class_index)
         first = driver.balancer.endpoints[sends(actions)[0]]
         for name in sends(driver.end(request, first.name, Outcome.RESET, MS)):
             record = driver.balancer.endpoints[name]
             assert outside != "zone" or record.zone == first.zone
             assert outside != "cell" or (record.zone, record.cell) == (first.zone, first.cell)
         driver = Driver(seed=seed)
-        request, actions = driver.ask(class_index)
+        request, actions = driver.start_request(class_index)
         assert not sends(driver.end(request, sends(actions)[0], Outcome.RESET, SECOND))
 
 
@@ -64,13 +64,13 @@
     driver = Driver(may_run_parallel_attempts=False)
     for _ in range(30):
         driver.serve()
-    request, _ = driver.ask()
-    assert sends(driver.feed(TimerFired(f"copy:{request}"), SECOND)) == []
+    request, _ = driver.start_request()
+    assert sends(driver.handle_event(TimerFired(f"copy:{request}"), SECOND)) == []
 
 
 def test_attempts_never_exceed_the_allowed_number() -> None:
     driver = Driver(max_attempts=2)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     tries = 0
     while endpoints := sends(actions):
         actions = driver.end(request, endpoints[0], Outcome.OVERLOADED, MS, tries)
@@ -81,7 +81,7 @@
 
 def test_the_guard_gives_one_final_response_and_no_attempt_after_it() -> None:
     driver = Driver()
-    request_id, _ = driver.ask()
+    request_id, _ = driver.start_request()
     balancer = driver.balancer
     request = balancer.lifecycle.requests[request_id]
     endpoint = balancer.endpoints["h1"]
@@ -93,7 +93,7 @@
 
 def test_the_guard_sends_nothing_to_an_endpoint_that_drains_whoever_asks() -> None:
     driver = Driver()
-    request_id, _ = driver.ask()
+    request_id, _ = driver.start_request()
     balancer = driver.balancer
     balancer.endpoints["h1"].is_routable = False
     request = balancer.lifecycle.requests[request_id]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -26,16 +26,18 @@
         for _ in range(20):
             driver.serve(latency=service)
         driver.now = start + 10 * SECOND
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),)))
+        driver.handle_event(
+            EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),))
+        )
         drivers.append(driver)
     sent: list[int] = []
     for step in range(1000):
         for driver in drivers:
             driver.now = start + 10 * SECOND + step * 10 * MS
-            request, actions = driver.ask()
+            request, actions = driver.start_request()
             if sends(actions):
                 sent.append(driver.now)
-                driver.feed(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service, True))
+                driver.handle_event(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service, True))
     assert sent
     for at in sent:
         share = 0.2 + 0.8 * (at - start - 10 * SECOND) / (10 * SECOND)
@@ -47,7 +49,7 @@
     driver = Driver(entries=listed_entries(2, 0))
     for _ in range(20):
         driver.serve()
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
     record = driver.balancer.endpoints["h0"]
     assert record.latency_factor.weight == 0
     assert record.warm_fraction_at(driver.now, driver.balancer.settings) == pytest.approx(0.2)
@@ -61,7 +63,7 @@
         EndpointEntry("old", started_at=driver.now - 20 * SECOND),
         EndpointEntry("new", started_at=driver.now),
     )
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (old, new)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, (old, new)))
     assert {driver.serve(latency=10 * MS) for _ in range(20)} >= {"old"}
 
 
@@ -74,16 +76,16 @@
         for _ in range(5):
             driver.serve(latency=service)
         driver.now = start
-        driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
+        driver.handle_event(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
         drivers.append(driver)
     sent: list[int] = []
     for step in range(20):
         for n, driver in enumerate(drivers):
             driver.now = start + step * 500 * MS + n * MS
-            request, actions = driver.ask()
+            request, actions = driver.start_request()
             sent += [driver.now for name in sends(actions) if name == "cold"]
             for name in sends(actions):
-                driver.feed(AttemptEnded(request, 0, name, Outcome.SUCCESS, service, True))
+                driver.handle_event(AttemptEnded(request, 0, name, Outcome.SUCCESS, service, True))
     assert len(sent) > 10
     for at in sent:
         share = 0.2 + 0.8 * (at - start) / (10 * SECOND)
@@ -126,7 +128,7 @@
     """Guards against a division by 0 that ended the process at its first request."""
     driver = Driver(entries=(), slow_start_duration=0)
     entry = EndpointEntry("new", started_at=driver.now + ahead)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)))
     assert [driver.serve(latency=MS) for _ in range(20)] == ["new"] * 20
 
 
@@ -136,7 +138,7 @@
     listed_at = driver.now
     entry = EndpointEntry("new", started_at=listed_at + 300 * SECOND)
     for _ in range(5):
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)), after=SECOND)
+        driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)), after=SECOND)
     settings, record = driver.balancer.settings, driver.balancer.endpoints["new"]
     first_listed_at = listed_at + SECOND
     assert record.warm_fraction_at(first_listed_at, settings) == pytest.approx(0.2)
@@ -161,7 +163,7 @@
 def test_requests_under_earlier_settings_without_a_warm_up_end_beside_a_warming_endpoint() -> None:
     """Guards against a division by 0 in the instance that still ends them after a switch of settings."""
     driver = Driver(entries=(EndpointEntry("new", started_at=990 * SECOND),), slow_start_duration=0)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     earlier = driver.balancer
     driver.switch_settings(slow_start_duration=60 * SECOND)
     ended = AttemptEnded(request, 0, sends(actions)[0], Outcome.CONNECT_FAILED, MS)
@@ -178,7 +180,7 @@
     )
     served = 0
     for step in range(100):
-        request, actions = driver.ask(after=100 * MS if step else 0)
+        request, actions = driver.start_request(after=100 * MS if step else 0)
         for endpoint in sends(actions):
             driver.end(request, endpoint, latency=MS)
             served += 1
@@ -189,11 +191,11 @@
     """Guards against a division by 0 in the earlier one, and a bound that it lifts for the later one."""
     entries = (EndpointEntry("warm"), EndpointEntry("new", started_at=995 * SECOND))
     driver = Driver(entries=entries, overload_window=0, instance_count=3)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     earlier = driver.balancer
     driver.switch_settings(instance_count=3)
     record = driver.balancer.endpoints["new"]
-    driver.ask()
+    driver.start_request()
     assert 0.25 < record.send_allowance < 1
     (attempted,) = sends(actions)
     retried = sends(
--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -118,7 +118,7 @@
 def test_an_endpoint_is_out_of_rotation_while_it_drains_or_is_ejected_for_every_class() -> None:
     driver = Driver(slow_start_duration=0)
     assert driver.balancer.count_unavailable(driver.now) == 0
-    request, actions = driver.ask(IDEMPOTENT)
+    request, actions = driver.start_request(IDEMPOTENT)
     first = sends(actions)[0]
     driver.end(request, first, Outcome.CONNECT_FAILED)
     assert driver.balancer.count_unavailable(driver.now) == 1
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -30,9 +30,9 @@
     driver = Driver(entries=endpoints(), instance_count=ENDPOINT_COUNT)
     assert len(endpoints_used(driver)) > 100
     leaving = endpoints(status=EndpointStatus.DRAINING)[: ENDPOINT_COUNT - 2]
-    driver.feed(EndpointListUpdate(ListForm.DELTA, leaving))
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, leaving))
     assert not endpoints_used(driver) & {e.endpoint for e in leaving}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, endpoints("b")))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, endpoints("b")))
     assert endpoints_used(driver) <= {e.endpoint for e in endpoints("b")}
     assert len(driver.balancer.endpoints) == ENDPOINT_COUNT
 
