--- a/tests/server/test_admin.py
+++ b/tests/server/test_admin.py
@@ -34,12 +34,12 @@
         assert send_admin_request(address, "/admin/health").status == 200
         initial = read_metrics(address)
         assert initial[outcome_metric("look", "fulfilled")] == initial[outcome_metric("book", "faulted")] == 0
-        assert [sidecar.ask().status for _ in range(3)] == [200] * 3
-        assert sidecar.ask("pay").status == 200
-        assert sidecar.ask("look", "0").status == 504
-        assert sidecar.ask("nothing").status == 400
+        assert [sidecar.send_class_request().status for _ in range(3)] == [200] * 3
+        assert sidecar.send_class_request("pay").status == 200
+        assert sidecar.send_class_request("look", "0").status == 504
+        assert sidecar.send_class_request("nothing").status == 400
         world.upstreams[0].script = lambda _message, _wire: None
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         metrics = wait_until(lambda: (m := read_metrics(address))[outcome_metric("pay", "faulted")] and m)
         assert outcome_counts(metrics, "look") == (3, 1)
         assert outcome_counts(metrics, "pay") == (1, 1)
@@ -58,7 +58,7 @@
         world.discovery.change(upstream.entry(state="DRAINING"))
         wait_until(lambda: read_metrics(address)["app_out_of_rotation"] == 1)
         assert read_metrics(address)["app_registry_entries"] == 1
-        assert sidecar.ask("pay").status == 503
+        assert sidecar.send_class_request("pay").status == 503
         wait_until(lambda: read_metrics(address)[outcome_metric("pay", "throttled")] == 1)
         wire.sock.close()
         wait_until(lambda: read_metrics(address)["app_open_requests"] == 0)
@@ -78,7 +78,7 @@
         for wire in silent_clients[::2]:
             wire.sock.sendall(b"GET /admin/stats HTTP/1.1\r\nHo")
         assert send_admin_request(address, "/admin/health").status == 200
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         assert all(wire.read() is None for wire in silent_clients[1::2]), "each is closed"
         for wire in silent_clients:
             wire.sock.close()
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -19,7 +19,7 @@
     world.sidecar.prefix = "ulimit -n 80; "
     with world as sidecar:
         idle = [sidecar.connect() for _ in range(100)]
-        assert [sidecar.ask().status for _ in range(5)] == [200] * 5
+        assert [sidecar.send_class_request().status for _ in range(5)] == [200] * 5
         process = sidecar.process
         assert process
         assert len(os.listdir(f"/proc/{process.pid}/fd")) < 80
@@ -82,11 +82,14 @@
             wire.sock.sendall(b"GET /look")
         calls = len(world.discovery.calls)
         wait_until(lambda: len(world.discovery.calls) > calls + 1, "called while it is down")
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         world.discovery.change(a.entry(state="DRAINING"))
         world.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
         world.discovery.scripted.clear()
-        wait_until(lambda: {sidecar.ask().body for _ in range(10)} == {b"b"}, "what it tells at its return")
+        wait_until(
+            lambda: {sidecar.send_class_request().body for _ in range(10)} == {b"b"},
+            "what it tells at its return",
+        )
         assert sidecar.process is not None
         assert sidecar.process.poll() is None
         for wire in idlers:
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -102,14 +102,14 @@
             assert new.process
             assert new.process.wait(20) == 2
         new.process.wait(20)
-        assert [pair.old.ask("pay").status for _ in range(3)] == [200] * 3
+        assert [pair.old.send_class_request("pay").status for _ in range(3)] == [200] * 3
         third = pair.start_successor()
         assert pair.old.end() == 0
         kept.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
         reply = kept.read()
         assert reply
         assert reply.status == 200
-        assert third.ask("pay").status == 200
+        assert third.send_class_request("pay").status == 200
 
 
 def test_after_a_kill_the_successor_serves_and_a_stale_socket_file_is_replaced(tmp_path: Path) -> None:
@@ -117,13 +117,13 @@
         new = pair.start_successor()
         assert pair.old.process
         pair.old.process.kill()
-        assert new.ask("pay").status == 200
+        assert new.send_class_request("pay").status == 200
         assert new.process
         new.process.kill()
         new.process.wait(20)
         assert list((tmp_path / "t").glob("*.sock"))
         later = pair.start_successor()
-        assert later.ask("pay").status == 200
+        assert later.send_class_request("pay").status == 200
 
 
 def test_without_a_socket_file_both_listen_and_the_log_says_so(tmp_path: Path) -> None:
@@ -143,7 +143,7 @@
             new.launch()
             wait_until(lambda: is_running_and_ready(new))
             assert old.end() == 0
-            assert [new.ask("pay").status for _ in range(5)] == [200] * 5
+            assert [new.send_class_request("pay").status for _ in range(5)] == [200] * 5
 
 
 def test_of_two_successors_at_once_one_waits(tmp_path: Path) -> None:
@@ -154,7 +154,7 @@
         other = second if ready is first else first
         wait_until(lambda: is_running_and_ready(other))
         assert ready.end() == 0
-        assert other.ask("pay").status == 200
+        assert other.send_class_request("pay").status == 200
 
 
 @pytest.mark.parametrize("found", ["a socket without a listener", "a process that ends as it accepts"])
@@ -175,7 +175,7 @@
         away.rename(path)
         wait_until(lambda: is_running_and_ready(new))
         assert pair.old.end() == 0
-        assert new.ask("pay").status == 200
+        assert new.send_class_request("pay").status == 200
 
 
 def test_an_unknown_client_of_the_socket_gets_nothing_and_blocks_nobody(tmp_path: Path) -> None:
@@ -204,7 +204,7 @@
         away.rename(path)
         new = pair.start_successor()
         assert pair.old.end() == 0
-        assert new.ask("pay").status == 200
+        assert new.send_class_request("pay").status == 200
 
 
 def with_other_classes(values: dict[str, Any]) -> dict[str, Any]:
@@ -230,10 +230,10 @@
         assert "hot_restart_granted" not in log
         assert "cannot_listen" in log
         assert "hot_restart_requested" not in pair.old.log()
-        assert pair.old.ask("pay").status == 200
+        assert pair.old.send_class_request("pay").status == 200
         new = pair.start_successor()
         assert pair.old.end() == 0
-        assert new.ask("pay").status == 200
+        assert new.send_class_request("pay").status == 200
 
 
 def test_two_customers_with_one_folder_each_take_over_their_own_process(tmp_path: Path) -> None:
@@ -251,10 +251,10 @@
         wait_until(lambda: is_running_and_ready(newer) and is_running_and_ready(newest))
         assert one.old.end() == 0
         assert other.old.end() == 0
-        assert newer.ask("pay").body == b"ok"
-        assert newest.ask("their-pay").body == b"ok"
-        assert newer.ask("their-pay").status == 400
-        assert newest.ask("pay").status == 400
+        assert newer.send_class_request("pay").body == b"ok"
+        assert newest.send_class_request("their-pay").body == b"ok"
+        assert newer.send_class_request("their-pay").status == 400
+        assert newest.send_class_request("pay").status == 400
         assert [len(server.seen) for server in (*one.world.upstreams, *other.world.upstreams)] == [1, 1]
 
 
@@ -276,7 +276,7 @@
         wait_until(lambda: elsewhere.calls)
         assert "from=0" in elsewhere.calls[0]
         before = len(b.seen)
-        assert new.ask("pay").status == 200
+        assert new.send_class_request("pay").status == 200
         assert len(b.seen) == before + 1
     elsewhere.close()
     b.close()
--- a/tests/server/test_hot_restart_compatibility.py
+++ b/tests/server/test_hot_restart_compatibility.py
@@ -158,7 +158,7 @@
     assert '"snapshot_restored": true' in log
     assert '"same_settings": true' in log
     peer.sock.close()
-    after = sidecar.talk(http_request("/look/k", "GET", "X-Trace-Id: after", "X-Expires-In: 2.0"))
+    after = sidecar.exchange(http_request("/look/k", "GET", "X-Trace-Id: after", "X-Expires-In: 2.0"))
     assert after.status == 200
     client.sock.close()
     assert sidecar.end() == 0
--- a/tests/server/test_invalid_requests.py
+++ b/tests/server/test_invalid_requests.py
@@ -107,9 +107,9 @@
 ) -> None:
     sidecar, server = serving
     seen = len(server.seen)
-    assert sidecar.talk(data).status == status
+    assert sidecar.exchange(data).status == status
     assert len(server.seen) == seen
-    assert sidecar.ask().status == 200
+    assert sidecar.send_class_request().status == 200
 
 
 def test_a_complete_request_is_served_before_invalid_bytes_behind_it_are_rejected(
@@ -137,12 +137,12 @@
         first.sock.sendall(http_request("/look/mine", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0"))
         wait_until(lambda: server.seen)
         copy = http_request("/look/theirs", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0")
-        assert sidecar.talk(copy).status == 409
+        assert sidecar.exchange(copy).status == 409
         let.set()
         reply = first.read()
         assert reply
         assert reply.body == b"/look/mine"
-        assert sidecar.talk(copy).status == 409
+        assert sidecar.exchange(copy).status == 409
         assert len(server.seen) == 1
         first.sock.close()
 
@@ -169,8 +169,8 @@
         wire = sidecar.connect()
         wire.sock.sendall(data)
         wire.sock.close()
-    assert sidecar.ask().status == 200
+    assert sidecar.send_class_request().status == 200
 
 
 def test_a_very_long_timeout_is_accepted(serving: tuple[SidecarProcess, UpstreamServer]) -> None:
-    assert serving[0].ask(expires="1e300").status == 200
+    assert serving[0].send_class_request(expires="1e300").status == 200
--- a/tests/server/test_long_requests.py
+++ b/tests/server/test_long_requests.py
@@ -79,7 +79,7 @@
     """An upstream that closes the connection within the body has not executed the request."""
 
     class ClosingUpstream(UpstreamServer):
-        def speak(self, wire: HttpConnection) -> None:
+        def serve_connection(self, wire: HttpConnection) -> None:
             wire.sock.recv(1000)
 
     for memory_mb, statuses in ((192, {200}), (24, {200, 503})):
@@ -148,7 +148,7 @@
             thread.start()
         max_resident = 0
         for _ in range(40):
-            assert sidecar.ask("look").status in (200, 503)
+            assert sidecar.send_class_request("look").status in (200, 503)
             max_resident = max(max_resident, resident_bytes(sidecar))
         stop.set()
         for thread in threads:
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -20,13 +20,13 @@
     a, b = UpstreamServer("a"), UpstreamServer("b")
     world = Deployment(tmp_path, a)
     with world as sidecar:
-        assert sidecar.ask().body == b"a"
+        assert sidecar.send_class_request().body == b"a"
         wire = sidecar.connect()
         for _ in range(2):
             other = DiscoveryServer([b.entry()])
             sidecar.config["discovery"] = other.address
             send_reload(sidecar, json.dumps(sidecar.config))
-            wait_until(partial(lambda name: sidecar.ask().body == name, b.name.encode()))
+            wait_until(partial(lambda name: sidecar.send_class_request().body == name, b.name.encode()))
             wire.sock.sendall(class_request())
             reply = wire.read()
             assert reply
@@ -67,7 +67,7 @@
             send_reload(sidecar, text)
             wait_until(partial(lambda at: "reload_rejected" in sidecar.log()[at:], before))
             assert f'"{key}' in sidecar.log()[before:]
-            assert sidecar.ask().status == 200
+            assert sidecar.send_class_request().status == 200
             time.sleep(1.0)  # at most one line of an event is logged a second
         (tmp_path / "config.json").unlink()
         assert sidecar.process is not None
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -26,7 +26,7 @@
     )
     with Deployment(tmp_path, server) as sidecar:
         headers = ["X-Trace-Id: 9b1f", "X-Expires-In: 1.5", "Idempotency-Key: 5c0f"]
-        reply = sidecar.talk(http_request("/book/k9?q=%20", "POST", *headers, body=body))
+        reply = sidecar.exchange(http_request("/book/k9?q=%20", "POST", *headers, body=body))
         (seen,) = server.seen
         assert (reply.status, reply.body, reply.headers["content-type"]) == (200, body[::-1], "x/y")
         assert seen.start == "POST /book/k9?q=%20 HTTP/1.1"
@@ -71,7 +71,7 @@
 
 def test_without_endpoints_a_request_is_rejected_with_retry_after(tmp_path: Path) -> None:
     with Deployment(tmp_path) as sidecar:
-        reply = sidecar.ask()
+        reply = sidecar.send_class_request()
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) == 0.5
 
@@ -80,7 +80,7 @@
     full, down, good = UpstreamServer("a", reject_as_never_run), UpstreamServer("b"), UpstreamServer("c")
     down.close()
     with Deployment(tmp_path, full, down, good) as sidecar:
-        assert [sidecar.ask("pay").status for _ in range(8)] == [200] * 8
+        assert [sidecar.send_class_request("pay").status for _ in range(8)] == [200] * 8
         assert len(good.seen) == 8
 
 
@@ -90,7 +90,7 @@
         UpstreamServer("b", lambda _request, _wire: None),
     )
     with Deployment(tmp_path, broken, spare) as sidecar:
-        assert [sidecar.ask("pay").status for _ in range(4)] == [502] * 4
+        assert [sidecar.send_class_request("pay").status for _ in range(4)] == [502] * 4
         assert len(broken.seen) + len(spare.seen) == 4
 
 
@@ -106,11 +106,11 @@
 def test_an_invalid_response_fails_its_own_request_only(tmp_path: Path, reply: bytes | None) -> None:
     server = UpstreamServer("a", lambda _request, _wire: reply)
     with Deployment(tmp_path, server) as sidecar:
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         server.script = lambda _request, _wire: http_response(
             b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=\xff,="
         )
-        assert sidecar.ask("look").status == 200
+        assert sidecar.send_class_request("look").status == 200
 
 
 def test_a_large_response_is_served(tmp_path: Path) -> None:
@@ -118,7 +118,7 @@
     body = bytes(range(256)) * 1400
     server = UpstreamServer("a", lambda _request, _wire: http_response(body))
     with Deployment(tmp_path, server) as sidecar:
-        assert sidecar.ask("pay").body == body
+        assert sidecar.send_class_request("pay").body == body
         assert len(server.seen) == 1
 
 
@@ -127,7 +127,7 @@
         wire.sock.sendall(http_response(b"x" * 1000)[:500])
 
     with Deployment(tmp_path, UpstreamServer("a", half)) as sidecar:
-        reply = sidecar.ask("pay")
+        reply = sidecar.send_class_request("pay")
         assert (reply.status, reply.body) == (502, b"")
 
 
@@ -139,7 +139,7 @@
         stuck = sidecar.connect()
         stuck.sock.sendall(class_request("pay", "0.4", b"hold"))
         wait_until(lambda: server.seen)
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         reply = stuck.read()
         assert reply
         assert reply.status == 502
@@ -156,7 +156,7 @@
         wire.sock.close()
         wait_until(lambda: server.closed, "the attempt was called off")
         server.script = lambda _request, _wire: http_response(b"ok")
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         sidecar.end()
         assert final_counts(sidecar.log())["disconnected"] == 1
 
@@ -165,12 +165,12 @@
     a, b = UpstreamServer("a"), UpstreamServer("b")
     world = Deployment(tmp_path, a, b)
     with world as sidecar:
-        wait_until(lambda: sidecar.ask("pay").body == b"a")
+        wait_until(lambda: sidecar.send_class_request("pay").body == b"a")
         wait_until(lambda: world.discovery.calls)
         world.discovery.change(a.entry(state="DRAINING"))
         wait_until(lambda: a.closed == len(a.connections))
         seen = len(a.seen)
-        assert {sidecar.ask("pay").body for _ in range(10)} == {b"b"}
+        assert {sidecar.send_class_request("pay").body for _ in range(10)} == {b"b"}
         assert len(a.seen) == seen
 
 
@@ -178,10 +178,10 @@
     a, moved = UpstreamServer("a"), UpstreamServer("moved")
     world = Deployment(tmp_path, a)
     with world as sidecar:
-        assert sidecar.ask().body == b"a"
+        assert sidecar.send_class_request().body == b"a"
         wait_until(lambda: world.discovery.calls)
         world.discovery.change(a.entry(addr=moved.address))
-        wait_until(lambda: sidecar.ask().body == b"moved")
+        wait_until(lambda: sidecar.send_class_request().body == b"moved")
     moved.close()
 
 
@@ -201,7 +201,7 @@
 def test_idle_connections_are_closed_before_the_upstream_closes_them(tmp_path: Path) -> None:
     server = UpstreamServer("a")
     with Deployment(tmp_path, server, keepaliveUs=500 * MS, dialTimeoutUs=SECOND) as sidecar:
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         wait_until(lambda: server.closed == 1, "closed as idle")
 
 
@@ -209,6 +209,6 @@
     with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         lines = len(sidecar.log().splitlines())
         for _ in range(10):
-            sidecar.ask()
+            sidecar.send_class_request()
         assert len(sidecar.log().splitlines()) == lines
         assert not re.search("Traceback|error", sidecar.log())
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -30,7 +30,7 @@
         self.lock = threading.Lock()
 
     def ask(self, sidecar: SidecarProcess, class_name: str, trace: str) -> int:
-        reply = sidecar.talk(
+        reply = sidecar.exchange(
             http_request(f"/{class_name}/k", "GET", f"X-Trace-Id: {trace}", "X-Expires-In: 2.0")
         )
         with self.lock:
@@ -109,7 +109,7 @@
     with Deployment(tmp_path, UpstreamServer("a", first)) as sidecar:
         old = dict(sidecar.config)
         statuses: list[int] = []
-        thread = threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status))
+        thread = threading.Thread(target=lambda: statuses.append(sidecar.send_class_request("look").status))
         thread.start()
         assert held.wait(20)
         reload(sidecar, reshaped(old))
@@ -119,7 +119,7 @@
         thread.join()
         # rejected, as a retry is harmless; a non-idempotent one that may have run gets 502
         assert statuses == [503]
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         assert sidecar.end() == 0
 
 
@@ -137,7 +137,8 @@
     with Deployment(tmp_path, server := UpstreamServer("a", held)) as sidecar:
         statuses: list[int] = []
         threads = [
-            threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status)) for _ in "123"
+            threading.Thread(target=lambda: statuses.append(sidecar.send_class_request("look").status))
+            for _ in "123"
         ]
         for thread in threads:
             thread.start()
@@ -151,8 +152,8 @@
         for thread in threads:
             thread.join()
         assert statuses == [200] * 3
-        assert sidecar.ask("quote5").status == 200
-        assert sidecar.ask("quote4").status == 400
+        assert sidecar.send_class_request("quote5").status == 200
+        assert sidecar.send_class_request("quote4").status == 400
         assert sidecar.end() == 0
 
 
@@ -162,12 +163,12 @@
     with world as sidecar:
         old = dict(sidecar.config)
         world.discovery.change(a.entry(state="DRAINING"))
-        wait_until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
+        wait_until(lambda: all(sidecar.send_class_request().body == b"b" for _ in range(12)))
         seen = len(a.seen)
         reload(sidecar, reshaped(old))
-        assert {sidecar.ask("quote").body for _ in range(20)} == {b"b"}
+        assert {sidecar.send_class_request("quote").body for _ in range(20)} == {b"b"}
         reload(sidecar, old)
-        assert {sidecar.ask("look").body for _ in range(20)} == {b"b"}
+        assert {sidecar.send_class_request("look").body for _ in range(20)} == {b"b"}
         assert len(a.seen) == seen
 
 
@@ -176,7 +177,7 @@
         old = dict(sidecar.config)
         for values in invalid_files(old).values():
             reload(sidecar, values)
-            assert sidecar.ask("look").status == 200
+            assert sidecar.send_class_request("look").status == 200
             time.sleep(1.0)  # a line of one event a second
         assert "settings_switched" not in sidecar.log()
         assert sidecar.log().count("reload_rejected") == len(invalid_files(old))
@@ -246,15 +247,17 @@
         del without["settings"]["classes"][1]
         free = json.loads(json.dumps(first))
         free["settings"]["classes"][1]["repeat"] = "free"
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         assert len(server.seen) + len(world.upstreams[1].seen) == 1
         reload(sidecar, without)
-        assert sidecar.ask("pay").status == 400
+        assert sidecar.send_class_request("pay").status == 400
         broken = json.loads(json.dumps(free))
         del broken["settings"]["classes"][1]["repeat"]
         reload(sidecar, broken)
-        assert sidecar.ask("pay").status == 400, "nothing of a broken file acts"
+        assert sidecar.send_class_request("pay").status == 400, "nothing of a broken file acts"
         reload(sidecar, free)
         seen = len(server.seen) + len(world.upstreams[1].seen)
-        assert sidecar.ask("pay").status == 503, "it may run again, so that a repeat is harmless"
+        assert sidecar.send_class_request("pay").status == 503, (
+            "it may run again, so that a repeat is harmless"
+        )
         assert len(server.seen) + len(world.upstreams[1].seen) > seen + 1
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -35,7 +35,7 @@
         wait_until(lambda: '"draining"' in sidecar.log())
         # new connections still come for a while and are served; readiness is over
         try:
-            assert sidecar.ask().status == 200
+            assert sidecar.send_class_request().status == 200
             assert sidecar.get("/_health").status == 503
         except OSError:
             wait_until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -50,7 +50,7 @@
     sidecar = SidecarProcess(tmp_path, sidecar_config(unused_address(), [server.entry()]))
     with sidecar:
         wait_until(lambda: "discovery_poll_failed" in sidecar.log())
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
     server.close()
 
 
@@ -72,7 +72,7 @@
         http_response(json.dumps(listed).encode()),
     ]
     with world as sidecar:
-        assert {sidecar.ask().body for _ in range(20)} == {b"b"}
+        assert {sidecar.send_class_request().body for _ in range(20)} == {b"b"}
         assert not a.seen
         assert "endpoint_list_timeout" not in sidecar.log()
 
@@ -83,18 +83,18 @@
     world.sidecar.config["settings"]["registryMode"] = "automatic"
     world.discovery.scripted = [b""] * 100
     with world as sidecar:
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         assert "endpoint_list_timeout" in sidecar.log()
 
 
 def test_a_restarted_program_serves_on_the_same_address(tmp_path: Path) -> None:
     world = Deployment(tmp_path, UpstreamServer("a"))
     with world as sidecar:
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         assert sidecar.end() == 0
         sidecar.launch()
         wait_until(sidecar._ready)
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
 
 
 def test_the_simulation_host_imports_nothing_of_the_server() -> None:
--- a/tests/support/http.py
+++ b/tests/support/http.py
@@ -78,8 +78,8 @@
 _request_numbers = iter(range(1, 1_000_000))
 
 
-def class_request(klass: str = "look", expires: str = "2.0", body: bytes = b"") -> bytes:
+def class_request(class_name: str = "look", expires: str = "2.0", body: bytes = b"") -> bytes:
     """Return a valid request of a class, with an identifier of its own."""
     method = "POST" if body else "GET"
     named = [f"X-Trace-Id: {next(_request_numbers):016x}", f"X-Expires-In: {expires}"]
-    return http_request(f"/{klass}/k1", method, *named, body=body)
+    return http_request(f"/{class_name}/k1", method, *named, body=body)
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -48,9 +48,9 @@
 
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError, AssertionError), sock:
-            self.speak(HttpConnection(sock))
+            self.serve_connection(HttpConnection(sock))
 
-    def speak(self, wire: HttpConnection) -> None:
+    def serve_connection(self, wire: HttpConnection) -> None:
         """Serve one connection; it is closed once this returns."""
         raise NotImplementedError
 
@@ -83,7 +83,7 @@
         self.closed = 0
         super().__init__()
 
-    def speak(self, wire: HttpConnection) -> None:
+    def serve_connection(self, wire: HttpConnection) -> None:
         try:
             while request := wire.read():
                 self.seen.append(request)
@@ -121,7 +121,7 @@
             self.changed = list(entries)
             self.change_condition.notify_all()
 
-    def speak(self, wire: HttpConnection) -> None:
+    def serve_connection(self, wire: HttpConnection) -> None:
         while request := wire.read():
             with self.change_condition:
                 self.calls.append(request.target)
--- a/tests/support/sidecar_process.py
+++ b/tests/support/sidecar_process.py
@@ -63,9 +63,9 @@
         return HttpConnection(socket.create_connection((host, int(port)), TIMEOUT_SECONDS))
 
     def get(self, path: str) -> HttpMessage:
-        return self.talk(http_request(path))
+        return self.exchange(http_request(path))
 
-    def talk(self, data: bytes) -> HttpMessage:
+    def exchange(self, data: bytes) -> HttpMessage:
         """Send these bytes on a new connection and return the response."""
         wire = self.connect()
         with wire.sock:
@@ -74,8 +74,10 @@
         assert message is not None, "closed without a response"
         return message
 
-    def ask(self, klass: str = "look", expires: str = "2.0", body: bytes = b"") -> HttpMessage:
-        return self.talk(class_request(klass, expires, body))
+    def send_class_request(
+        self, class_name: str = "look", expires: str = "2.0", body: bytes = b""
+    ) -> HttpMessage:
+        return self.exchange(class_request(class_name, expires, body))
 
     def end(self) -> int:
         assert self.process is not None
