--- a/tests/server/admin_client.py
+++ b/tests/server/admin_client.py
@@ -27,7 +27,7 @@
         wire.sock.sendall(http_request(path, method))
         response = wire.read()
         assert response is not None
-        assert wire.ended()
+        assert wire.wait_for_close()
     return response
 
 
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -123,7 +123,7 @@
 
     def stop(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nx")
-        wire.ended()
+        wire.wait_for_close()
 
     server.script = stop
     attempts = RunningAttempts(server)
--- a/tests/server/test_invalid_requests.py
+++ b/tests/server/test_invalid_requests.py
@@ -119,7 +119,7 @@
     wire = serving[0].connect()
     wire.sock.sendall(class_request() + class_request() + b"NONSENSE\r\n\r\n")
     assert [reply and reply.status for reply in (wire.read(), wire.read(), wire.read())] == [200, 200, 400]
-    assert wire.ended()
+    assert wire.wait_for_close()
     wire.sock.close()
 
 
@@ -156,7 +156,7 @@
         reply = wire.read()
         assert reply
         assert reply.status == 400
-        assert wire.ended()
+        assert wire.wait_for_close()
         wire.sock.close()
     assert len(server.seen) == seen
 
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -194,7 +194,7 @@
                 reply = wire.read()
                 assert reply
                 assert reply.status == 200
-            assert kept or wire.ended()
+            assert kept or wire.wait_for_close()
             wire.sock.close()
 
 
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -41,7 +41,7 @@
             wait_until(lambda: '"shutting_down"' in sidecar.log(), "a machine too slow to ask in that while")
         assert kept
         assert kept.status == 200
-        assert idle.ended()
+        assert idle.wait_for_close()
         wait_until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
         let.set()
@@ -49,7 +49,7 @@
         assert reply
         assert reply.status == 200
         assert reply.headers["connection"] == "close"
-        assert busy.ended()
+        assert busy.wait_for_close()
         assert sidecar.process.wait(20) == 0
 
 
--- a/tests/support/http.py
+++ b/tests/support/http.py
@@ -56,7 +56,7 @@
         self.buffer += data
         return bool(data)
 
-    def ended(self) -> bool:
+    def wait_for_close(self) -> bool:
         """Wait until the other side has closed the connection."""
         while self._more():
             pass
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -100,7 +100,7 @@
 
 def never_respond(_request: HttpMessage, wire: HttpConnection) -> None:
     """Wait until the sidecar closes the connection: a script for `UpstreamServer`."""
-    wire.ended()
+    wire.wait_for_close()
 
 
 class DiscoveryServer(StandInServer):
