--- a/linetrack/emulator/__init__.py
+++ b/linetrack/emulator/__init__.py
@@ -1,4 +1,4 @@
 """Emulated upstreams and discovery on real loopback sockets.
 
-Imports nothing of the program: an emulator that shared the program's code would share its faults.
+Imports nothing of the sidecar: an emulator that shared the sidecar's code would share its faults.
 """
--- a/linetrack/emulator/active_faults.py
+++ b/linetrack/emulator/active_faults.py
@@ -1,4 +1,4 @@
-"""The faults that affect one upstream's requests at present."""
+"""The request faults that are active at one upstream."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
     requests: int = 0
 
     def affects_next_request(self) -> bool:
-        """Whether it affects this request; counts it."""
+        """Count a request and return whether the fault affects it."""
         self.requests += 1
         return self.requests % self.fault.one_in == 0
 
 
 class ActiveFaults:
-    """Faults begin and end by the timeline; each affects every nth request."""
+    """The active faults of one upstream, each of which affects every nth request (`one_in`)."""
 
     def __init__(self) -> None:
         self._faults: dict[int, _ActiveFault] = {}
 
     def begin(self, fault: RequestFault, start: int) -> None:
-        """A fault begins; `start` is when the timeline began."""
+        """Add a fault that begins now; `start` is when the timeline began."""
         self._faults[fault.fault_index] = _ActiveFault(fault, start + fault.ends_at)
 
     def end(self, fault_index: int) -> RequestFault:
-        """A fault ends; returns it."""
+        """Remove a fault that ends now, and return it."""
         return self._faults.pop(fault_index).fault
 
     def affects_request(self, kind: FaultKind) -> bool:
-        """Whether a fault of this kind affects this request."""
+        """Return whether a fault of this kind affects the next request; counts the request."""
         return any(
             active.affects_next_request() for active in self._faults.values() if active.fault.kind is kind
         )
 
     def slowdown(self) -> float:
-        """The factor on the work of this request."""
+        """Return the factor by which slow faults multiply the work of the next request; counts it."""
         factor = 1.0
         for active in self._faults.values():
             if active.fault.kind is FaultKind.SLOW and active.affects_next_request():
@@ -49,6 +49,6 @@
         return factor
 
     def stalled_until(self) -> int:
-        """Until when no work begins; 0 where it may begin at once."""
+        """Return the time before which no work may begin, or 0 if no stall is active."""
         stalls = [active.ends_at for active in self._faults.values() if active.fault.kind is FaultKind.STALL]
         return max(stalls, default=0)
--- a/linetrack/emulator/child_process.py
+++ b/linetrack/emulator/child_process.py
@@ -1,4 +1,4 @@
-"""A child process that takes orders as JSON lines on its standard input, and ends with it."""
+"""A child process that reads commands as JSON lines from standard input, and exits at its end."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 import msgspec
 
-EXIT_TIMEOUT_SECONDS = 10.0  # for a process to write what it holds and end
+EXIT_TIMEOUT_SECONDS = 10.0  # for a process to write its buffered data and exit
 
 
 class ChildFailedError(Exception):
-    """A process did not come up, or ended early.
+    """A child process did not start, or exited early.
 
     Attributes:
-        module: the module that it runs.
-        reason: how it ended.
+        module: the module that the process runs.
+        reason: how the process exited.
     """
 
     def __init__(self, module: str, reason: str) -> None:
@@ -30,15 +30,15 @@
 
 
 def _ignore_interrupts() -> None:
-    # Ctrl-C would otherwise end the process before the partial results are kept
+    # Otherwise Ctrl-C would end the process before the partial results are saved.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 class ChildProcess:
-    """One process that runs a module."""
+    """A child process that runs one module."""
 
     def __init__(self, module: str, config: dict[str, Any]) -> None:
-        """Start it; `config` is the first line of its input."""
+        """Start the process and send `config` as the first line of its input."""
         self.module = module
         self.process = subprocess.Popen(
             [sys.executable, "-m", module],
@@ -49,38 +49,38 @@
         self.send(config)
 
     def send(self, message: dict[str, Any]) -> None:
-        """Write one line to its input.
+        """Write one line to the process's input.
 
         Raises:
-            ChildFailedError: it has ended.
+            ChildFailedError: the process has exited.
         """
         assert self.process.stdin is not None
         try:
             self.process.stdin.write(msgspec.json.encode(message) + b"\n")
             self.process.stdin.flush()
         except OSError as error:
-            raise ChildFailedError(self.module, f"has ended: {error.strerror}") from None
+            raise ChildFailedError(self.module, f"has exited: {error.strerror}") from None
 
     def receive(self) -> dict[str, Any]:
-        """Wait for the next line of its output.
+        """Wait for the next line of the process's output and return it, decoded.
 
         Raises:
-            ChildFailedError: it has ended.
+            ChildFailedError: the process has exited.
         """
         assert self.process.stdout is not None
         line = self.process.stdout.readline()
         if not line:
-            raise ChildFailedError(self.module, f"ended with status {self.process.wait()}")
+            raise ChildFailedError(self.module, f"exited with status {self.process.wait()}")
         message: dict[str, Any] = json.loads(line)
         return message
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited yet."""
         return self.process.poll() is None
 
     def stop(self) -> None:
-        """Close its input and wait for its end; kill it where that takes too long."""
+        """Close the process's input and wait until it exits; kill it after `EXIT_TIMEOUT_SECONDS`."""
         assert self.process.stdin is not None
         assert self.process.stdout is not None
         with contextlib.suppress(OSError):
@@ -94,16 +94,16 @@
 
 
 class ChildProcessGroup:
-    """Processes that belong together: launched by a subclass, started at one time, stopped together.
+    """Child processes that are launched by a subclass, begin the timeline together and are stopped together.
 
-    A context manager: the processes are launched as it is entered and stopped as it is left.
+    A context manager: the processes are launched on entry and stopped on exit.
     """
 
     def __init__(self) -> None:
         self.children: list[ChildProcess] = []
 
     def _launch(self) -> None:
-        """Start the processes and wait until they are ready."""
+        """Launch the processes and wait until they are ready."""
         raise NotImplementedError
 
     def __enter__(self) -> Self:
@@ -114,10 +114,10 @@
             raise
         return self
 
-    def start(self, at: int) -> None:
-        """Let the timeline begin at that time of the ledger's clock."""
+    def start(self, start: int) -> None:
+        """Tell the processes to begin the timeline at `start`, a time of the ledger's clock."""
         for child in self.children:
-            child.send({"start": at})
+            child.send({"start": start})
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
--- a/linetrack/emulator/deduplication.py
+++ b/linetrack/emulator/deduplication.py
@@ -1,6 +1,7 @@
-"""The table of idempotency keys by which a group of upstreams discards repeated requests, within a window.
+"""The table of idempotency keys with which a group of upstreams discards duplicate requests.
 
-Keys past their window are forgotten, so the table is bounded by the rate of keys times the window.
+A key is removed once its window has passed, so the size of the table is bounded by the rate of new keys times
+the window.
 """
 
 from __future__ import annotations
@@ -9,21 +10,21 @@
 
 
 class DeduplicationTable:
-    """Which request was executed first under each key."""
+    """Records which request was executed first for each idempotency key."""
 
     def __init__(self, window: int) -> None:
-        """`window` is in microseconds, counted from the first execution."""
+        """Create an empty table; `window` is in microseconds from the first execution of a key."""
         self.window = window
         self.first_executions: dict[str, tuple[int, str]] = {}
         self.keys_by_age: deque[tuple[int, str]] = deque()
 
     def execute(self, now: int, key: str, trace: str) -> str | None:
-        """Execute a request, unless its key was executed within the window.
+        """Record a request as executed, unless one with its key was executed within the window.
 
         Returns:
-            The trace of the request that was executed under the key, or None where this one is.
+            The trace of the request that was executed earlier with the key, or None if this one is executed.
         """
-        self._forget_expired(now)
+        self._remove_expired(now)
         first = self.first_executions.get(key)
         if first is not None:
             return first[1]
@@ -31,7 +32,7 @@
         self.keys_by_age.append((now, key))
         return None
 
-    def _forget_expired(self, now: int) -> None:
+    def _remove_expired(self, now: int) -> None:
         while self.keys_by_age and self.keys_by_age[0][0] + self.window <= now:
             executed_at, key = self.keys_by_age.popleft()
             if self.first_executions[key][0] == executed_at:
--- a/linetrack/emulator/discovery.py
+++ b/linetrack/emulator/discovery.py
@@ -1,7 +1,8 @@
-"""Emulated discovery: one endpoint list, served completely and by watches, late, down or stale during faults.
+"""Emulated discovery: serves one endpoint list, as a whole and by watches (long polls).
 
-The upstreams' processes report each change.  Every sidecar has a listener of its own, so the ledger says
-which of them was notified of what, and when.
+During faults it lags, is down or serves a stale list.  The upstreams' processes report each change.  Every
+sidecar has a listener of its own, so that the ledger records which sidecar was notified of which change, and
+when.
 """
 
 from __future__ import annotations
@@ -31,18 +32,18 @@
 FIRST_VERSION = 1
 STATE_SERVING = "SERVING"
 STATE_DELETED = "DELETED"
-RECHECK_SECONDS = 0.5  # how often a watch looks whether a fault has begun or ended
+RECHECK_SECONDS = 0.5  # interval at which a waiting watch checks whether a fault has begun or ended
 
 Entry = dict[str, Any]  # one endpoint as discovery lists it
 
 
 class DiscoveryServer:
-    """Discovery as the sidecars see it."""
+    """Serves the endpoint list to the sidecars."""
 
     def __init__(
         self, entries: list[Entry], sidecar_count: int, lag: int, max_long_poll: int, ledger: Ledger
     ) -> None:
-        """`lag` and `max_long_poll` are in microseconds."""
+        """Start listening; `lag` and `max_long_poll` are in microseconds."""
         self.ledger = ledger
         self.lag = lag
         self.max_long_poll = max_long_poll
@@ -64,7 +65,7 @@
     # --- Changes ---------------------------------------------------------------------------------------
 
     def _handle_control(self, sock: socket.socket) -> None:
-        """Take the changes that the upstreams' processes report."""
+        """Receive the changes that the upstreams' processes report, and publish each after the lag."""
         reader = RequestReader(sock)
         while (request := reader.next()) is not None:
             entry = json.loads(request.body)
@@ -84,7 +85,7 @@
         self.changed.clear()
 
     def apply(self, step: Step) -> None:
-        """Carry out a step of the timeline; those that concern others are ignored."""
+        """Apply a step of the timeline if it concerns discovery; ignore it otherwise."""
         match step:
             case BeginDiscoveryFault(kind=FaultKind.DISCOVERY_DOWN):
                 self.is_down = True
@@ -105,7 +106,7 @@
 
     def _handler_of(self, sidecar: int) -> Callable[[socket.socket], None]:
         def handle(sock: socket.socket) -> None:
-            """Respond to the calls of one sidecar's connection."""
+            """Respond to the calls on one connection of the sidecar."""
             self.connections.add(sock)
             try:
                 reader = RequestReader(sock)
@@ -133,7 +134,7 @@
             self._send_entries(sidecar, sock, True, version, entries)
 
     def _respond_to_watch(self, sidecar: int, sock: socket.socket, query: dict[str, list[str]]) -> None:
-        """Wait until the list is newer than the version that the sidecar has, and send what changed."""
+        """Wait until the list is newer than the sidecar's version, and send the changed entries."""
         known_version = int(query["from"][0])
         long_poll = int(query.get("hold_ms", ["0"])[0]) * 1000
         deadline = now() + min(long_poll, self.max_long_poll)
--- a/linetrack/emulator/emulator.py
+++ b/linetrack/emulator/emulator.py
@@ -1,4 +1,4 @@
-"""The emulator as whoever runs it sees it: processes launched, started at one time, stopped."""
+"""The emulator's entry point: launches, starts and stops the emulator's processes."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class Emulator(ChildProcessGroup):
     """Upstreams and their discovery on loopback.
 
-    `entries` and `discovery_addresses` (one for each sidecar) are known once it is entered; the timeline
-    begins with `start`.  Ledgers are files of `folder` named `emulator-*.jsonl`.
+    `entries` and `discovery_addresses` (one for each sidecar) are set on entry of the context manager; the timeline
+    begins with `start`.  The ledgers are the files `emulator-*.jsonl` in `folder`.
     """
 
     def __init__(
@@ -29,7 +29,11 @@
         sidecar_count: int,
         folder: Path,
     ) -> None:
-        """Raises a `FaultError` for a fault that cannot be, before anything is launched."""
+        """Check the faults; nothing is launched yet.
+
+        Raises:
+            FaultError: a fault affects no upstream.
+        """
         super().__init__()
         timeline(fleet, faults, seed)
         self.sidecar_count = sidecar_count
@@ -37,11 +41,12 @@
         self.entries: list[dict[str, Any]] = []
         self.discovery_addresses: list[str] = []
         self._common_config = {"fleet": fleet, "classes": classes, "faults": faults, "seed": seed}
-        self._shares = _shares(fleet, classes)
+        self._upstreams_by_process = _divide_upstreams(fleet, classes)
 
     def _launch(self) -> None:
         upstreams = [
-            self._launch_process(f"fleet{n}", upstreams=share) for n, share in enumerate(self._shares)
+            self._launch_process(f"fleet{n}", upstreams=share)
+            for n, share in enumerate(self._upstreams_by_process)
         ]
         self.entries = [entry for process in upstreams for entry in process.receive()["entries"]]
         discovery = self._launch_process("discovery", entries=self.entries, sidecar_count=self.sidecar_count)
@@ -57,12 +62,12 @@
         return process
 
     def is_running(self) -> bool:
-        """Whether no process has ended."""
+        """Return whether all processes are still running."""
         return all(child.is_running for child in self.children)
 
 
-def _shares(fleet: Fleet, classes: tuple[RequestClass, ...]) -> list[list[int]]:
-    """The upstreams of each process: those that share a deduplication table share a process."""
+def _divide_upstreams(fleet: Fleet, classes: tuple[RequestClass, ...]) -> list[list[int]]:
+    """Return the upstreams of each process; upstreams that share a deduplication table share a process."""
     scopes = {
         request_class.deduplication_scope
         for request_class in classes
--- a/linetrack/emulator/http_server.py
+++ b/linetrack/emulator/http_server.py
@@ -1,6 +1,6 @@
-"""Loopback listeners and HTTP messages of the emulator, on the parser of a library.
+"""Loopback listeners and HTTP messages of the emulator, based on the parser of `httptools`.
 
-Shares nothing with the program's codec, and binds to loopback only.
+Shares no code with the sidecar's HTTP codec, and binds to loopback only.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A complete request."""
+    """A complete HTTP request, with the times at which its first and last bytes were received."""
 
     method: str
     target: str
@@ -36,7 +36,7 @@
 class RequestReader:
     """Reads complete requests from one connection, one at a time.
 
-    The methods `on_...` are what the library's parser calls.
+    The methods `on_...` are callbacks of the `httptools` parser.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -49,25 +49,25 @@
         self._parser = httptools.HttpRequestParser(self)
 
     def on_message_begin(self) -> None:
-        """A request begins."""
+        """Begin a new request."""
         self._headers = {}
         self._body = []
         self._target = b""
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target has come."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """A header has come."""
+        """Store a header."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1").strip()
 
     def on_body(self, body: bytes) -> None:
-        """A piece of the body has come."""
+        """Append a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """The request is complete."""
+        """Queue the complete request."""
         request = Request(
             method=self._parser.get_method().decode("latin-1"),
             target=self._target.decode("latin-1"),
@@ -80,10 +80,10 @@
         self._first_byte_at = 0
 
     def next(self) -> Request | None:
-        """The next request, or None where the connection has ended.
+        """Return the next request, or None if the connection has ended.
 
         Raises:
-            httptools.HttpParserError: what came is no request.
+            httptools.HttpParserError: the received bytes are not a valid request.
         """
         while not self._complete:
             data = self._sock.recv(READ_BYTES)
@@ -95,7 +95,7 @@
 
 
 def listen(port: int = 0) -> socket.socket:
-    """A listening socket; on a free port where none is given."""
+    """Return a listening socket; port 0 selects a free port."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((LOOPBACK, port))
@@ -104,19 +104,19 @@
 
 
 def address_of(sock: socket.socket) -> str:
-    """The address of a listening socket, as text."""
+    """Return the address of a listening socket as `host:port`."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
 def format_response(status: int, body: bytes = b"", *headers: str) -> bytes:
-    """The bytes of a response."""
+    """Return a response as bytes."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode("latin-1") + body
 
 
 def reset(sock: socket.socket) -> None:
-    """Close a connection with a reset, whatever is still under way."""
+    """Close a connection with a TCP reset, which discards unsent data."""
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/linetrack/emulator/ledger.py
+++ b/linetrack/emulator/ledger.py
@@ -1,7 +1,7 @@
-"""Append-only files of what happened: JSON lines, one event each, with the machine's monotonic microseconds.
+"""Append-only event logs: JSON lines, one event each, with times in microseconds of the monotonic clock.
 
-Written by the emulator and the load generator, read by the audit and the measurements.  A file may be cut off
-in its last line.
+The emulator and the load generator write them, the audit and the measurements read them.  The last line of a
+file may be truncated.
 """
 
 from __future__ import annotations
@@ -21,31 +21,31 @@
 
 
 def now() -> int:
-    """Microseconds of a clock that all processes of one machine share."""
+    """Return the time in microseconds of a monotonic clock that all processes of one machine share."""
     return time.monotonic_ns() // 1000
 
 
 class LedgerError(Exception):
-    """A line is no event.
+    """A line of a ledger is not a valid event.
 
     Attributes:
         path: the file.
-        line: the number of the line.
-        reason: what is wrong with it.
+        line: the line number, from 1.
+        reason: why the line is not a valid event.
     """
 
     def __init__(self, path: Path, line: int, reason: str) -> None:
         self.path = path
         self.line = line
         self.reason = reason
-        super().__init__(f"{path}:{line}: no event: {reason}")
+        super().__init__(f"{path}:{line}: not an event: {reason}")
 
 
 class Ledger:
-    """The file of one process.
+    """The ledger file of one process.
 
-    The first write that fails is kept in `error`, and writing ends there: what is measured goes on, and the
-    audit finds the file incomplete.
+    The first write error is stored in `error`, and nothing is written after it: the process that is measured
+    continues, and the audit finds the file incomplete.
     """
 
     def __init__(self, path: Path) -> None:
@@ -56,11 +56,11 @@
 
     @property
     def has_unwritten(self) -> bool:
-        """Whether an event waits to be written."""
+        """Whether any event is buffered and not yet written."""
         return bool(self._buffer)
 
     def write(self, event: LedgerEvent) -> None:
-        """Append an event; it is written later."""
+        """Buffer an event; the buffer is written once it is large enough, or by `flush`."""
         line = _encoder.encode(event)
         self._buffer.append(line)
         self._buffered_bytes += len(line)
@@ -68,7 +68,7 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what waits to be written."""
+        """Write the buffered events."""
         if self._buffer and self.error is None:
             data = b"\n".join(self._buffer) + b"\n"
             try:
@@ -80,18 +80,18 @@
         self._buffered_bytes = 0
 
     def close(self) -> None:
-        """Write what waits to be written, and close the file."""
+        """Write the buffered events and close the file."""
         self.flush()
         os.close(self._file)
 
 
 def read_ledger(path: Path) -> Iterator[Event]:
-    """The events of one file in its order.
+    """Yield the events of one file, in the order of the file.
 
-    A last line without its end is skipped, as a process may have been killed while writing it.
+    A last line without a line end is skipped, as the process may have been killed while writing it.
 
     Raises:
-        LedgerError: any other line is no event.
+        LedgerError: any other line is not a valid event.
     """
     decode = msgspec.json.Decoder(Event).decode
     with path.open("rb") as file:
--- a/linetrack/emulator/load_report.py
+++ b/linetrack/emulator/load_report.py
@@ -1,4 +1,4 @@
-"""The load report that an upstream sends with its responses."""
+"""The load report that an upstream sends in a header of its responses."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from linetrack.emulator.schema import LoadReports
 
 RATE_WINDOW_US = 1_000_000
-MEAN_LATENCY_WEIGHT = 0.1  # of a new value in the moving mean
+MEAN_LATENCY_WEIGHT = 0.1  # weight of a new value in the exponentially weighted mean
 
 
 class LoadReporter:
-    """Measures one upstream since its start; values are taken anew after the configured interval."""
+    """Measures the load of one upstream; the reported values are updated at the configured interval."""
 
     def __init__(self, config: LoadReports, queue: UpstreamQueue) -> None:
         self._config = config
@@ -23,14 +23,14 @@
         self._measured_at = 0
 
     def record(self, now: int, latency: int) -> None:
-        """A request was executed; `latency` is in microseconds."""
+        """Record an executed request; `latency` is in microseconds."""
         self._mean_latency_ms += (latency / 1000 - self._mean_latency_ms) * MEAN_LATENCY_WEIGHT
         self._executed_at.append(now)
         while self._executed_at[0] < now - RATE_WINDOW_US:
             self._executed_at.popleft()
 
     def headers(self, now: int) -> tuple[str, ...]:
-        """The header of a response that is sent now; none where nothing is reported."""
+        """Return the headers for a response that is sent now; none if no fields are reported."""
         if not self._config.fields:
             return ()
         if not self._header or now >= self._measured_at + self._config.interval_ms * 1000:
--- a/linetrack/emulator/precise_timer.py
+++ b/linetrack/emulator/precise_timer.py
@@ -1,7 +1,7 @@
-"""Wakes greenlets on time, to some tens of microseconds.
+"""A timer that wakes greenlets with a precision of some tens of microseconds, and never early.
 
-The event loop's timers are up to a millisecond late, so one greenlet sleeps until shortly before the next
-deadline and spends the rest in turns of the loop, in which everything else goes on.  Nothing is woken early.
+The event loop's own timers are up to a millisecond late.  One greenlet therefore sleeps until shortly before
+the next deadline, and then yields to the loop repeatedly, so that other greenlets run until the deadline.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 from linetrack.emulator.ledger import now
 
-LOOP_TIMER_DELAY_US = 1300  # by which a timer of the event loop may be late
+LOOP_TIMER_DELAY_US = 1300  # upper bound on the delay of a timer of the event loop
 
 
 class PreciseTimer:
-    """One queue of deadlines for its process."""
+    """Wakes the greenlets of one process at their deadlines."""
 
     def __init__(self) -> None:
         self._deadlines: list[tuple[int, int, Event]] = []
@@ -27,7 +27,7 @@
         self._greenlet = gevent.spawn(self._run)
 
     def sleep_until(self, deadline: int) -> None:
-        """Sleep until that time of the ledger's clock; return at once where it has passed."""
+        """Sleep until the deadline, a time of the ledger's clock; return at once if it has passed."""
         if deadline <= now():
             return
         due = Event()
--- a/linetrack/emulator/process.py
+++ b/linetrack/emulator/process.py
@@ -1,7 +1,7 @@
-"""One process of the emulator, launched by `Emulator`: a share of the upstreams, or discovery.
+"""One process of the emulator, launched by `Emulator`: serves some of the upstreams, or discovery.
 
-Takes its configuration and orders as JSON lines on standard input, writes one line once it listens, and ends
-when its input ends, so that nothing outlives whoever launched it.
+Reads its configuration and commands as JSON lines from standard input, writes one line once it listens, and
+exits at the end of its input, so that it does not outlive the process that launched it.
 """
 
 from __future__ import annotations
@@ -28,7 +28,10 @@
 
 
 class ProcessConfig(msgspec.Struct, frozen=True):
-    """The first line of input; `entries` and `sidecar_count` are discovery's, `upstreams` the others'."""
+    """The first line of input.
+
+    `entries` and `sidecar_count` are set for the discovery process, `upstreams` (indices) for the others.
+    """
 
     fleet: Fleet
     classes: tuple[RequestClass, ...]
@@ -41,36 +44,36 @@
 
 
 class Role(Protocol):
-    """What a process does."""
+    """The task of a process: serving upstreams or discovery."""
 
     def description(self) -> dict[str, Any]:
-        """What whoever launched the process needs to know, once it listens."""
+        """Return the addresses or endpoints that the launching process needs, once this one listens."""
 
     def connect_to_discovery(self, address: str) -> None:
-        """Changes are reported to this address from here on."""
+        """Set the address to which changes of upstreams are reported."""
 
     def apply(self, step: Step, start: int, /) -> None:
-        """Carry out a step of the timeline that began at `start`."""
+        """Apply a step of the timeline that began at `start`."""
 
 
 class UpstreamRole:
-    """Serves a share of the upstreams."""
+    """Serves some of the upstreams."""
 
     def __init__(self, config: ProcessConfig, ledger: Ledger) -> None:
         specs = tuple(spec for spec in upstream_specs(config.fleet) if spec.index in config.upstreams)
         self.host = UpstreamHost(config.fleet, config.classes, specs, config.seed, ledger)
 
     def description(self) -> dict[str, Any]:
-        """The endpoints as discovery is to list them."""
+        """Return the entries of the upstreams for the endpoint list."""
         return {"entries": [server.entry() for server in self.host.servers.values()]}
 
     def connect_to_discovery(self, address: str) -> None:
-        """Changes are reported to this address from here on."""
+        """Set the address to which changes of upstreams are reported."""
         host, _, port = address.rpartition(":")
         self.host.discovery = (host, int(port))
 
     def apply(self, step: Step, start: int) -> None:
-        """Carry out a step of the timeline that began at `start`."""
+        """Apply a step of the timeline that began at `start`."""
         self.host.apply(step, start)
 
 
@@ -88,22 +91,22 @@
         )
 
     def description(self) -> dict[str, Any]:
-        """The addresses for the upstreams' processes and for each sidecar."""
+        """Return the address for the upstreams' processes and one address for each sidecar."""
         return {
             "control": address_of(self.server.control_listener),
             "sidecars": [address_of(listener) for listener in self.server.listeners],
         }
 
     def connect_to_discovery(self, address: str) -> None:
-        """It reports no changes."""
+        """Do nothing: discovery reports no changes."""
 
     def apply(self, step: Step, _start: int) -> None:
-        """Carry out a step of the timeline."""
+        """Apply a step of the timeline."""
         self.server.apply(step)
 
 
 def main() -> None:
-    """Serve until the input ends."""
+    """Serve until the end of input."""
     lines = FileObject(sys.stdin.buffer, "rb")
     config = msgspec.json.decode(lines.readline(), type=ProcessConfig)
     ledger = Ledger(Path(config.ledger))
@@ -114,11 +117,11 @@
     gevent.spawn(_flush_regularly, ledger)
     with contextlib.suppress(KeyboardInterrupt):
         while line := lines.readline():
-            order = json.loads(line)
-            if "control" in order:
-                role.connect_to_discovery(order["control"])
-            if "start" in order:
-                gevent.spawn(_run_timeline, steps, order["start"], role, timer)
+            command = json.loads(line)
+            if "control" in command:
+                role.connect_to_discovery(command["control"])
+            if "start" in command:
+                gevent.spawn(_run_timeline, steps, command["start"], role, timer)
     ledger.close()
 
 
--- a/linetrack/emulator/queue_model.py
+++ b/linetrack/emulator/queue_model.py
@@ -1,7 +1,7 @@
-"""One upstream's cores and queue, without I/O: when work that is submitted now begins and ends.
+"""A model of one upstream's cores and queue, without I/O: computes when submitted work begins and ends.
 
-Models the queue, how speed depends on the time since the start, and when an upstream in slow start crashes.
-Reads no clock: times are integer microseconds that the caller gives, never decreasing.
+Models the queue, the reduced speed in slow start, and the crash of an overloaded upstream in slow start.
+Reads no clock: the caller passes times as integer microseconds that never decrease.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """When a piece of work begins and ends."""
+    """The times at which a piece of work begins and ends."""
 
     begins_at: int
     ends_at: int
 
 
 class OverloadCrashError(Exception):
-    """Too much was submitted to an upstream in slow start for too long: all that it had is lost."""
+    """An upstream in slow start was overloaded for too long and crashes, losing all accepted work."""
 
 
 class UpstreamQueue:
-    """First come, first served by a number of cores; the speed at which work begins holds until it ends."""
+    """A FIFO queue served by several cores; work keeps the speed at which it begins until it ends."""
 
     def __init__(self, host_class: HostClass, started_at: int | None) -> None:
-        """`started_at` is None where it started long ago."""
+        """Create an empty queue; `started_at` is None for an upstream past its slow start."""
         self.host_class = host_class
         self.started_at = started_at
         self.slow_start = round(host_class.slow_start_ms * 1000)
@@ -37,12 +37,12 @@
         self._cores_free_at = [0] * host_class.cores
         self._waiting_begin_at: deque[int] = deque()
         self._accepted_end_at: list[int] = []
-        # what was submitted in slow start within the overload window, and its sum
+        # Times and amounts of the work submitted in slow start within the overload window, and their sum.
         self._recent_work: deque[tuple[int, int]] = deque()
         self._recent_work_sum = 0
 
     def speed_fraction(self, now: int) -> float:
-        """The speed as a fraction of the full one, by the time since the start."""
+        """Return the fraction of the full speed: below 1 in slow start, rising linearly to 1."""
         if self.started_at is None or not self.slow_start or now >= self.started_at + self.slow_start:
             return 1.0
         elapsed = max(0, now - self.started_at) / self.slow_start
@@ -50,26 +50,26 @@
         return initial + (1 - initial) * elapsed
 
     def load(self, now: int) -> tuple[int, int]:
-        """How many pieces wait, and how many wait or are executed."""
-        self._forget_past(now)
+        """Return the number of pieces of work that wait, and the number that wait or are being executed."""
+        self._remove_past(now)
         return len(self._waiting_begin_at), len(self._accepted_end_at)
 
     def submit(self, now: int, work: int, slowdown: float = 1.0, not_before: int = 0) -> Execution | None:
-        """Submit so many microseconds of a core at speed 1.
+        """Submit a piece of work.
 
         Args:
             now: the current time.
             work: microseconds of a core at speed 1.
-            slowdown: a factor on the work.
-            not_before: a time until which nothing begins.
+            slowdown: a factor by which the work is multiplied.
+            not_before: the time before which no work begins.
 
         Returns:
-            When it is executed, or None where the queue is full.
+            When the work is executed, or None if the queue is full.
 
         Raises:
-            OverloadCrashError: the upstream is in slow start and cannot bear it.
+            OverloadCrashError: the upstream is in slow start and this work overloads it.
         """
-        self._forget_past(now)
+        self._remove_past(now)
         self._check_overload(now, work)
         begins_at = max(now, self._cores_free_at[0], not_before)
         if begins_at > now and len(self._waiting_begin_at) >= self.host_class.max_queue_length:
@@ -82,14 +82,14 @@
             self._waiting_begin_at.append(begins_at)
         return Execution(begins_at, ends_at)
 
-    def _forget_past(self, now: int) -> None:
+    def _remove_past(self, now: int) -> None:
         while self._waiting_begin_at and self._waiting_begin_at[0] <= now:
             self._waiting_begin_at.popleft()
         while self._accepted_end_at and self._accepted_end_at[0] <= now:
             heapq.heappop(self._accepted_end_at)
 
     def _check_overload(self, now: int, work: int) -> None:
-        """Count what is submitted in slow start, rejected work included."""
+        """Raise OverloadCrashError if too much work, rejected work included, is submitted in slow start."""
         fraction = self.speed_fraction(now)
         if fraction >= 1.0:
             return
--- a/linetrack/emulator/request_work.py
+++ b/linetrack/emulator/request_work.py
@@ -1,4 +1,4 @@
-"""How much work a request is, drawn from a generator seeded by its trace: the same wherever it goes."""
+"""The work of a request, drawn with its trace as part of the seed: the same at every upstream."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def request_work(request_class: RequestClass, trace: str, seed: int) -> int:
-    """Microseconds of a core at speed 1 for this request."""
+    """Return the work of a request in microseconds of a core at speed 1."""
     mean = request_class.work_ms * 1000
     if request_class.work_distribution is WorkDistribution.FIXED:
         return round(mean)
--- a/linetrack/emulator/schema.py
+++ b/linetrack/emulator/schema.py
@@ -1,6 +1,6 @@
 """Tables of an experiment file that configure the emulator: upstreams, request classes, faults on a timeline.
 
-The only module that knows their keys, units and checks.  Times are in the unit that the key says.
+The only module that knows their keys, units and checks.  The suffix of a key gives its unit of time.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class WorkDistribution(Enum):
-    """How the work of a request is drawn."""
+    """The distribution from which the work of a request is drawn."""
 
     FIXED = "fixed"
     EXPONENTIAL = "exponential"
@@ -33,22 +33,22 @@
 
 
 class FaultKind(Enum):
-    """What goes wrong, by the file's words."""
+    """The kind of a fault; values are those of the experiment file."""
 
-    # while they last, they change how an upstream handles requests
+    # Faults that change how an upstream handles requests while they are active.
     SLOW = "slow"
     ERRORS = "errors"
     NO_RESPONSE = "silence"  # the request is executed, and its connection stays open
     RESET = "reset"  # the connection is reset in the middle of the response
     MALFORMED_RESPONSE = "spoil"
     UNREACHABLE = "cut"
-    STALL = "stall"  # nothing begins until it ends
-    # they change who serves
+    STALL = "stall"  # no work begins until the fault ends
+    # Faults that change which upstreams serve.
     CRASH = "crash"
-    VANISH = "vanish"  # unreachable first, removed from the list later
+    VANISH = "vanish"  # unreachable first, removed from the endpoint list later
     DEPLOY = "deploy"
     DRAIN = "drain"
-    # they change discovery, or restart sidecars
+    # Faults that affect discovery, or restart sidecars.
     DISCOVERY_DOWN = "discovery_down"
     DISCOVERY_LAG = "discovery_lag"
     DISCOVERY_STALE = "discovery_old"
@@ -56,7 +56,7 @@
     SIDECARS_KILLED = "sidecars_kill"
 
 
-#: Faults that change how an upstream handles requests while they last.
+#: Faults that change how an upstream handles requests while they are active.
 REQUEST_FAULTS = frozenset(
     {
         FaultKind.SLOW,
@@ -88,19 +88,19 @@
         "response_bytes": "answer_bytes",
     },
 ):
-    """A class of requests, as clients send and upstreams execute it."""
+    """A class of requests: how clients send its requests and how upstreams execute them."""
 
     name: Name
-    share: Positive = 1.0  # of all requests, relative to the other classes'
+    share: Positive = 1.0  # of all requests, relative to the shares of the other classes
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     latency_objective_ms: Positive = 200.0
     timeout_ms: Positive = 1000.0
     priority_weight: NotNegative = 1.0
     deduplication_scope: DeduplicationScope = DeduplicationScope.ZONE
     deduplication_window_ms: NotNegative = 1000.0
-    work_ms: Positive = 5.0  # mean time of a core at speed 1
+    work_ms: Positive = 5.0  # mean, in time of a core at speed 1
     work_distribution: WorkDistribution = WorkDistribution.EXPONENTIAL
-    work_variation: Positive = 1.0  # standard deviation over mean, of lognormal work
+    work_variation: Positive = 1.0  # coefficient of variation, for lognormal work
     response_bytes: Annotated[int, Meta(ge=0, le=1_000_000)] = 200
     request_bytes: Annotated[int, Meta(ge=0, le=65_536)] = 0
 
@@ -120,20 +120,21 @@
         "cached_key_saving": "warm_key_saves",
     },
 ):
-    """What an upstream of this class can do."""
+    """The capacity and slow start of the upstreams of one class."""
 
     name: Name
     cores: Count = 1
     speed: Positive = 1.0
-    max_queue_length: Annotated[int, Meta(ge=0)] = 100  # requests that may wait; one more is rejected
-    slow_start_initial_fraction: PositiveFraction = 0.2  # of its speed, at a start
+    max_queue_length: Annotated[int, Meta(ge=0)] = 100  # requests that may wait; further ones are rejected
+    slow_start_initial_fraction: PositiveFraction = 0.2  # of the full speed, at a start
     slow_start_ms: NotNegative = 10_000.0
-    # in slow start it crashes when sent this multiple of what it can do for so long
+    # In slow start, an upstream crashes when the work it is sent within the window exceeds this multiple of
+    # its capacity.
     overload_multiple: Positive = 3.0
     overload_window_ms: Positive = 1000.0
-    restart_ms: Positive = 3000.0  # after a crash, until it starts again
-    response_delay_ms: NotNegative = 0.0  # added to every response, a known delay
-    cached_key_saving: Fraction = 0.0  # of the work of a key that it served recently
+    restart_ms: Positive = 3000.0  # from a crash to the restart
+    response_delay_ms: NotNegative = 0.0  # constant delay added to every response
+    cached_key_saving: Fraction = 0.0  # of the work of a request whose key was served recently
 
 
 class UpstreamGroup(Table, frozen=True, kw_only=True, rename={"host_class": "kind", "capacity": "weight"}):
@@ -147,29 +148,29 @@
 
 
 class LoadReports(Table, frozen=True, kw_only=True, rename={"interval_ms": "every_ms"}):
-    """Load reports on responses."""
+    """The load reports that upstreams send with responses."""
 
     fields: tuple[Literal["concurrent", "depth", "load_share", "mean_ms", "tps"], ...] = (
         "depth",
         "concurrent",
     )
-    interval_ms: NotNegative = 200.0  # between new values; 0: new ones on each response
+    interval_ms: NotNegative = 200.0  # between updates of the values; 0: updated for each response
 
 
 class Discovery(Table, frozen=True, kw_only=True, rename={"max_long_poll_ms": "hold_ms_most"}):
     """The emulated discovery."""
 
-    lag_ms: NotNegative = 200.0  # from a change until it is in the list
+    lag_ms: NotNegative = 200.0  # from a change until it is in the endpoint list
     max_long_poll_ms: Positive = 20_000.0
 
 
 class UpstreamSelector(Table, frozen=True, kw_only=True, rename={"host_class": "kind"}):
-    """A set of upstreams: those to which every given key applies; all of them where none is given."""
+    """Selects the upstreams that match every given key; all upstreams if no key is given."""
 
     ids: tuple[str, ...] = ()
     zone: str = ""
     host_class: str = ""
-    share: PositiveFraction = 1.0  # drawn by the seed among these, one at least
+    share: PositiveFraction = 1.0  # of the matching upstreams, drawn with the seed; at least one
 
 
 class Fault(
@@ -178,18 +179,18 @@
     kw_only=True,
     rename={"duration_s": "for_s", "upstreams": "who", "batch_size": "batch", "batch_interval_s": "every_s"},
 ):
-    """One fault, from `at_s` on; faults may overlap."""
+    """A fault that begins at `at_s`; faults may overlap."""
 
     kind: FaultKind
     at_s: NotNegative
     duration_s: NotNegative = 0.0
     upstreams: UpstreamSelector = UpstreamSelector()
-    factor: Positive = 5.0  # slow: times the work
-    one_in: Count = 1  # errors, silence, reset, spoil, slow: every nth request
-    batch_size: Count = 1  # deploy: upstreams at a time; restarts: sidecars
-    batch_interval_s: Positive = 2.0  # deploy, restarts
-    grace_ms: NotNegative = 1500.0  # deploy, drain: from draining until it ends
-    lag_ms: NotNegative = 2000.0  # discovery_lag
+    factor: Positive = 5.0  # slow: multiplies the work
+    one_in: Count = 1  # errors, silence, reset, spoil, slow: affects every nth request
+    batch_size: Count = 1  # upstreams (deploy) or sidecars (restarts) at a time
+    batch_interval_s: Positive = 2.0  # deploy, restarts: between the starts of two batches
+    grace_ms: NotNegative = 1500.0  # deploy, drain, vanish: until the affected upstream is removed
+    lag_ms: NotNegative = 2000.0  # discovery_lag: added to the lag of discovery
 
 
 class Fleet(
@@ -214,10 +215,10 @@
     load_reports: LoadReports = LoadReports()
     discovery: Discovery = Discovery()
     keep_alive_ms: Positive = 30_000.0
-    max_connections: Count = 1000  # to one upstream; one more is closed unread
+    max_connections: Count = 1000  # to one upstream; further ones are closed at once
 
     def __post_init__(self) -> None:
-        """Check that each group is of a known host class."""
+        """Check that each group has a known host class."""
         names = [host_class.name for host_class in self.host_classes]
         for group in self.groups:
             if group.host_class not in names:
@@ -226,5 +227,5 @@
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """The zones in the order in which they occur."""
+        """The zones, in the order of their first group."""
         return tuple(dict.fromkeys(group.zone for group in self.groups))
--- a/linetrack/emulator/timeline.py
+++ b/linetrack/emulator/timeline.py
@@ -1,6 +1,6 @@
-"""The timeline of an emulated fleet: which upstreams there are at first, and what happens to them and when.
+"""The timeline of an emulated fleet: its initial upstreams, and the steps that faults take and when.
 
-A pure function of file and seed, so that every process of the emulator works out the same one.
+A pure function of experiment file and seed, so that every process of the emulator computes the same timeline.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     UpstreamSelector,
 )
 
-CELLS_PER_ZONE = 1000  # numbers of cells that each zone has for itself
-RESTART_DELAY_US = 300_000  # of a deploy, from the old upstream's end to the new one's start
+CELLS_PER_ZONE = 1000  # size of the range of cell numbers of each zone
+RESTART_DELAY_US = 300_000  # in a deploy, from the removal of an upstream to the start of its successor
 
 
 class FaultError(Exception):
-    """A fault cannot be.
+    """A fault of the experiment file cannot be injected.
 
     Attributes:
-        key: the key at fault.
-        reason: what is wrong with it.
+        key: the invalid key.
+        reason: why the key is invalid.
     """
 
     def __init__(self, key: str, reason: str) -> None:
@@ -39,7 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSpec:
-    """One address of an upstream, which keeps it whoever serves there under which id."""
+    """One address at which an upstream serves, as the fleet begins.
+
+    The address keeps its index when a deploy replaces its upstream by one with another id.
+    """
 
     index: int
     id: str
@@ -51,68 +54,68 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFault:
-    """What a fault does to the requests of an upstream while it lasts."""
+    """The effect of a fault on the requests of an upstream while the fault is active."""
 
     fault_index: int
     kind: FaultKind
     factor: float
     one_in: int
-    ends_at: int  # microseconds after the start
+    ends_at: int  # microseconds after the start of the timeline
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Something that happens at `at` microseconds after the start."""
+    """Base class of the steps; `at` is in microseconds after the start of the timeline."""
 
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamStep(Step):
-    """Something that happens to the upstream at one address."""
+    """A step that concerns the upstream at the address with this index."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class BeginRequestFault(UpstreamStep):
-    """The upstream's requests are affected from here on."""
+    """A fault begins to affect the upstream's requests."""
 
     fault: RequestFault
 
 
 @dataclass(frozen=True, slots=True)
 class EndRequestFault(UpstreamStep):
-    """The upstream's requests are no longer affected."""
+    """A fault no longer affects the upstream's requests."""
 
     fault_index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Drain(UpstreamStep):
-    """The upstream is draining."""
+    """The upstream begins to drain."""
 
 
 @dataclass(frozen=True, slots=True)
 class Remove(UpstreamStep):
-    """The upstream ends, and discovery removes it."""
+    """The upstream ends, and discovery removes it from the list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash(UpstreamStep):
-    """The upstream ends without a word to discovery."""
+    """The upstream ends, and discovery is not notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class Start(UpstreamStep):
-    """An upstream starts at the address."""
+    """An upstream with this id starts at the address."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class BeginDiscoveryFault(Step):
-    """Discovery is affected from here on; `lag` is in microseconds."""
+    """A fault of discovery begins; `lag` is in microseconds."""
 
     kind: FaultKind
     lag: int
@@ -120,14 +123,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndDiscoveryFault(Step):
-    """Discovery is no longer affected."""
+    """A fault of discovery ends."""
 
     kind: FaultKind
 
 
 @dataclass(frozen=True, slots=True)
 class RestartSidecars(Step):
-    """Sidecars end and start again, a batch at a time; the interval is in microseconds."""
+    """Sidecars are restarted in batches; the interval between batches is in microseconds."""
 
     kind: FaultKind
     batch_size: int
@@ -135,7 +138,7 @@
 
 
 def upstream_specs(fleet: Fleet) -> tuple[UpstreamSpec, ...]:
-    """The upstreams at the start."""
+    """Return the upstreams with which the fleet begins."""
     specs: list[UpstreamSpec] = []
     for group in fleet.groups:
         first_cell = fleet.zones.index(group.zone) * CELLS_PER_ZONE
@@ -157,7 +160,7 @@
 def select(
     selector: UpstreamSelector, specs: tuple[UpstreamSpec, ...], generator: np.random.Generator
 ) -> list[UpstreamSpec]:
-    """The upstreams of a set."""
+    """Return the selected upstreams, by their index."""
     ids = set(selector.ids)
     found = [
         spec
@@ -174,7 +177,7 @@
 
 
 def timeline(fleet: Fleet, faults: tuple[Fault, ...], seed: int) -> list[Step]:
-    """All steps in their order.
+    """Return all steps of the timeline, ordered by time.
 
     Raises:
         FaultError: a fault affects no upstream.
@@ -191,9 +194,9 @@
             generator = np.random.Generator(np.random.PCG64([seed, fault_index]))
             selected = select(fault.upstreams, specs, generator)
             if not selected:
-                raise FaultError(f"faults[{fault_index}].who", "no upstream is in this set")
-            for n, spec in enumerate(selected):
-                steps += _upstream_steps(fault, fault_index, n, spec.index, current_ids)
+                raise FaultError(f"faults[{fault_index}].who", "no upstream matches")
+            for position, spec in enumerate(selected):
+                steps += _upstream_steps(fault, fault_index, position, spec.index, current_ids)
     return sorted(steps, key=lambda step: step.at)
 
 
@@ -214,9 +217,9 @@
 
 
 def _upstream_steps(
-    fault: Fault, fault_index: int, n: int, index: int, current_ids: dict[int, str]
+    fault: Fault, fault_index: int, position: int, index: int, current_ids: dict[int, str]
 ) -> list[Step]:
-    """The steps of the nth upstream that a fault affects."""
+    """Return the steps of one upstream; `position` is its position among those that the fault affects."""
     at = _microseconds(fault.at_s)
     end = _microseconds(fault.at_s + fault.duration_s)
     grace = round(fault.grace_ms * 1000)
@@ -224,7 +227,7 @@
         request_fault = RequestFault(fault_index, fault.kind, fault.factor, fault.one_in, end)
         return [BeginRequestFault(at, index, request_fault), EndRequestFault(end, index, fault_index)]
     if fault.kind is FaultKind.DEPLOY:
-        batch = n // fault.batch_size
+        batch = position // fault.batch_size
         begin = at + batch * _microseconds(fault.batch_interval_s)
         return _deploy_steps(index, begin, grace, current_ids)
     if fault.kind is FaultKind.DRAIN:
@@ -236,9 +239,9 @@
 
 
 def _deploy_steps(index: int, at: int, grace: int, current_ids: dict[int, str]) -> list[Step]:
-    """One upstream drains and ends, and another starts at its address under a new id."""
-    stem, _, version = current_ids[index].partition("v")
-    current_ids[index] = f"{stem}v{int(version or 1) + 1}"
+    """Return the steps that replace an upstream, after a drain, by one with a new id at the same address."""
+    base_id, _, version = current_ids[index].partition("v")
+    current_ids[index] = f"{base_id}v{int(version or 1) + 1}"
     return [
         Drain(at, index),
         Remove(at + grace, index),
--- a/linetrack/emulator/upstream_host.py
+++ b/linetrack/emulator/upstream_host.py
@@ -1,4 +1,4 @@
-"""The emulated upstreams of one process, their deduplication tables, and their reports to discovery."""
+"""The emulated upstreams of one process, their deduplication tables, and reports to discovery."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class UpstreamHost:
-    """Serves a share of the upstreams.
+    """Serves some of the upstreams.
 
-    Changes are reported to `discovery` once that address is known.
+    Changes are reported to `discovery` once that address is set.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         }
 
     def apply(self, step: Step, start: int) -> None:
-        """Carry out a step of the timeline that began at `start`; those that concern others are ignored."""
+        """Apply a step of the timeline that began at `start`, if it concerns one of these upstreams."""
         if not isinstance(step, UpstreamStep) or step.index not in self.servers:
             return
         server = self.servers[step.index]
@@ -63,7 +63,7 @@
             self._report(server)
 
     def _execute(self, spec: UpstreamSpec, request_class: RequestClass, key: str, trace: str) -> str | None:
-        """The trace that was executed under this key before, or None where this one is executed."""
+        """Return the trace that was executed earlier with this key, or None if this request is executed."""
         if request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY or not key:
             return None
         scope = _scope_of(spec, request_class)
@@ -88,7 +88,7 @@
 
 
 def _scope_of(spec: UpstreamSpec, request_class: RequestClass) -> int | str:
-    """Which of the groups that share a deduplication table the upstream is in."""
+    """Return the zone or cell whose upstreams share a deduplication table, or 0 if all of them do."""
     match request_class.deduplication_scope:
         case DeduplicationScope.ZONE:
             return spec.zone
--- a/linetrack/emulator/upstream_server.py
+++ b/linetrack/emulator/upstream_server.py
@@ -1,6 +1,6 @@
-"""One emulated upstream: its listener, whoever serves there, and what faults do to requests.
+"""One emulated upstream: its listener, the incarnation that serves there, and the effects of faults.
 
-Every attempt and every execution goes to the ledger.  It does not know who calls.
+Every attempt and every execution is written to the ledger.  An upstream does not know which sidecar calls it.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class State(Enum):
-    """Whether an upstream serves, by the ledger's words."""
+    """The state of an upstream; values are those of the ledger."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
@@ -58,36 +58,36 @@
 
 @dataclass(frozen=True)
 class Environment:
-    """What the upstreams of one process share."""
+    """The configuration and services that the upstreams of one process share."""
 
     fleet: Fleet
     classes: dict[str, RequestClass]
     seed: int
     ledger: Ledger
     timer: PreciseTimer
-    #: Executes a request once for its idempotency key; returns the trace executed before, or None.
+    #: Records the execution of a request; returns the trace executed earlier with its key, or None.
     execute: Callable[[UpstreamSpec, RequestClass, str, str], str | None]
 
 
 @dataclass
 class Incarnation:
-    """Whoever serves at an address, from a start to an end."""
+    """The upstream that serves at an address between one start and the following end."""
 
     id: str
     queue: UpstreamQueue
     reporter: LoadReporter
-    started_ms: int  # Unix time, 0 where it started long ago
+    started_ms: int  # Unix time in milliseconds; 0 if it started before the timeline
     state: State = State.SERVING
     cached_keys: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
     @property
     def has_ended(self) -> bool:
-        """Whether it was removed or has crashed."""
+        """Whether the upstream was removed or has crashed."""
         return self.state is State.ENDED
 
 
 class UpstreamServer:
-    """An address, and whoever serves there."""
+    """The listener at one address, and the incarnation that serves there."""
 
     def __init__(
         self,
@@ -96,7 +96,7 @@
         environment: Environment,
         on_change: Callable[[UpstreamServer], None],
     ) -> None:
-        """`on_change` is called when it has started again by itself."""
+        """Start serving; `on_change` is called after the upstream restarts itself after a crash."""
         self.spec = spec
         self.host_class = host_class
         self.environment = environment
@@ -115,7 +115,7 @@
         return Incarnation(id_, queue, reporter, started_ms)
 
     def entry(self) -> dict[str, Any]:
-        """The upstream as discovery lists it."""
+        """Return the upstream's entry in the endpoint list."""
         spec = self.spec
         state = self.incarnation.state
         return {
@@ -132,7 +132,7 @@
     # --- Timeline --------------------------------------------------------------------------------------
 
     def apply(self, step: UpstreamStep, start: int) -> bool:
-        """Carry out a step of the timeline that began at `start`; whether discovery is to be notified."""
+        """Apply a step of the timeline that began at `start`; return whether discovery must be notified."""
         match step:
             case BeginRequestFault():
                 self.faults.begin(step.fault, start)
@@ -161,7 +161,7 @@
         self.environment.ledger.write(UpstreamStarted(now(), id_, self.spec.index))
 
     def _end(self) -> None:
-        """Nothing listens here any more, and every connection is reset."""
+        """Stop listening and reset every connection."""
         self.incarnation.state = State.ENDED
         for sock in list(self._connections):
             reset(sock)
@@ -169,7 +169,7 @@
         self._listener.close()
 
     def _crash(self, incarnation: Incarnation) -> None:
-        """All that it had is lost, and it starts again later."""
+        """End the upstream, losing all accepted work, and restart it after `restart_ms`."""
         if incarnation.has_ended:
             return
         self.environment.ledger.write(UpstreamCrashed(now(), incarnation.id, self.spec.index))
@@ -182,7 +182,7 @@
             self.on_change(self)
 
     def _make_unreachable(self) -> None:
-        """New connections never come up, as the backlog is full; open ones stay silent."""
+        """Fill the backlog so that no connection is established; requests on open ones get no response."""
         self._acceptor.kill(block=False)
         if self._listener.fileno() >= 0:
             self._listener.listen(0)
@@ -193,7 +193,7 @@
                 self._backlog_fillers.append(filler)
 
     def _make_reachable(self) -> None:
-        """Listen again, at the same address."""
+        """Accept connections again at the same address."""
         for filler in self._backlog_fillers:
             filler.close()
         self._backlog_fillers = []
@@ -226,7 +226,7 @@
             self._connections.discard(sock)
 
     def _respond(self, request: Request, sock: socket.socket) -> bytes | None:
-        """The response to a request, or None where its connection ends without a complete one."""
+        """Return the response to a request, or None if its connection ends without a complete response."""
         trace = request.headers.get("x-trace-id", "")
         request_class = self.environment.classes.get(request.target.strip("/").split("/")[0])
         if request_class is None or not trace:
@@ -243,7 +243,7 @@
         execution = self._submit(incarnation, request_class, request, trace)
         if execution is None:
             return format_response(503, b"", NOT_EXECUTED_HEADER)
-        # what is accepted is executed, whoever still waits for it
+        # An accepted request is executed even if its client no longer waits for the response.
         delay = round(self.host_class.response_delay_ms * 1000)
         self.environment.timer.sleep_until(execution.ends_at + delay)
         if incarnation is not self.incarnation or incarnation.has_ended:
@@ -298,7 +298,7 @@
             return None
 
     def _work_with_cache(self, incarnation: Incarnation, request: Request, work: int) -> int:
-        """The work that is left where the request's key was served recently; remembers the key."""
+        """Return the work, reduced if the request's key is cached, and cache the key."""
         key = request.target.partition("?")[0].rpartition("/")[2]
         keys = incarnation.cached_keys
         if key in keys:
--- a/tests/emulator/test_deduplication.py
+++ b/tests/emulator/test_deduplication.py
@@ -1,4 +1,4 @@
-"""The table of idempotency keys."""
+"""Tests of the deduplication table of idempotency keys."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/emulator/test_queue_model.py
+++ b/tests/emulator/test_queue_model.py
@@ -1,4 +1,4 @@
-"""The queue model: closed forms, its bounds, slow start."""
+"""Tests of the queue model: closed forms, bounds on cores and queue, slow start."""
 
 from itertools import pairwise
 
@@ -16,8 +16,8 @@
 UNBOUNDED = HostClass(name="k", max_queue_length=10**9)
 
 
-def sojourn(load: float, work: str, seed: int) -> float:
-    """Mean time in the system over the mean work, simulated."""
+def simulate_sojourn_ratio(load: float, work: str, seed: int) -> float:
+    """Simulate a queue and return the mean sojourn time divided by the mean work."""
     generator = np.random.Generator(np.random.PCG64(seed))
     queue, mean, count = UpstreamQueue(UNBOUNDED, None), 10_000, 60_000
     arrivals = np.cumsum(generator.exponential(mean / load, count)).astype(int)
@@ -31,12 +31,12 @@
 
 
 @pytest.mark.parametrize("load", [0.3, 0.6, 0.8])
-def test_the_queue_agrees_with_the_closed_forms(load: float) -> None:
-    # M/M/1: 1 / (1 - load); M/D/1 (Pollaczek and Khinchine): 1 + load / (2 (1 - load)), both over the mean
-    # work
-    markov = np.mean([sojourn(load, "exponential", seed) for seed in range(3)])
-    fixed = np.mean([sojourn(load, "fixed", seed) for seed in range(3)])
-    assert markov == pytest.approx(1 / (1 - load), rel=0.08)
+def test_mean_sojourn_times_match_the_closed_forms_for_m_m_1_and_m_d_1(load: float) -> None:
+    # Mean sojourn time divided by the mean work: 1 / (1 - load) for M/M/1, and 1 + load / (2 (1 - load)) for
+    # M/D/1 by the Pollaczek-Khinchine formula.
+    exponential = np.mean([simulate_sojourn_ratio(load, "exponential", seed) for seed in range(3)])
+    fixed = np.mean([simulate_sojourn_ratio(load, "fixed", seed) for seed in range(3)])
+    assert exponential == pytest.approx(1 / (1 - load), rel=0.08)
     assert fixed == pytest.approx(1 + load / (2 * (1 - load)), rel=0.05)
 
 
@@ -45,7 +45,7 @@
     st.integers(0, 5),
     st.lists(st.tuples(st.integers(0, 30 * MS), st.integers(1, 50 * MS)), min_size=1, max_size=60),
 )
-def test_executions_are_bounded_by_the_cores_and_waiting_by_the_queue_length(
+def test_concurrency_is_bounded_by_the_cores_and_waiting_by_the_queue_length(
     cores: int, queue: int, works: list[tuple[int, int]]
 ) -> None:
     model = UpstreamQueue(HostClass(name="k", cores=cores, max_queue_length=queue), None)
@@ -69,7 +69,7 @@
         assert len(concurrent) <= cores
 
 
-def test_slow_start_is_slower_and_crashes_only_under_too_much_work_for_too_long() -> None:
+def test_slow_start_reduces_speed_and_crashes_only_above_the_overload_multiple() -> None:
     host_class = HostClass(
         name="k",
         max_queue_length=10**6,
@@ -89,12 +89,12 @@
     for n in range(50):
         assert warm.submit(n * 20 * MS, 40 * MS)
     allowed = UpstreamQueue(host_class, 0)
-    for n in range(55):  # 0.55 s of work in a second, and it could do 0.2 to 0.28: under three times that
+    for n in range(55):  # 0.55 s of work in 1 s, where the capacity is 0.2 to 0.28 s: below the multiple of 3
         allowed.submit(n * 18 * MS, 10 * MS)
     with pytest.raises(OverloadCrashError):
-        submit_often(cold)
+        submit_overload(cold)
 
 
-def submit_often(queue: UpstreamQueue) -> None:
+def submit_overload(queue: UpstreamQueue) -> None:
     for n in range(500):
         queue.submit(n * 2 * MS, 10 * MS)
--- a/tests/emulator/test_timeline.py
+++ b/tests/emulator/test_timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of faults."""
+"""Tests of the timeline of faults."""
 
 import pytest
 
@@ -25,7 +25,7 @@
 )
 
 
-def slowed(steps: list[Step]) -> list[int]:
+def slowed_upstreams(steps: list[Step]) -> list[int]:
     return [
         step.index
         for step in steps
@@ -33,7 +33,7 @@
     ]
 
 
-def test_every_process_works_out_the_same_timeline() -> None:
+def test_the_timeline_is_deterministic_and_ordered_by_time_and_the_seed_draws_the_upstreams() -> None:
     faults = (
         Fault(kind=FaultKind.SLOW, at_s=1, duration_s=2, upstreams=UpstreamSelector(share=0.5)),
         Fault(
@@ -55,8 +55,8 @@
     steps = timeline(FLEET, faults, 3)
     assert steps == timeline(FLEET, faults, 3)
     assert steps == sorted(steps, key=lambda step: step.at)
-    assert len(slowed(steps)) == 4
-    assert slowed(steps) != slowed(timeline(FLEET, faults, 4))
+    assert len(slowed_upstreams(steps)) == 4
+    assert slowed_upstreams(steps) != slowed_upstreams(timeline(FLEET, faults, 4))
     starts = [(step.at, step.index, step.id) for step in steps if isinstance(step, Start)]
     assert starts == [(2800 * MS + n // 2 * SECOND, n, f"u{n}v2") for n in range(4)]
     drained_at = {step.index: step.at for step in steps if isinstance(step, Drain)}
@@ -65,14 +65,14 @@
     assert graces == dict.fromkeys(range(4), 500 * MS)
 
 
-def test_two_deploys_give_new_ids_each_time_and_an_empty_set_is_named() -> None:
+def test_each_deploy_gives_a_new_id_and_a_fault_without_upstreams_is_rejected() -> None:
     faults = tuple(
         Fault(kind=FaultKind.DEPLOY, at_s=at, upstreams=UpstreamSelector(ids=("u1",))) for at in (1, 10)
     )
     ids = [step.id for step in timeline(FLEET, faults, 1) if isinstance(step, Start)]
     assert ids == ["u1v2", "u1v3"]
-    nowhere = Fault(kind=FaultKind.UNREACHABLE, at_s=1, upstreams=UpstreamSelector(zone="c"))
+    without_upstreams = Fault(kind=FaultKind.UNREACHABLE, at_s=1, upstreams=UpstreamSelector(zone="c"))
     with pytest.raises(FaultError, match=r"faults\[1\]") as raised:
-        timeline(FLEET, (faults[0], nowhere), 1)
+        timeline(FLEET, (faults[0], without_upstreams), 1)
     assert raised.value.key == "faults[1].who"
     assert [spec.cell for spec in upstream_specs(FLEET)] == [0, 1, 0, 1, 1000, 1000, 1000]
