--- a/linetrack/cli/__init__.py
+++ b/linetrack/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: parses, calls, prints.  It decides and measures nothing itself."""
+"""The command line: parses arguments, calls the other packages and prints results; has no other logic."""
--- a/linetrack/cli/common.py
+++ b/linetrack/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit statuses, options, reading experiment files, printing metrics."""
+"""Code shared by the commands: exit statuses, options, reading experiment files, printing metrics."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ExitStatus(IntEnum):
-    """How a command ends."""
+    """The exit status of a command; `main.py` documents the values."""
 
     HELD = 0
     NOT_HELD = 1
@@ -37,43 +37,47 @@
 
 
 def json_option(command: Command) -> Command:
-    """The option `--json`."""
-    return click.option("--json", "as_json", is_flag=True, help="Print figures as JSON.")(command)
+    """Add the option `--json` to a command."""
+    return click.option("--json", "as_json", is_flag=True, help="Print the metrics as JSON.")(command)
 
 
 def set_option(command: Command) -> Command:
-    """The option `--set`."""
+    """Add the option `--set` to a command."""
     option = click.option(
-        "--set", "overrides", multiple=True, metavar="PATH=VALUE", help="Change the file's value."
+        "--set",
+        "overrides",
+        multiple=True,
+        metavar="PATH=VALUE",
+        help="Override a value of the file; may be repeated.",
     )
     return option(command)
 
 
 def seed_option(command: Command) -> Command:
-    """The option `--seed` of commands that take one."""
-    return click.option("--seed", type=int, help="Instead of the file's seeds.")(command)
+    """Add the option `--seed` to a command that takes a single seed."""
+    return click.option("--seed", type=int, help="Seed to use instead of the file's seeds.")(command)
 
 
 def ledgers_option(command: Command) -> Command:
-    """The option `--out` of commands that only write ledgers."""
-    help_ = "Folder for ledgers (a temporary one where none is given)."
+    """Add the option `--out` to a command that writes nothing but ledgers."""
+    help_ = "Folder for ledgers (default: a temporary folder)."
     return click.option("--out", type=FOLDER, help=help_)(command)
 
 
 def exit_bad_input(error: Exception) -> NoReturn:
-    """Print what is wrong with the input, and exit."""
+    """Print the error in the input to standard error, and exit with `BAD_INPUT`."""
     click.echo(f"linetrack: {error}", err=True)
     sys.exit(ExitStatus.BAD_INPUT)
 
 
 def exit_invalid(reason: object) -> NoReturn:
-    """Print why nothing is claimed, and exit."""
+    """Print why there is no valid result to standard error, and exit with `INVALID`."""
     click.echo(f"linetrack: {reason}", err=True)
     sys.exit(ExitStatus.INVALID)
 
 
 def read_experiment_or_exit(path: Path, overrides: tuple[str, ...]) -> tuple[Experiment, Path]:
-    """An experiment and its file, which may be given as the name of one that comes with the program."""
+    """Return an experiment and the path of its file; `path` may name an included experiment instead."""
     from linetrack.experiments.schema import read_experiment
 
     if not path.exists() and (included := EXPERIMENTS_FOLDER / f"{path}.yaml").exists():
@@ -85,14 +89,14 @@
 
 
 def ledger_folder(out: Path | None) -> Path:
-    """The folder for ledgers, made where it does not exist."""
+    """Return the folder for ledgers, which is created if it does not exist."""
     folder = out or Path(tempfile.mkdtemp(prefix="linetrack-"))
     folder.mkdir(parents=True, exist_ok=True)
     return folder
 
 
 def print_metrics(columns: Mapping[str, Mapping[str, float]], as_json: bool) -> None:
-    """Print a table with a column for each name, or JSON."""
+    """Print metrics as a table with a column for each name, or as JSON."""
     if as_json:
         click.echo(json.dumps(columns))
         return
--- a/linetrack/cli/emulation.py
+++ b/linetrack/cli/emulation.py
@@ -1,4 +1,4 @@
-"""Commands that run the emulator or the load generator alone."""
+"""Commands that run the emulator or the load generator on its own."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 if TYPE_CHECKING:
     from linetrack.emulator.emulator import Emulator
 
-START_DELAY_US = 300_000  # between the order to start and the first send
+START_DELAY_US = 300_000  # from the start command to the workers until the load begins
 POLL_SECONDS = 0.1
 
 
@@ -39,14 +39,20 @@
 @set_option
 @seed_option
 @click.option(
-    "--sides", "sidecars", default=1, show_default=True, help="Discovery addresses, one for each sidecar."
+    "--sides",
+    "sidecars",
+    default=1,
+    show_default=True,
+    help="Number of discovery addresses, one for each sidecar.",
+)
+@click.option(
+    "--for", "length", default=3600.0, show_default=True, help="Seconds after which the emulator stops."
 )
-@click.option("--for", "length", default=3600.0, show_default=True, help="Seconds until it ends by itself.")
 @ledgers_option
 def emulate(
     path: Path, overrides: tuple[str, ...], seed: int | None, sidecars: int, length: float, out: Path | None
 ) -> None:
-    """Run the fleet, discovery and faults of an experiment file, and print their addresses."""
+    """Run the upstreams, discovery and faults of an experiment file, and print the addresses."""
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.emulator import Emulator
 
@@ -63,7 +69,7 @@
 
 
 def _run_emulator(emulator: Emulator, length: float) -> None:
-    """Print its addresses, and let it run for so many seconds."""
+    """Print the emulator's addresses, and let it run for `length` seconds."""
     from linetrack.emulator.ledger import now
 
     addresses = {
@@ -81,7 +87,11 @@
 @click.command()
 @click.argument("path", type=FILE)
 @click.option(
-    "--target", "targets", multiple=True, required=True, help="address:port; several share the load."
+    "--target",
+    "targets",
+    multiple=True,
+    required=True,
+    help="address:port; may be repeated to spread the load.",
 )
 @set_option
 @seed_option
@@ -95,7 +105,7 @@
     out: Path | None,
     as_json: bool,
 ) -> None:
-    """Send the load of an experiment file to addresses on loopback, on time whatever is answered."""
+    """Send the load of an experiment file to loopback addresses, on time regardless of responses."""
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.ledger import now
     from linetrack.experiments.load_metrics import load_metrics
@@ -126,5 +136,5 @@
     for target in targets:
         host, _, port = target.rpartition(":")
         if not host.startswith("127.") or not port.isdigit():
-            reason = "expected an address of 127.0.0.0/8 and a port"
+            reason = "expected an address in 127.0.0.0/8 and a port"
             exit_bad_input(FileError(f"--target {target}", reason))
--- a/linetrack/cli/experiment.py
+++ b/linetrack/cli/experiment.py
@@ -1,4 +1,4 @@
-"""Commands that run experiments, and read what they left."""
+"""Commands that run experiments, and that read their results and ledgers."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @experiment.command("list")
 def experiment_list() -> None:
-    """Those that come with the program."""
+    """List the included experiments."""
     table = Table("name", "question")
     for path in sorted(EXPERIMENTS_FOLDER.glob("*.yaml")):
         found, _ = read_experiment_or_exit(path, ())
@@ -55,7 +55,7 @@
 
 @experiment.command("schema")
 def experiment_schema() -> None:
-    """JSON Schema of an experiment file."""
+    """Print the JSON Schema of experiment files."""
     from linetrack.experiments.schema import Experiment
 
     click.echo(json_schema(Experiment))
@@ -64,7 +64,13 @@
 @experiment.command("run")
 @click.argument("path", type=FILE)
 @set_option
-@click.option("--seed", "seeds", type=int, multiple=True, help="Instead of the file's seeds; may come again.")
+@click.option(
+    "--seed",
+    "seeds",
+    type=int,
+    multiple=True,
+    help="Seed to use instead of the file's seeds; may be repeated.",
+)
 @click.option("--out", type=FOLDER, help="Folder for ledgers, results and report.")
 @click.option("--report/--no-report", "with_report", default=True, help="Write report.html.")
 @json_option
@@ -76,7 +82,7 @@
     with_report: bool,
     as_json: bool,
 ) -> None:
-    """Run an experiment (a file, or the name of one that comes with the program) and judge it."""
+    """Run an experiment (a file, or the name of an included one) and check its bounds."""
     found, path = read_experiment_or_exit(path, overrides)
     out = out or Path(tempfile.mkdtemp(prefix=f"linetrack-{found.name}-"))
     results = _play_or_exit(found, path.parent, out, seeds, show_progress=not as_json)
@@ -105,20 +111,20 @@
     except FileError as error:
         exit_bad_input(error)
     except KeyboardInterrupt:
-        exit_invalid(f"stopped; what had ended is kept in {out}, marked as partial")
+        exit_invalid(f"interrupted; the completed runs are kept in {out}, marked as partial")
     except (ChildFailedError, RunError, LedgerError, OSError) as error:
-        exit_invalid(f"{error}; nothing is claimed")
+        exit_invalid(f"{error}; there is no valid result")
 
 
 class _ProgressBars:
-    """A bar for each run."""
+    """Progress bars, one for each run."""
 
     def __init__(self, progress: Progress) -> None:
         self._progress = progress
         self._tasks: dict[str, TaskID] = {}
 
     def update(self, run: str, fraction: float) -> None:
-        """Show how much of a run is done."""
+        """Show the completed fraction of a run."""
         if run not in self._tasks:
             self._tasks[run] = self._progress.add_task(run, total=1.0)
         self._progress.update(self._tasks[run], completed=fraction)
@@ -175,7 +181,7 @@
 @click.command()
 @click.argument("folder", type=FOLDER)
 def report(folder: Path) -> None:
-    """Write the report of an experiment's results anew."""
+    """Write the report of an experiment's results again."""
     from linetrack.experiments.report import write_report
 
     try:
@@ -188,7 +194,7 @@
 @click.argument("folder", type=FOLDER)
 @json_option
 def audit(folder: Path, as_json: bool) -> None:
-    """Check the four rules from the ledgers of one run's folder alone."""
+    """Check the four rules, using only the ledgers in the folder of one run."""
     from linetrack.emulator.ledger import LedgerError
     from linetrack.experiments import audit as auditor
 
@@ -215,4 +221,4 @@
     verdict = "held" if findings.held else "BROKEN"
     click.echo(f"{verdict}: {findings.requests} tries, {findings.attempts} attempts")
     for name in findings.incomplete_files:
-        click.echo(f"incomplete: {name} is cut off in its last line")
+        click.echo(f"incomplete: the last line of {name} is truncated")
--- a/linetrack/cli/main.py
+++ b/linetrack/cli/main.py
@@ -1,7 +1,7 @@
-"""`linetrack COMMAND`, also `python -m linetrack COMMAND`.
+"""The command `linetrack COMMAND`, also `python -m linetrack COMMAND`.
 
-Exit status: 0 held, or done; 1 a bound was not held; 2 bad input, in one line; 3 the machine ran late or
-something that a run needs did not come up, so that nothing is claimed.
+Exit status: 0 success, and all bounds held; 1 a bound was not held; 2 bad input, reported in one line; 3 no
+valid result, as the load was sent late or a process that a run needs failed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def cli() -> None:
-    """A balancer for service-to-service calls, with its emulator, load generator and experiments."""
+    """A load balancer for service-to-service calls, with its emulator, load generator and experiments."""
 
 
 for command in (serve, config, emulate, load, experiment, report, audit):
--- a/linetrack/cli/sidecar.py
+++ b/linetrack/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""Commands about one sidecar and its file."""
+"""Commands that run one sidecar, and that check or show its operators' file."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 @click.command()
 @click.option("--config", "path", type=FILE, required=True, help="The operators' file (TOML).")
 def serve(path: Path) -> None:
-    """Run one sidecar on an operators' file until SIGTERM; SIGHUP reads the file again."""
+    """Run one sidecar with an operators' file until SIGTERM; SIGHUP reloads the file."""
     from linetrack.server import lifecycle
     from linetrack.server.config import Config, ConfigError, parse_config
 
     def read() -> Config:
-        """The configuration that the file gives now."""
+        """Read the file and return its configuration."""
         try:
             return parse_config(platform_form(read_operators_file(path)), {})
         except FileError as error:
@@ -39,7 +39,7 @@
 @config.command("check")
 @click.argument("path", type=FILE)
 def config_check(path: Path) -> None:
-    """Whether a file makes sense."""
+    """Check whether a file is valid, and print warnings."""
     from linetrack.server.config import ConfigError, parse_config
 
     try:
@@ -49,14 +49,14 @@
         exit_bad_input(error)
     for warning in warnings(file):
         click.echo(f"{path}: warning: {warning}", err=True)
-    click.echo(f"{path}: sound")
+    click.echo(f"{path}: valid")
 
 
 @config.command("show")
 @click.argument("path", type=FILE)
-@click.option("--platform", is_flag=True, help="In the platform's form.")
+@click.option("--platform", is_flag=True, help="Print the platform's form of the configuration.")
 def config_show(path: Path, platform: bool) -> None:
-    """A file with every default filled in."""
+    """Print a file's values, with defaults for absent keys."""
     try:
         file = read_operators_file(path)
     except FileError as error:
@@ -67,5 +67,5 @@
 
 @config.command("schema")
 def config_schema() -> None:
-    """JSON Schema of the operators' file."""
+    """Print the JSON Schema of the operators' file."""
     click.echo(json_schema(OperatorsFile))
--- a/linetrack/config/check.py
+++ b/linetrack/config/check.py
@@ -1,6 +1,6 @@
-"""Files read into immutable typed values, with one error that says what is wrong.
+"""Reads files into immutable typed values, and reports an invalid file by one error.
 
-Knows how an error is worded: file, key, value, what was expected.  Defaults and schemas are in the types.
+Defines the wording of errors: file, key, value, expected value.  Defaults and schemas are in the types.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 Value = TypeVar("Value", bound=msgspec.Struct)
 
 ENTIRE_FILE = "the whole file"
-KEY_SIMILARITY = 0.5  # how alike a known key must be to be suggested, of 1
+KEY_SIMILARITY = 0.5  # least similarity, from 0 to 1, at which a known key is suggested
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of every table of a file: no other keys than the type's, and immutable."""
+    """Base class of the tables of a file: immutable, and rejects unknown keys."""
 
 
 class FileError(LinetrackError):
@@ -32,8 +32,8 @@
 
     Attributes:
         source: the file or option, with the line where one is known.
-        key: the path of the key at fault; empty where there is none.
-        value: the value as shown to the operator; empty where there is none.
+        key: the path of the invalid key; empty if the error concerns no key.
+        value: the value as shown to the operator; empty if there is none.
         reason: what is wrong, or what was expected.
     """
 
@@ -46,24 +46,24 @@
 
 
 def read_text(path: Path) -> str:
-    """The text of a file.
+    """Return the text of a file.
 
     Raises:
-        FileError: it cannot be read, or is no UTF-8.
+        FileError: the file cannot be read, or is not valid UTF-8.
     """
     try:
         return path.read_text(encoding="utf-8")
     except OSError as error:
         raise FileError(path, str(error.strerror)) from None
     except UnicodeDecodeError as error:
-        raise FileError(path, f"byte {error.start} is no UTF-8") from None
+        raise FileError(path, f"byte {error.start} is not valid UTF-8") from None
 
 
 def read_toml(path: Path, kind: type[Value]) -> Value:
-    """A TOML file as that type.
+    """Read a TOML file as a value of the type `kind`.
 
     Raises:
-        FileError: it cannot be read or does not fit the type.
+        FileError: the file cannot be read, or does not match the type.
     """
     text = read_text(path)
     try:
@@ -74,10 +74,10 @@
 
 
 def convert(values: Any, kind: type[Value], source: Path) -> Value:
-    """The values as that type.
+    """Convert decoded values to the type `kind`.
 
     Raises:
-        FileError: they do not fit; it names the first key that does not.
+        FileError: the values do not match the type; the error names the first invalid key.
     """
     try:
         return msgspec.convert(values, kind)
@@ -86,11 +86,11 @@
 
 
 def json_schema(kind: type[msgspec.Struct]) -> bytes:
-    """JSON Schema of a file of this type, indented."""
+    """Return the JSON Schema of files of this type, indented."""
     return msgspec.json.format(msgspec.json.encode(msgspec.json.schema(kind)), indent=2)
 
 
-# msgspec gives its errors as text only
+# msgspec reports errors only as text, which these patterns parse.
 _MESSAGE = re.compile(r"^(?P<what>.*?)(?: - at `(?:key in )?\$(?P<path>[^`]*)`)?$", re.DOTALL)
 _UNKNOWN_FIELD = re.compile(r"unknown field `(?P<name>[^`]*)`")
 _MISSING_FIELD = re.compile(r"missing required field `(?P<name>[^`]*)`")
@@ -103,9 +103,9 @@
     path = (match["path"] or "").lstrip(".")
     if unknown := _UNKNOWN_FIELD.search(reason):
         name = unknown["name"]
-        return FileError(source, f"unknown key{_suggestion(name, kind)}", key=_joined(path, name))
+        return FileError(source, f"unknown key{_suggestion(name, kind)}", key=_join_key(path, name))
     if missing := _MISSING_FIELD.search(reason):
-        return FileError(source, "missing", key=_joined(path, missing["name"]))
+        return FileError(source, "missing", key=_join_key(path, missing["name"]))
     value = repr(_value_at(values, path))
     return FileError(source, reason[:1].lower() + reason[1:], key=path or ENTIRE_FILE, value=value)
 
@@ -116,7 +116,7 @@
     return f"; nearest known key: {nearest[0]}" if nearest else ""
 
 
-def _joined(path: str, name: str) -> str:
+def _join_key(path: str, name: str) -> str:
     return f"{path}.{name}" if path else name
 
 
@@ -130,7 +130,7 @@
 
 
 def _all_keys(kind: type[msgspec.Struct]) -> Iterator[str]:
-    """Every key that a file of this type may have, at any depth."""
+    """Yield every key that a file of this type may have, at any depth."""
     pending = [inspect.type_info(kind)]
     seen: set[type] = set()
     while pending:
--- a/linetrack/config/operators.py
+++ b/linetrack/config/operators.py
@@ -1,7 +1,8 @@
-"""The operators' file (TOML, version 1): what one sidecar is configured with outside the platform.
+"""The operators' file (TOML, version 1), which configures one sidecar that runs outside the platform.
 
 The only module that knows the file's keys, units and defaults, and how they map to the platform's form.
-Durations are milliseconds, as the keys say.  What a key means to the policy is in `linetrack/settings.py`.
+Durations are in milliseconds, as the suffixes of the keys state.  `linetrack/settings.py` documents what the
+settings mean to the policy.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class Idempotency(Enum):
-    """What executing a request twice would do, by the file's words."""
+    """Whether executing a request twice is safe; values are those of the file."""
 
     IDEMPOTENT = "free"
     IDEMPOTENCY_KEY = "guarded"
@@ -33,7 +34,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The upstreams that recognise a repeated idempotency key together, by the file's words."""
+    """The set of upstreams that detect duplicate idempotency keys together; values are those of the file."""
 
     ALL = "all"
     ZONE = "zone"
@@ -54,7 +55,7 @@
         "deduplication_window_ms": "dedup_window_ms",
     },
 ):
-    """One class of requests: what a retry may do, and what a response is worth by when it comes."""
+    """A class of requests: whether retries are safe, and the value of a response by its latency."""
 
     name: Name
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
@@ -66,7 +67,7 @@
     deduplication_window_ms: NotNegative = 0.0
 
     def __post_init__(self) -> None:
-        """Check the values against one another."""
+        """Check that the values are consistent with one another."""
         if self.latency_objective_ms > self.timeout_ms:
             raise ValueError(f"expected aim_ms of {self.name!r} to be at most its deadline_ms")
 
@@ -85,14 +86,14 @@
         "retry_window_ratio": "further_share",
     },
 ):
-    """What the sidecar may do on its own account."""
+    """What the sidecar may do beyond forwarding each request once."""
 
     max_attempts: Count = 3
     may_hedge: bool = False
     may_cancel: bool = True
     may_send_retry_after: bool = True  # with rejections
     max_retry_after_ms: NotNegative = 1000.0
-    # retries in any window: at most the allowance + the ratio x requests received in it; 0: no limit
+    # Retries in any window are limited to the allowance + the ratio x requests received in it; 0: no limit.
     retry_window_ms: NotNegative = 0.0
     retry_window_allowance: NotNegative = 0.0
     retry_window_ratio: NotNegative = 0.0
@@ -104,10 +105,10 @@
     kw_only=True,
     rename={"enabled": "damp", "retry_after_in_whole_seconds": "whole_seconds"},
 ):
-    """Retry storms (docs/operating/overload-control.md)."""
+    """Overload control, which limits retry storms (docs/operating/overload-control.md)."""
 
-    enabled: bool = False  # admit by goodput while most requests fail, and remember callers' keys
-    retry_after_in_whole_seconds: bool = False  # for callers that read only those
+    enabled: bool = False  # admit by goodput while most requests fail, and remember clients' keys
+    retry_after_in_whole_seconds: bool = False  # for clients that accept only whole seconds
 
 
 class Upstreams(
@@ -126,28 +127,28 @@
         "cross_zone_cost": "price_cross_zone",
     },
 ):
-    """What is known of the upstreams."""
+    """What the sidecar assumes about the upstreams and its connections to them."""
 
     dial_timeout_ms: Positive = 250.0
     keep_alive_ms: Positive = 30_000.0
     load_report_fields: tuple[str, ...] = ()
-    # live: divided by 1 + requests a core
+    # live: the listed capacity is the nominal one divided by 1 + requests per core.
     listed_capacity: Literal["off", "nominal", "rough", "live"] = "off"
     host_classes: tuple[str, ...] = ()
-    slow_start_initial_fraction: Fraction = 1.0  # of the capacity, at a start
+    slow_start_initial_fraction: Fraction = 1.0  # of the full capacity, at a start
     slow_start_ms: NotNegative = 0.0
     overload_multiple: NotNegative = 0.0
     overload_window_ms: NotNegative = 0.0
     drain_grace_ms: NotNegative = 1000.0
-    removal_is_advisory: bool = False  # only upstreams listed as draining may get nothing new
+    removal_is_advisory: bool = False  # true: removed upstreams may still get new requests, draining ones not
     cross_zone_cost: NotNegative = 0.0
 
 
 class Tenant(Table, frozen=True, kw_only=True):
-    """One tenant's quota; a request's `party` is its index in the file."""
+    """The quota of one tenant; a request names a tenant by `party`, its index in the file."""
 
     name: Name
-    rate: Positive  # requests a second, over all sidecars
+    rate: Positive  # requests per second, over all sidecars
 
 
 class Sidecar(Table, frozen=True, kw_only=True, rename={"instance": "number", "instance_count": "sidecars"}):
@@ -156,7 +157,7 @@
     name: Name
     listen: str
     discovery: str
-    admin: str = ""  # the operators' own address; empty: nothing listens there
+    admin: str = ""  # address of the admin listener; empty: no admin listener
     zone: Name
     instance: Index = 0
     instance_count: Count = 1
@@ -164,7 +165,7 @@
 
 
 class Limits(Table, frozen=True, kw_only=True):
-    """What the process may use."""
+    """Limits on the resources of the process."""
 
     sockets: Annotated[int, Meta(ge=64)] = 1024
     memory_mb: Annotated[int, Meta(ge=24)] = 192
@@ -176,7 +177,7 @@
     kw_only=True,
     rename={"overload_control": "storms", "over_quota_weight": "over_share_worth"},
 ):
-    """The whole file.  Later subsystems add a table each."""
+    """The whole file; each subsystem has a table of its own."""
 
     version: Literal[1]
     sidecar: Sidecar
@@ -190,7 +191,7 @@
     over_quota_weight: Fraction = 1.0  # factor on the priority weight of a request beyond its tenant's quota
 
     def __post_init__(self) -> None:
-        """Check the tables against one another."""
+        """Check that the tables are consistent with one another."""
         if self.sidecar.zone not in self.zones:
             raise ValueError(f"expected sidecar.zone {self.sidecar.zone!r} to be one of zones")
         names = [request_class.name for request_class in self.classes]
@@ -201,16 +202,16 @@
 
 
 def read_operators_file(path: Path) -> OperatorsFile:
-    """The file, checked.
+    """Read and check an operators' file.
 
     Raises:
-        FileError: it cannot be read, or a value is missing or invalid.
+        FileError: the file cannot be read, or a value is missing or invalid.
     """
     return read_toml(path, OperatorsFile)
 
 
 def warnings(file: OperatorsFile) -> list[str]:
-    """What an operator may not have meant, a line each, though the file is sound."""
+    """Return warnings about values of a valid file that are probably unintended, one line each."""
     upstreams = file.upstreams
     has_multiple = bool(upstreams.overload_multiple)
     has_window = bool(upstreams.overload_window_ms)
@@ -223,13 +224,13 @@
     if upstreams.slow_start_ms and not (has_multiple and has_window):
         lines.append(
             "upstreams.warm_up_ms without fall_multiple and overload_ms: attempts at an upstream"
-            " that warms up are weighted, not bounded"
+            " in warm-up are weighted, not bounded"
         )
     return lines
 
 
 def platform_form(file: OperatorsFile) -> dict[str, Any]:
-    """The same values in the platform's form, which the program reads."""
+    """Return the file's values in the platform's form, which `linetrack/server/config.py` parses."""
     sidecar = file.sidecar
     overload_control = file.overload_control
     return {
@@ -295,7 +296,7 @@
 
 
 def _retry_window(retries: Retries) -> dict[str, Any]:
-    """All three keys, or none where there is no limit."""
+    """Return the three keys of the retry limit, or none if no limit is set."""
     limit = {
         "freeResends": retries.retry_window_allowance,
         "furtherRatio": retries.retry_window_ratio,
--- a/tests/cli/test_imports.py
+++ b/tests/cli/test_imports.py
@@ -1,4 +1,4 @@
-"""What the command line must not add to the platform's sidecar."""
+"""Tests that the command line adds no imports to the sidecar as the platform runs it."""
 
 import os
 import subprocess
@@ -6,7 +6,7 @@
 from tests.support.paths import ROOT
 
 
-def test_the_platforms_sidecar_imports_nothing_of_the_tools() -> None:
+def test_the_platforms_sidecar_imports_no_tool_packages_or_their_dependencies() -> None:
     code = "import sys, runpy; sys.argv = ['linetrack']\n"
     code += "try: runpy.run_module('linetrack', run_name='__main__')\nexcept SystemExit as end: "
     code += "print(end.code, *sys.modules)"
@@ -14,8 +14,8 @@
     out = subprocess.run(
         [".venv/bin/python", "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, env=environ
     ).stdout.split()
-    tools = ("click", "rich", "msgspec", "numpy", "hdrh", "matplotlib", "yaml")
-    ours = (
+    tool_dependencies = ("click", "rich", "msgspec", "numpy", "hdrh", "matplotlib", "yaml")
+    tool_packages = (
         "linetrack.cli",
         "linetrack.config",
         "linetrack.emulator",
@@ -24,4 +24,6 @@
     )
     assert out[0] == "2"
     assert "linetrack.policy.balancer" in out
-    assert not [name for name in out if name.split(".")[0] in tools or name.startswith(ours)]
+    assert not [
+        name for name in out if name.split(".")[0] in tool_dependencies or name.startswith(tool_packages)
+    ]
--- a/tests/config/test_operators_file.py
+++ b/tests/config/test_operators_file.py
@@ -1,4 +1,4 @@
-"""The operators' file: what it gives, and errors that name file, key and what was expected."""
+"""Tests of the operators' file: the settings it gives, and errors that name file, key and expected value."""
 
 import re
 from pathlib import Path
@@ -20,7 +20,7 @@
     return parse_config(platform_form(read_operators_file(path)), {}).settings
 
 
-def test_the_sample_file_is_valid_and_gives_what_the_program_reads() -> None:
+def test_the_sample_file_is_valid_and_gives_the_expected_configuration() -> None:
     config = parse_config(platform_form(read_operators_file(SAMPLE)), {})
     assert config.name == "n0"
     assert config.class_names == ("lookup", "sale")
@@ -30,7 +30,7 @@
     assert config.settings.slow_start_initial_fraction == 0.2
 
 
-def test_the_limit_of_retries_is_off_until_the_file_sets_it(tmp_path: Path) -> None:
+def test_the_retry_limit_is_off_by_default_and_an_incomplete_limit_is_rejected(tmp_path: Path) -> None:
     assert not policy_settings(SAMPLE).retry_window
     path = tmp_path / "f.toml"
     keys = "max_attempts = 3\nfurther_window_ms = 2000\nfurther_free = 2\nfurther_share = 0.1"
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("keys", "said"),
+    ("keys", "expected"),
     [
         ("fall_multiple = 3.0\noverload_ms = 1000", []),
         ("fall_multiple = 3.0", ["fall_multiple without upstreams.overload_ms", "weighted, not bounded"]),
@@ -53,8 +53,8 @@
         ("", ["weighted, not bounded"]),
     ],
 )
-def test_a_check_warns_where_the_overload_rule_lacks_a_key(
-    tmp_path: Path, keys: str, said: list[str]
+def test_config_check_warns_if_the_overload_rule_lacks_a_key(
+    tmp_path: Path, keys: str, expected: list[str]
 ) -> None:
     path = tmp_path / "f.toml"
     rule = "fall_multiple = 3.0\noverload_ms = 1000"
@@ -63,8 +63,8 @@
     result = CliRunner().invoke(cli, ["config", "check", str(path)])
     lines = result.stderr.splitlines()
     assert result.exit_code == 0
-    assert len(lines) == len(said)
-    assert all(part in line for part, line in zip(said, lines, strict=True))
+    assert len(lines) == len(expected)
+    assert all(part in line for part, line in zip(expected, lines, strict=True))
 
 
 INVALID = [
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(("old", "new", "key", "line"), INVALID)
-def test_an_invalid_file_gives_one_line_that_names_file_key_and_what_was_expected(
+def test_an_invalid_file_gives_a_one_line_error_with_file_key_and_expected_value(
     tmp_path: Path, old: str, new: str, key: str, line: str
 ) -> None:
     path = tmp_path / "f.toml"
