--- a/linetrack/cli/experiment.py
+++ b/linetrack/cli/experiment.py
@@ -48,8 +48,8 @@
     """List the included experiments."""
     table = Table("name", "question")
     for path in sorted(EXPERIMENTS_FOLDER.glob("*.yaml")):
-        found, _ = read_experiment_or_exit(path, ())
-        table.add_row(path.stem, found.question)
+        definition, _ = read_experiment_or_exit(path, ())
+        table.add_row(path.stem, definition.question)
     Console().print(table)
 
 
@@ -83,9 +83,9 @@
     as_json: bool,
 ) -> None:
     """Run an experiment (a file, or the name of an included one) and check its bounds."""
-    found, path = read_experiment_or_exit(path, overrides)
-    out = out or Path(tempfile.mkdtemp(prefix=f"linetrack-{found.name}-"))
-    results = _play_or_exit(found, path.parent, out, seeds, show_progress=not as_json)
+    definition, path = read_experiment_or_exit(path, overrides)
+    out = out or Path(tempfile.mkdtemp(prefix=f"linetrack-{definition.name}-"))
+    results = _run_experiment_or_exit(definition, path.parent, out, seeds, show_progress=not as_json)
     if with_report:
         from linetrack.experiments.report import write_report
 
@@ -97,8 +97,8 @@
     sys.exit(_exit_status(results))
 
 
-def _play_or_exit(
-    found: Experiment, source: Path, out: Path, seeds: tuple[int, ...], show_progress: bool
+def _run_experiment_or_exit(
+    definition: Experiment, folder: Path, out: Path, seeds: tuple[int, ...], show_progress: bool
 ) -> Results:
     from linetrack.emulator.child_process import ChildFailedError
     from linetrack.emulator.ledger import LedgerError
@@ -107,7 +107,7 @@
 
     try:
         with Progress(console=Console(stderr=True), disable=not show_progress) as progress:
-            return play(found, source, out, seeds, _ProgressBars(progress).update)
+            return play(definition, folder, out, seeds, _ProgressBars(progress).update)
     except FileError as error:
         exit_bad_input(error)
     except KeyboardInterrupt:
--- a/linetrack/config/operators.py
+++ b/linetrack/config/operators.py
@@ -91,7 +91,7 @@
     max_attempts: Count = 3
     may_hedge: bool = False
     may_cancel: bool = True
-    may_send_retry_after: bool = True  # with rejections
+    may_send_retry_after: bool = True  # send `Retry-After` with rejections
     max_retry_after_ms: NotNegative = 1000.0
     # Retries in any window are limited to the allowance + the ratio x requests received in it; 0: no limit.
     retry_window_ms: NotNegative = 0.0
@@ -107,7 +107,7 @@
 ):
     """Overload control, which limits retry storms (docs/operating/overload-control.md)."""
 
-    enabled: bool = False  # admit by goodput while most requests fail, and remember clients' keys
+    enabled: bool = False  # admit by goodput while most requests fail, and remember clients' idempotency keys
     retry_after_in_whole_seconds: bool = False  # for clients that accept only whole seconds
 
 
--- a/linetrack/emulator/discovery.py
+++ b/linetrack/emulator/discovery.py
@@ -34,7 +34,7 @@
 STATE_DELETED = "DELETED"
 RECHECK_SECONDS = 0.5  # interval at which a waiting watch checks whether a fault has begun or ended
 
-Entry = dict[str, Any]  # one endpoint as discovery lists it
+Entry = dict[str, Any]  # one entry of the endpoint list
 
 
 class DiscoveryServer:
--- a/linetrack/emulator/timeline.py
+++ b/linetrack/emulator/timeline.py
@@ -1,4 +1,4 @@
-"""The timeline of an emulated fleet: its initial upstreams, and the steps that faults take and when.
+"""The timeline of an emulated fleet: its initial upstreams, and the timed steps of its faults.
 
 A pure function of experiment file and seed, so that every process of the emulator computes the same timeline.
 """
--- a/linetrack/load/worker.py
+++ b/linetrack/load/worker.py
@@ -35,7 +35,7 @@
 
 RESPONSE_GRACE_US = 50_000  # time after its deadline during which a client still accepts a response
 FLUSH_INTERVAL_SECONDS = 0.2
-MAX_IN_FLIGHT = 50_000  # requests; further ones are not sent; the measurements count them as late
+MAX_IN_FLIGHT = 50_000  # further requests are not sent, and the measurements count them as late
 DRAIN_TIMEOUT_SECONDS = 10.0  # for the outstanding responses after the last send
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,5 +19,5 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def built() -> None:
-    """Build the program with the `build` command of the deploy file."""
+    """Build the sidecar with the `build` command of the deploy file."""
     subprocess.run(["/bin/sh", "-c", DEPLOY["build"]], cwd=ROOT, check=True)
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -50,7 +50,7 @@
         with contextlib.suppress(OSError, AssertionError), sock:
             self.serve_connection(HttpConnection(sock))
 
-    def serve_connection(self, wire: HttpConnection) -> None:
+    def serve_connection(self, connection: HttpConnection) -> None:
         """Serve one connection, which is closed when this method returns."""
         raise NotImplementedError
 
@@ -83,14 +83,14 @@
         self.closed = 0
         super().__init__()
 
-    def serve_connection(self, wire: HttpConnection) -> None:
+    def serve_connection(self, connection: HttpConnection) -> None:
         try:
-            while request := wire.read():
+            while request := connection.read():
                 self.seen.append(request)
-                reply = self.script(request, wire)
-                if reply is None:
+                response = self.script(request, connection)
+                if response is None:
                     return
-                wire.sock.sendall(reply)
+                connection.sock.sendall(response)
         finally:
             self.closed += 1
 
@@ -98,9 +98,9 @@
         return endpoint_entry(self.name, **{"addr": self.address, **changes})
 
 
-def never_respond(_request: HttpMessage, wire: HttpConnection) -> None:
+def never_respond(_request: HttpMessage, connection: HttpConnection) -> None:
     """Wait until the sidecar closes the connection; a script for `UpstreamServer`."""
-    wire.wait_for_close()
+    connection.wait_for_close()
 
 
 class DiscoveryServer(StandInServer):
@@ -121,18 +121,18 @@
             self.changed = list(entries)
             self.change_condition.notify_all()
 
-    def serve_connection(self, wire: HttpConnection) -> None:
-        while request := wire.read():
+    def serve_connection(self, connection: HttpConnection) -> None:
+        while request := connection.read():
             with self.change_condition:
                 self.calls.append(request.target)
                 if self.scripted:
-                    reply = self.scripted.pop(0)
-                    if reply is None:
+                    response = self.scripted.pop(0)
+                    if response is None:
                         return
-                    wire.sock.sendall(reply)
+                    connection.sock.sendall(response)
                     continue
                 endpoint_list = self._endpoint_list(request.target)
-            wire.sock.sendall(http_response(json.dumps(endpoint_list).encode()))
+            connection.sock.sendall(http_response(json.dumps(endpoint_list).encode()))
 
     def _endpoint_list(self, target: str) -> dict[str, Any]:
         if "?" not in target:
@@ -151,6 +151,6 @@
 
 
 def unused_address() -> str:
-    """Return an address at which nothing listens and which is not assigned at random."""
+    """Return an address at which nothing listens and which no other socket is assigned by chance."""
     with socket.create_server((unique_loopback_host(), 0)) as probe:
         return "{}:{}".format(*probe.getsockname())
--- a/tests/support/sidecar_process.py
+++ b/tests/support/sidecar_process.py
@@ -67,10 +67,10 @@
 
     def exchange(self, data: bytes) -> HttpMessage:
         """Send bytes on a new connection and return the response."""
-        wire = self.connect()
-        with wire.sock:
-            wire.sock.sendall(data)
-            message = wire.read()
+        connection = self.connect()
+        with connection.sock:
+            connection.sock.sendall(data)
+            message = connection.read()
         assert message is not None, "closed without a response"
         return message
 
