--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -27,17 +27,17 @@
     driver = Driver(entries=listed_entries(2, 0))
     rejected = 0
     for _ in range(90):
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         rejected += any(isinstance(a, RejectRequest) for a in actions)
         for endpoint in sends(actions):
             driver.end(request, endpoint, latency=900 * MS)
     assert rejected > 10
     driver.now += 60 * SECOND
     for _ in range(60):
-        request, actions = driver.ask(after=100 * MS)
+        request, actions = driver.start_request(after=100 * MS)
         for endpoint in sends(actions):
             driver.end(request, endpoint, latency=30 * MS)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def balancer_with_open_request() -> tuple[Balancer, Request, Endpoint]:
@@ -45,7 +45,7 @@
     driver = Driver()
     for _ in range(30):
         driver.serve(latency=100 * MS)
-    request, _ = driver.ask()
+    request, _ = driver.start_request()
     return driver.balancer, driver.balancer.lifecycle.requests[request], driver.balancer.endpoints["h0"]
 
 
@@ -95,7 +95,7 @@
     quota_factors = {}
     for number in range(600):
         tenant = int(number % 12 == 0)
-        driver.feed(RequestReceived(number, IDEMPOTENT, SECOND, tenant), 10 * MS)
+        driver.handle_event(RequestReceived(number, IDEMPOTENT, SECOND, tenant), 10 * MS)
         if number in driver.balancer.lifecycle.requests:
             quota_factors[tenant] = driver.balancer.lifecycle.requests[number].quota_factor
     assert quota_factors[1] == 1.0
@@ -112,10 +112,10 @@
 
 def test_a_client_retry_with_a_shorter_timeout_counts_the_time_used_before_it() -> None:
     driver = Driver(slow_start_duration=0)
-    driver.ask(timeout=SECOND)
-    driver.feed(RequestReceived(7, IDEMPOTENT, 800 * MS, is_retry=True), 10 * MS)
-    driver.feed(RequestReceived(8, IDEMPOTENT, SECOND, is_retry=True), 10 * MS)
-    driver.feed(RequestReceived(9, IDEMPOTENT, 800 * MS), 10 * MS)
+    driver.start_request(timeout=SECOND)
+    driver.handle_event(RequestReceived(7, IDEMPOTENT, 800 * MS, is_retry=True), 10 * MS)
+    driver.handle_event(RequestReceived(8, IDEMPOTENT, SECOND, is_retry=True), 10 * MS)
+    driver.handle_event(RequestReceived(9, IDEMPOTENT, 800 * MS), 10 * MS)
     ages = {
         request_id: driver.now - driver.balancer.lifecycle.requests[request_id].started_at
         for request_id in (7, 8, 9)
@@ -132,7 +132,7 @@
     for _ in range(count):
         driver.now += 20 * MS
         driver.serve(IDEMPOTENT if class_index != IDEMPOTENT else KEYED_EVERYWHERE)
-        request, actions = driver.ask(class_index)
+        request, actions = driver.start_request(class_index)
         if endpoints := sends(actions):
             sent += 1
             driver.now -= latency  # move the clock back: only the latency matters, not the order
@@ -146,7 +146,7 @@
     assert count_admitted(driver, KEYED_EVERYWHERE, 50 * MS) == 40
     count_admitted(driver, KEYED_EVERYWHERE, 900 * MS, 20)
     assert 0 < count_admitted(driver, KEYED_EVERYWHERE, 900 * MS, 200) < 30
-    assert sends(driver.ask(IDEMPOTENT)[1]), "the other class is still admitted"
+    assert sends(driver.start_request(IDEMPOTENT)[1]), "the other class is still admitted"
     count_admitted(driver, KEYED_EVERYWHERE, 50 * MS, 200)
     assert count_admitted(driver, KEYED_EVERYWHERE, 50 * MS, 20) == 20, (
         "responses to the sample readmit the class"
@@ -157,7 +157,7 @@
     driver = Driver()
     late_count = 0
     for class_index in (IDEMPOTENT, KEYED_EVERYWHERE) * 20:
-        request, actions = driver.ask(class_index, after=6 * SECOND)
+        request, actions = driver.start_request(class_index, after=6 * SECOND)
         if endpoints := sends(actions):
             late_count += 1
             driver.end(request, endpoints[0], latency=900 * MS)
--- a/tests/policy/test_candidate_selection.py
+++ b/tests/policy/test_candidate_selection.py
@@ -57,7 +57,7 @@
     driver = Driver()
     counts: Counter[str] = Counter()
     for _ in range(300):
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         endpoint = sends(actions)[0]
         counts[endpoint] += 1
         driver.end(request, endpoint, latency=200 * MS if endpoint == "h1" else 40 * MS)
@@ -70,7 +70,7 @@
         driver.serve()
     counts: Counter[str] = Counter()
     for _ in range(100):
-        request, actions = driver.ask(after=20 * MS)
+        request, actions = driver.start_request(after=20 * MS)
         endpoint = sends(actions)[0]
         counts[endpoint] += 1
         if endpoint != "h3":
@@ -98,7 +98,7 @@
 
 def test_a_zone_without_endpoints_is_served_from_another_zone() -> None:
     driver = Driver(entries=listed_entries(0, 3))
-    assert sends(driver.ask()[1])[0].startswith("a")
+    assert sends(driver.start_request()[1])[0].startswith("a")
 
 
 def test_spillover_requires_a_gain_that_exceeds_the_cross_zone_cost() -> None:
@@ -106,7 +106,7 @@
         driver = Driver(cross_zone_cost=cost)
         for _ in range(40):
             driver.serve(latency=60 * MS)
-        attempted = {name[0] for _ in range(60) for name in sends(driver.ask(IDEMPOTENT)[1])}
+        attempted = {name[0] for _ in range(60) for name in sends(driver.start_request(IDEMPOTENT)[1])}
         assert attempted == ({"h", "a"} if cost < 1 else {"h"})
 
 
@@ -115,7 +115,7 @@
     driver = Driver(entries=listed_entries(1, 3))
     for _ in range(40):
         driver.finish(lambda endpoint: (Outcome.ERROR if endpoint == "h0" else Outcome.SUCCESS, 30 * MS))
-    assert sends(driver.ask()[1])[0].startswith("a")
+    assert sends(driver.start_request()[1])[0].startswith("a")
 
 
 @pytest.mark.parametrize(("other_latency", "spills_over"), [(180 * MS, True), (50 * MS, False)])
@@ -134,7 +134,7 @@
 
     monkeypatch.setattr(balancer.weights, "weigh", weigh)
     monkeypatch.setattr(candidate_selection, "FULL_SPILLOVER_GAIN", 0.0)
-    attempted = {sends(driver.ask()[1])[0] for _ in range(40)}
+    attempted = {sends(driver.start_request()[1])[0] for _ in range(40)}
     assert attempted == {"a0"} if spills_over else "a0" not in attempted
 
 
@@ -146,7 +146,7 @@
     retried = set()
     for _ in range(60):
         driver.now += SECOND // 8
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         first = next(iter(sends(actions)), "")
         if first not in served and first:
             retried.update(sends(driver.end(request, first, Outcome.CONNECT_FAILED, MS)))
@@ -174,7 +174,7 @@
     driver = Driver(
         entries=listed_entries(4, 4), keep_alive_timeout=30 * SECOND, may_run_parallel_attempts=False
     )
-    request, actions = driver.ask(KEYED_IN_ZONE)
+    request, actions = driver.start_request(KEYED_IN_ZONE)
     (first,) = sends(actions)
     for endpoint in driver.balancer.endpoints.values():
         if endpoint.zone == 0:
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -30,10 +30,14 @@
 
 def test_draining_and_removed_endpoints_get_no_attempts() -> None:
     driver = Driver()
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),)))
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),)))
+    driver.handle_event(
+        EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", status=EndpointStatus.DRAINING),))
+    )
+    driver.handle_event(
+        EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h1", status=EndpointStatus.REMOVED),))
+    )
     assert not set(sends_by_endpoint(driver, 100)) & {"h0", "h1"}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(3, 0)[2:]))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(3, 0)[2:]))
     assert set(sends_by_endpoint(driver, 50)) == {"h2"}
 
 
@@ -41,10 +45,10 @@
     driver = Driver(must_subscribe=True, poll_interval=8 * SECOND, entries=())
     delays = []
     for _ in range(6):
-        timers = driver.feed(EndpointListUpdate(ListForm.REJECTED))
+        timers = driver.handle_event(EndpointListUpdate(ListForm.REJECTED))
         assert isinstance(timers[0], SetTimer)
         delays.append(timers[0].delay)
-        assert driver.feed(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
+        assert driver.handle_event(TimerFired("ask"), timers[0].delay) == [WatchEndpoints(True)]
     assert delays[0] <= 1.5 * SECOND < 2 * SECOND <= delays[-1] <= 6 * SECOND
 
 
@@ -69,12 +73,12 @@
 def test_records_of_removed_endpoints_are_dropped_while_their_attempts_are_in_flight() -> None:
     # memory must not grow with every endpoint, zone and host class that was ever listed
     driver = Driver()
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     first = sends(actions)[0]
     for n in range(300):
         entry = EndpointEntry(f"n{n}", zone=n % 7, host_class=n % 11, started_at=driver.now)
         gone = [EndpointEntry(f"n{n - 1}", status=EndpointStatus.REMOVED)] if n else []
-        driver.feed(
+        driver.handle_event(
             EndpointListUpdate(
                 ListForm.DELTA, (entry, *gone, EndpointEntry(first, status=EndpointStatus.REMOVED))
             ),
@@ -85,7 +89,7 @@
     assert len(balancer.endpoints) == 7
     # the rotation continues although the endpoint attempted last is no longer listed
     assert sends(driver.end(request, first, Outcome.RESET)) != [first]
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(2, 0)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(2, 0)))
     assert set(balancer.endpoints) == {"h0", "h1"}
     for _ in range(20):
         driver.serve(report=(1.0,))
@@ -97,7 +101,7 @@
 
 
 def list_status(driver: Driver, status: EndpointStatus, name: str = "h0", started_at: int = 0) -> None:
-    driver.feed(
+    driver.handle_event(
         EndpointListUpdate(ListForm.DELTA, (EndpointEntry(name, status=status, started_at=started_at),))
     )
 
@@ -107,7 +111,7 @@
     sent_count = 0
     for _ in range(100):
         driver.now += 50 * MS
-        request, actions = driver.ask()
+        request, actions = driver.start_request()
         attempt = 0
         while endpoints := sends(actions):
             sent_count += endpoints[0] == name
@@ -123,7 +127,7 @@
     for is_advisory in (False, True):
         driver = Driver(removal_is_advisory=is_advisory)
         if is_omitted:
-            driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
+            driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
         else:
             list_status(driver, EndpointStatus.REMOVED)
         assert (count_sends_to(driver, "h0") > 10) is is_advisory
@@ -145,7 +149,7 @@
     driver = Driver(removal_is_advisory=True, slow_start_duration=0)
     list_status(driver, EndpointStatus.DRAINING)
     list_status(driver, EndpointStatus.REMOVED)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, helpers.listed_entries()[1:]))
     assert not count_sends_to(driver, "h0")
     list_status(driver, EndpointStatus.UP)
     assert not count_sends_to(driver, "h0"), "it is still the same process"
@@ -158,10 +162,12 @@
     driver = Driver(removal_is_advisory=True, entries=())
     for generation in range(4):
         fleet = tuple(EndpointEntry(f"{generation}-{n}") for n in range(1024))
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, fleet))
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, ()))
+        driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, fleet))
+        driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, ()))
         assert all(entry.endpoint in driver.balancer.endpoints for entry in fleet)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, tuple(EndpointEntry(f"4-{n}") for n in range(1024))))
+    driver.handle_event(
+        EndpointListUpdate(ListForm.SNAPSHOT, tuple(EndpointEntry(f"4-{n}") for n in range(1024)))
+    )
     assert 2 * 1024 <= len(driver.balancer.endpoints) <= 3 * 1024
 
 
@@ -175,12 +181,12 @@
 def test_requests_open_at_a_settings_switch_see_drains_that_the_successor_was_notified_of() -> None:
     """With a list of its own, the predecessor would select a draining endpoint, and give up."""
     driver = Driver(slow_start_duration=0)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     first, predecessor = sends(actions)[0], driver.balancer
     driver.switch_settings(slow_start_duration=0)
     remaining = next(name for name in predecessor.endpoints if name != first)
     listed = tuple(entry for entry in helpers.listed_entries() if entry.endpoint in (first, remaining))
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed))
     list_status(driver, EndpointStatus.DRAINING, first)
     ended = AttemptEnded(request, 0, first, Outcome.CONNECT_FAILED, MS)
     assert sends(predecessor.handle(driver.now, ended)) == [remaining]
--- a/tests/policy/test_endpoint_weights.py
+++ b/tests/policy/test_endpoint_weights.py
@@ -32,7 +32,7 @@
         return expected_latency(model, now, endpoint)
 
     monkeypatch.setattr(LatencyModel, "expected_latency", counted)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
     assert sum(computed.values()) <= 100 + 2  # two more for the selected endpoint
 
 
@@ -63,12 +63,12 @@
 def test_a_failure_in_another_zone_affects_the_next_request() -> None:
     """The weights of other zones are cached; a failure there must not wait for the cache to expire."""
     driver = Driver(entries=listed_entries(0, 4))
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     broken = sends(actions)[0]
     (other,) = sends(driver.end(request, broken, Outcome.CONNECT_FAILED, MS))
     driver.end(request, other, attempt=1)
     assert broken not in {driver.serve() for _ in range(15)}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(0, 1)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, listed_entries(0, 1)))
     assert {driver.serve() for _ in range(15)} == {"a0"}
 
 
@@ -78,7 +78,7 @@
         driver = Driver(seed=seed, has_affinity_keys=True, entries=listed_entries(20, 0))
         counts: Counter[str] = Counter()
         for number in range(300):
-            actions = driver.feed(RequestReceived(number, IDEMPOTENT, 2 * SECOND, affinity_key="k:1"))
+            actions = driver.handle_event(RequestReceived(number, IDEMPOTENT, 2 * SECOND, affinity_key="k:1"))
             counts[sends(actions)[0]] += 1
             driver.end(number, sends(actions)[0])
         counts_by_instance.append(counts)
@@ -90,7 +90,7 @@
 @pytest.mark.parametrize("has_affinity_keys", [True, False])
 def test_no_endpoint_is_preferred_for_a_request_without_an_affinity_key(has_affinity_keys: bool) -> None:
     driver = Driver(has_affinity_keys=has_affinity_keys, entries=listed_entries(4, 0))
-    request, _ = driver.ask()
+    request, _ = driver.start_request()
     balancer = driver.balancer
     weighted = WeightedEndpoints(list(balancer.endpoints.values()), [], [], [1.0] * 4)
     received = balancer.lifecycle.requests[request]
--- a/tests/policy/test_four_rules.py
+++ b/tests/policy/test_four_rules.py
@@ -256,7 +256,7 @@
 def test_any_sequence_of_failures_ends_with_one_final_response(outcomes: list[Outcome]) -> None:
     for class_index in range(len(CLASSES)):
         driver = helpers.Driver()
-        request, actions = driver.ask(class_index)
+        request, actions = driver.start_request(class_index)
         final_response_count = 0
         for attempt, outcome in enumerate(outcomes):
             final_response_count += sum(isinstance(a, RejectRequest | FailRequest) for a in actions)
--- a/tests/policy/test_latency_model.py
+++ b/tests/policy/test_latency_model.py
@@ -21,7 +21,7 @@
     driver = Driver()
     for _ in range(20):
         driver.serve(latency=0)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def test_host_classes_are_opaque_groups() -> None:
@@ -47,7 +47,7 @@
     )
     driver = Driver(entries=entries)
     for _ in range(15):
-        request, actions = driver.ask(after=SECOND)
+        request, actions = driver.start_request(after=SECOND)
         name = sends(actions)[0]
         driver.end(request, name, latency=200 * MS if name[0] == "s" else 40 * MS)
     unobserved = {
@@ -66,14 +66,14 @@
     endpoint = driver.balancer.endpoints["h0"]
     model = driver.balancer.models.latency
     before = model.expected_latency(driver.now, endpoint)
-    (lost_request, _), (answered_request, _) = driver.ask(), driver.ask(after=1 * MS)
-    driver.feed(TimerFired("none"), 400 * MS)
+    (lost_request, _), (answered_request, _) = driver.start_request(), driver.start_request(after=1 * MS)
+    driver.handle_event(TimerFired("none"), 400 * MS)
     assert model.expected_latency(driver.now, endpoint) > 4 * before  # no response since, so it may be hung
     driver.end(answered_request, "h0", latency=50 * MS)
     # a later request was answered, so the response to the earlier one is lost
     assert model.expected_latency(driver.now, endpoint) < 1.5 * before
     factor = endpoint.latency_factor.value
-    driver.feed(AttemptEnded(lost_request, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
+    driver.handle_event(AttemptEnded(lost_request, 0, "h0", Outcome.TIMEOUT, 2 * SECOND), 1500 * MS)
     assert endpoint.latency_factor.value == factor
 
 
--- a/tests/policy/test_load_reports.py
+++ b/tests/policy/test_load_reports.py
@@ -43,7 +43,7 @@
     driver = Driver()
     for _ in range(30):
         driver.serve(report=report)
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 @pytest.mark.parametrize("field", list(LoadField))
@@ -51,7 +51,7 @@
     driver = Driver(load_report_fields=(field,))
     for _ in range(30):
         driver.serve(report=(0.5,))
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def list_update(
@@ -74,14 +74,14 @@
         load_report_fields=(LoadField.UTILIZATION, LoadField.IN_FLIGHT),
         slow_start_duration=0,
     )
-    driver.feed(list_update(capacities, host_classes))
+    driver.handle_event(list_update(capacities, host_classes))
     return driver
 
 
 def test_a_capacity_that_varies_with_load_is_split_into_capacity_and_load() -> None:
     host_classes = {"a": 0, "b": 1}
     driver = driver_with_varying_capacities({"a": 2.0, "b": 0.5}, host_classes)
-    driver.feed(list_update({"a": 0.5, "b": 0.5}, host_classes), SECOND)
+    driver.handle_event(list_update({"a": 0.5, "b": 0.5}, host_classes), SECOND)
     first, second = (driver.balancer.endpoints[name] for name in "ab")
     assert (first.capacity, second.capacity) == (2.0, 0.5)
     assert 0 < first.reported_load <= 3.0
@@ -91,7 +91,7 @@
 def test_a_single_list_update_does_not_move_all_traffic() -> None:
     # all instances react to the same list, so the load of a single update is smoothed
     driver = driver_with_varying_capacities(dict.fromkeys("abcd", 1.0))
-    driver.feed(list_update({"a": 1 / 7, "b": 1.0, "c": 1.0, "d": 1.0}), SECOND)
+    driver.handle_event(list_update({"a": 1 / 7, "b": 1.0, "c": 1.0, "d": 1.0}), SECOND)
     counts = Counter(driver.serve(latency=1) for _ in range(400))
     assert counts["a"] > 15, counts
     assert counts["a"] < min(counts[name] for name in "bcd")
@@ -102,14 +102,14 @@
     for _ in range(20):
         driver.serve(latency=40 * MS)
     for _ in range(12):
-        driver.feed(list_update({"a": 1 / 9, "b": 1.0}), SECOND)
+        driver.handle_event(list_update({"a": 1 / 9, "b": 1.0}), SECOND)
     counts = Counter(driver.serve(latency=1) for _ in range(200))
     assert counts["a"] < 10, counts
 
 
 def test_a_capacity_that_is_not_a_positive_number_implies_no_load() -> None:
     driver = driver_with_varying_capacities({"a": 1.0, "b": 1.0})
-    driver.feed(list_update({"a": 0.0, "b": float("nan")}), SECOND)
+    driver.handle_event(list_update({"a": 0.0, "b": float("nan")}), SECOND)
     assert all(
         endpoint.reported_load == 0.0 and endpoint.capacity == 1.0
         for endpoint in driver.balancer.endpoints.values()
@@ -118,9 +118,9 @@
 
 def test_endpoints_keep_their_attempts_in_flight_when_the_list_changes() -> None:
     driver = driver_with_varying_capacities({"a": 1.0})
-    request, _ = driver.ask()
+    request, _ = driver.start_request()
     (entry,) = list_update({"a": 0.5}).entries
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (replace(entry),)), SECOND)
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, (replace(entry),)), SECOND)
     assert len(driver.balancer.endpoints["a"].in_flight) == 1
     driver.end(request, "a")
     assert not driver.balancer.endpoints["a"].in_flight
@@ -149,6 +149,6 @@
         driver.serve(report=(value,))
     varying = driver_with_varying_capacities({"a": 1.0, "b": 1.0})
     for _ in range(20):
-        varying.feed(list_update({"a": value, "b": 1e300}), SECOND)
+        varying.handle_event(list_update({"a": value, "b": 1e300}), SECOND)
         varying.serve(report=(value,))
     assert all(record.reported_load <= 1 for record in varying.balancer.endpoints.values())
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -36,14 +36,14 @@
     driver = Driver(entries=listed_entries(3, 0))
     for _ in range(12):
         driver.finish(lambda _: (Outcome.CONNECT_FAILED, MS))
-    assert sends(driver.ask()[1])
+    assert sends(driver.start_request()[1])
 
 
 def test_a_timeout_under_load_is_not_a_failure() -> None:
     """An endpoint that has responded since the attempt was sent is slow, not hung."""
     driver = Driver(entries=listed_entries(1, 0))
-    first, actions = driver.ask()
-    second, _ = driver.ask()
+    first, actions = driver.start_request()
+    second, _ = driver.start_request()
     driver.end(second, "h0", latency=900 * MS)
     driver.end(first, "h0", Outcome.TIMEOUT, 100 * MS)
     assert driver.balancer.endpoints["h0"].error_ratio == 0
@@ -101,7 +101,7 @@
 def test_an_endpoint_that_was_overloaded_once_is_used_again_by_non_idempotent_requests() -> None:
     """Only a success of a class ends its ejection, and non-idempotent requests are not trials."""
     driver = Driver(entries=listed_entries(3, 0))
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     full = sends(actions)[0]
     driver.end(request, full, Outcome.OVERLOADED, MS)
     driver.now += 3 * SECOND
@@ -179,12 +179,12 @@
 @pytest.mark.parametrize("outcome", [Outcome.SUCCESS, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
 def test_the_end_of_an_attempt_is_recorded_after_its_zone_was_removed_from_the_list(outcome: Outcome) -> None:
     driver = Driver(entries=listed_entries(0, 3))
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     endpoint = sends(actions)[0]
     gone = tuple(replace(entry, status=EndpointStatus.REMOVED) for entry in listed_entries(0, 3))
-    driver.feed(EndpointListUpdate(ListForm.DELTA, gone))
-    driver.feed(AttemptEnded(request, 0, endpoint, outcome, 900 * MS, outcome is Outcome.SUCCESS))
-    driver.ask()
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, gone))
+    driver.handle_event(AttemptEnded(request, 0, endpoint, outcome, 900 * MS, outcome is Outcome.SUCCESS))
+    driver.start_request()
 
 
 def test_consecutive_ejections_double_up_to_the_maximum_and_a_success_ends_them() -> None:
--- a/tests/policy/test_retry_limits.py
+++ b/tests/policy/test_retry_limits.py
@@ -50,7 +50,7 @@
     """Return how many retries are made for `count` requests whose attempts all fail to connect."""
     retries = 0
     for _ in range(count):
-        request, actions = driver.ask(after=after)
+        request, actions = driver.start_request(after=after)
         attempt = 0
         while endpoints := sends(actions):
             actions = driver.end(request, endpoints[0], Outcome.CONNECT_FAILED, 1, attempt)
@@ -93,11 +93,11 @@
 def test_hedged_attempts_and_retries_share_one_limit() -> None:
     driver = Driver(**{**RETRY_LIMIT_SETTINGS, "retry_window_allowance": 1.0, "retry_window_ratio": 0.0})
     driver.balancer.retry_budget.tokens = 8.0
-    _, actions = driver.ask()
+    _, actions = driver.start_request()
     timer = next(a for a in actions if isinstance(a, SetTimer))
-    hedged = sends(driver.feed(TimerFired(timer.token), timer.delay))
+    hedged = sends(driver.handle_event(TimerFired(timer.token), timer.delay))
     assert len(hedged) == 1
-    second, actions = driver.ask()
+    second, actions = driver.start_request()
     assert not sends(driver.end(second, sends(actions)[0], Outcome.CONNECT_FAILED))
 
 
@@ -176,7 +176,7 @@
             event = AttemptEnded(
                 number, attempt, endpoint, data.draw(strategies.sampled_from(failures)), 10 * MS
             )
-        for action in driver.feed(event):
+        for action in driver.handle_event(event):
             if isinstance(action, SetTimer):
                 timers.append(action.token)
             elif isinstance(action, StartAttempt):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -28,16 +28,18 @@
         for _ in range(20):
             driver.serve(latency=service_time)
         driver.now = start + 10 * SECOND
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),)))
+        driver.handle_event(
+            EndpointListUpdate(ListForm.SNAPSHOT, (EndpointEntry("cold", started_at=driver.now),))
+        )
         drivers.append(driver)
     sent: list[int] = []
     for step in range(1000):
         for driver in drivers:
             driver.now = start + 10 * SECOND + step * 10 * MS
-            request, actions = driver.ask()
+            request, actions = driver.start_request()
             if sends(actions):
                 sent.append(driver.now)
-                driver.feed(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service_time, True))
+                driver.handle_event(AttemptEnded(request, 0, "cold", Outcome.SUCCESS, service_time, True))
     assert sent
     for sent_at in sent:
         warm_fraction = 0.2 + 0.8 * (sent_at - start - 10 * SECOND) / (10 * SECOND)
@@ -49,7 +51,7 @@
     driver = Driver(entries=listed_entries(2, 0))
     for _ in range(20):
         driver.serve()
-    driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("h0", started_at=driver.now),)))
     record = driver.balancer.endpoints["h0"]
     assert record.latency_factor.weight == 0
     assert record.warm_fraction_at(driver.now, driver.balancer.settings) == pytest.approx(0.2)
@@ -63,7 +65,7 @@
         EndpointEntry("old", started_at=driver.now - 20 * SECOND),
         EndpointEntry("new", started_at=driver.now),
     )
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (old, new)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, (old, new)))
     assert {driver.serve(latency=10 * MS) for _ in range(20)} >= {"old"}
 
 
@@ -76,16 +78,16 @@
         for _ in range(5):
             driver.serve(latency=service_time)
         driver.now = start
-        driver.feed(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
+        driver.handle_event(EndpointListUpdate(ListForm.DELTA, (EndpointEntry("cold", started_at=start),)))
         drivers.append(driver)
     sent: list[int] = []
     for step in range(20):
         for instance, driver in enumerate(drivers):
             driver.now = start + step * 500 * MS + instance * MS
-            request, actions = driver.ask()
+            request, actions = driver.start_request()
             sent += [driver.now for name in sends(actions) if name == "cold"]
             for name in sends(actions):
-                driver.feed(AttemptEnded(request, 0, name, Outcome.SUCCESS, service_time, True))
+                driver.handle_event(AttemptEnded(request, 0, name, Outcome.SUCCESS, service_time, True))
     assert len(sent) > 10
     for sent_at in sent:
         warm_fraction = 0.2 + 0.8 * (sent_at - start) / (10 * SECOND)
@@ -135,7 +137,7 @@
     """A division by 0 once terminated the process at its first request."""
     driver = Driver(entries=(), slow_start_duration=0)
     entry = EndpointEntry("new", started_at=driver.now + start_offset)
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)))
     assert [driver.serve(latency=MS) for _ in range(20)] == ["new"] * 20
 
 
@@ -145,7 +147,7 @@
     listed_at = driver.now
     entry = EndpointEntry("new", started_at=listed_at + 300 * SECOND)
     for _ in range(5):
-        driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)), after=SECOND)
+        driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, (entry,)), after=SECOND)
     settings, record = driver.balancer.settings, driver.balancer.endpoints["new"]
     first_listed_at = listed_at + SECOND
     assert record.warm_fraction_at(first_listed_at, settings) == pytest.approx(0.2)
@@ -170,7 +172,7 @@
 def test_open_requests_end_under_earlier_settings_without_slow_start_beside_a_warming_endpoint() -> None:
     """After a settings switch, a division by 0 once occurred in the instance with the open requests."""
     driver = Driver(entries=(EndpointEntry("new", started_at=990 * SECOND),), slow_start_duration=0)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     earlier = driver.balancer
     driver.switch_settings(slow_start_duration=60 * SECOND)
     ended = AttemptEnded(request, 0, sends(actions)[0], Outcome.CONNECT_FAILED, MS)
@@ -187,7 +189,7 @@
     )
     served = 0
     for step in range(100):
-        request, actions = driver.ask(after=100 * MS if step else 0)
+        request, actions = driver.start_request(after=100 * MS if step else 0)
         for endpoint in sends(actions):
             driver.end(request, endpoint, latency=MS)
             served += 1
@@ -198,11 +200,11 @@
     """The predecessor must neither divide by 0 nor lift the limit for its successor."""
     entries = (EndpointEntry("warm"), EndpointEntry("new", started_at=995 * SECOND))
     driver = Driver(entries=entries, overload_window=0, instance_count=3)
-    request, actions = driver.ask()
+    request, actions = driver.start_request()
     earlier = driver.balancer
     driver.switch_settings(instance_count=3)
     record = driver.balancer.endpoints["new"]
-    driver.ask()
+    driver.start_request()
     assert 0.25 < record.send_allowance < 1
     (attempted,) = sends(actions)
     retried = sends(
--- a/tests/policy/test_streamed_messages.py
+++ b/tests/policy/test_streamed_messages.py
@@ -11,13 +11,13 @@
     driver = Driver(slow_start_duration=0)
     for _ in range(30):
         driver.serve()
-    request_id, actions = driver.ask(IDEMPOTENT)
+    request_id, actions = driver.start_request(IDEMPOTENT)
     (timer,) = [a for a in actions if isinstance(a, SetTimer)]
     (first,) = sends(actions)
     driver.balancer.retry_budget.tokens = 8.0
-    hedged = driver.feed(TimerFired(timer.token), timer.delay)
+    hedged = driver.handle_event(TimerFired(timer.token), timer.delay)
     assert len(sends(hedged)) == 1
-    started = driver.feed(ResponseStarted(request_id, 0, first, 50 * MS))
+    started = driver.handle_event(ResponseStarted(request_id, 0, first, 50 * MS))
     assert started == [CancelAttempt(request_id, 1)]
     endpoint = driver.balancer.endpoints[first]
     assert not endpoint.in_flight
@@ -39,13 +39,13 @@
         driver.serve(KEYED_IN_ZONE)
     driver.count += 1
     request_id = driver.count
-    actions = driver.feed(RequestReceived(request_id, KEYED_IN_ZONE, 2 * SECOND, is_replayable=False))
+    actions = driver.handle_event(RequestReceived(request_id, KEYED_IN_ZONE, 2 * SECOND, is_replayable=False))
     (first,) = sends(actions)
     endpoint = driver.balancer.endpoints[first]
     assert not endpoint.in_flight, "an attempt does not count as load while its body is sent"
     for timer in [a for a in actions if isinstance(a, SetTimer)]:
-        assert not sends(driver.feed(TimerFired(timer.token), timer.delay))
-    driver.feed(RequestBodySent(request_id, 0), 20 * SECOND)
+        assert not sends(driver.handle_event(TimerFired(timer.token), timer.delay))
+    driver.handle_event(RequestBodySent(request_id, 0), 20 * SECOND)
     assert len(endpoint.in_flight) == 1
     assert driver.balancer.lifecycle.requests[request_id].deadline == driver.now + 2 * SECOND
     ended = driver.end(request_id, first, Outcome.CONNECT_FAILED)
--- a/tests/server/admin_client.py
+++ b/tests/server/admin_client.py
@@ -27,7 +27,7 @@
         connection.sock.sendall(http_request(path, method))
         response = connection.read()
         assert response is not None
-        assert connection.ended()
+        assert connection.wait_for_close()
     return response
 
 
--- a/tests/server/test_attempt_runner.py
+++ b/tests/server/test_attempt_runner.py
@@ -125,7 +125,7 @@
 
     def stall(_request: HttpMessage, wire: HttpConnection) -> None:
         wire.sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nx")
-        wire.ended()
+        wire.wait_for_close()
 
     server.script = stall
     attempts = RunningAttempts(server)
--- a/tests/server/test_connection_limits.py
+++ b/tests/server/test_connection_limits.py
@@ -19,7 +19,7 @@
     deployment.sidecar.prefix = "ulimit -n 80; "
     with deployment as sidecar:
         idle = [sidecar.connect() for _ in range(100)]
-        assert [sidecar.ask().status for _ in range(5)] == [200] * 5
+        assert [sidecar.send_class_request().status for _ in range(5)] == [200] * 5
         process = sidecar.process
         assert process
         assert len(os.listdir(f"/proc/{process.pid}/fd")) < 80
@@ -83,11 +83,14 @@
             wire.sock.sendall(b"GET /look")
         calls = len(deployment.discovery.calls)
         wait_until(lambda: len(deployment.discovery.calls) > calls + 1, "polls while discovery is down")
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         deployment.discovery.change(a.entry(state="DRAINING"))
         deployment.discovery.entries = [a.entry(state="DRAINING"), b.entry()]
         deployment.discovery.scripted.clear()
-        wait_until(lambda: {sidecar.ask().body for _ in range(10)} == {b"b"}, "the new endpoint list is used")
+        wait_until(
+            lambda: {sidecar.send_class_request().body for _ in range(10)} == {b"b"},
+            "the new endpoint list is used",
+        )
         assert sidecar.process is not None
         assert sidecar.process.poll() is None
         for wire in idle_clients:
--- a/tests/server/test_hot_restart.py
+++ b/tests/server/test_hot_restart.py
@@ -108,14 +108,14 @@
             assert successor.process
             assert successor.process.wait(20) == 2
         successor.process.wait(20)
-        assert [restartable.predecessor.ask("pay").status for _ in range(3)] == [200] * 3
+        assert [restartable.predecessor.send_class_request("pay").status for _ in range(3)] == [200] * 3
         next_successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
         keep_alive.sock.sendall(http_request("/pay/k", "GET", "X-Trace-Id: k", "X-Expires-In: 2.0"))
         reply = keep_alive.read()
         assert reply
         assert reply.status == 200
-        assert next_successor.ask("pay").status == 200
+        assert next_successor.send_class_request("pay").status == 200
 
 
 def test_after_a_kill_the_successor_serves_and_a_stale_socket_file_is_replaced(tmp_path: Path) -> None:
@@ -123,13 +123,13 @@
         successor = restartable.start_successor()
         assert restartable.predecessor.process
         restartable.predecessor.process.kill()
-        assert successor.ask("pay").status == 200
+        assert successor.send_class_request("pay").status == 200
         assert successor.process
         successor.process.kill()
         successor.process.wait(20)
         assert list((tmp_path / "t").glob("*.sock"))
         later = restartable.start_successor()
-        assert later.ask("pay").status == 200
+        assert later.send_class_request("pay").status == 200
 
 
 def test_if_the_socket_path_is_too_long_both_processes_listen_and_log_it(tmp_path: Path) -> None:
@@ -152,7 +152,7 @@
             successor.launch()
             wait_until(lambda: is_running_and_ready(successor))
             assert predecessor.end() == 0
-            assert [successor.ask("pay").status for _ in range(5)] == [200] * 5
+            assert [successor.send_class_request("pay").status for _ in range(5)] == [200] * 5
 
 
 def test_of_two_concurrent_successors_one_waits_for_the_other(tmp_path: Path) -> None:
@@ -163,7 +163,7 @@
         other = second if ready is first else first
         wait_until(lambda: is_running_and_ready(other))
         assert ready.end() == 0
-        assert other.ask("pay").status == 200
+        assert other.send_class_request("pay").status == 200
 
 
 @pytest.mark.parametrize("found", ["a socket without a listener", "a process that ends as it accepts"])
@@ -189,7 +189,7 @@
         hidden_path.rename(path)
         wait_until(lambda: is_running_and_ready(successor))
         assert restartable.predecessor.end() == 0
-        assert successor.ask("pay").status == 200
+        assert successor.send_class_request("pay").status == 200
 
 
 def test_an_invalid_client_of_the_socket_gets_no_reply_and_blocks_no_successor(tmp_path: Path) -> None:
@@ -218,7 +218,7 @@
         hidden_path.rename(path)
         successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
-        assert successor.ask("pay").status == 200
+        assert successor.send_class_request("pay").status == 200
 
 
 def with_other_classes(values: dict[str, Any]) -> dict[str, Any]:
@@ -246,10 +246,10 @@
         assert "hot_restart_granted" not in log
         assert "cannot_listen" in log
         assert "hot_restart_requested" not in restartable.predecessor.log()
-        assert restartable.predecessor.ask("pay").status == 200
+        assert restartable.predecessor.send_class_request("pay").status == 200
         successor = restartable.start_successor()
         assert restartable.predecessor.end() == 0
-        assert successor.ask("pay").status == 200
+        assert successor.send_class_request("pay").status == 200
 
 
 def test_successors_of_two_customers_with_the_same_folder_take_over_from_their_own_process(
@@ -272,10 +272,10 @@
         wait_until(lambda: is_running_and_ready(one_successor) and is_running_and_ready(other_successor))
         assert one.predecessor.end() == 0
         assert other.predecessor.end() == 0
-        assert one_successor.ask("pay").body == b"ok"
-        assert other_successor.ask("their-pay").body == b"ok"
-        assert one_successor.ask("their-pay").status == 400
-        assert other_successor.ask("pay").status == 400
+        assert one_successor.send_class_request("pay").body == b"ok"
+        assert other_successor.send_class_request("their-pay").body == b"ok"
+        assert one_successor.send_class_request("their-pay").status == 400
+        assert other_successor.send_class_request("pay").status == 400
         assert [len(server.seen) for server in (*one.deployment.upstreams, *other.deployment.upstreams)] == [
             1,
             1,
@@ -304,7 +304,7 @@
         wait_until(lambda: other_discovery.calls)
         assert "from=0" in other_discovery.calls[0]
         seen_before = len(b.seen)
-        assert successor.ask("pay").status == 200
+        assert successor.send_class_request("pay").status == 200
         assert len(b.seen) == seen_before + 1
     other_discovery.close()
     b.close()
--- a/tests/server/test_invalid_requests.py
+++ b/tests/server/test_invalid_requests.py
@@ -107,9 +107,9 @@
 ) -> None:
     sidecar, server = serving
     seen = len(server.seen)
-    assert sidecar.talk(data).status == status
+    assert sidecar.exchange(data).status == status
     assert len(server.seen) == seen
-    assert sidecar.ask().status == 200
+    assert sidecar.send_class_request().status == 200
 
 
 def test_complete_requests_are_served_before_invalid_bytes_after_them_are_rejected(
@@ -119,7 +119,7 @@
     wire = serving[0].connect()
     wire.sock.sendall(class_request() + class_request() + b"NONSENSE\r\n\r\n")
     assert [reply and reply.status for reply in (wire.read(), wire.read(), wire.read())] == [200, 200, 400]
-    assert wire.ended()
+    assert wire.wait_for_close()
     wire.sock.close()
 
 
@@ -137,12 +137,12 @@
         first.sock.sendall(http_request("/look/mine", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0"))
         wait_until(lambda: server.seen)
         copy = http_request("/look/theirs", "GET", "X-Trace-Id: 7", "X-Expires-In: 2.0")
-        assert sidecar.talk(copy).status == 409
+        assert sidecar.exchange(copy).status == 409
         may_respond.set()
         reply = first.read()
         assert reply
         assert reply.body == b"/look/mine"
-        assert sidecar.talk(copy).status == 409
+        assert sidecar.exchange(copy).status == 409
         assert len(server.seen) == 1
         first.sock.close()
 
@@ -156,7 +156,7 @@
         reply = wire.read()
         assert reply
         assert reply.status == 400
-        assert wire.ended()
+        assert wire.wait_for_close()
         wire.sock.close()
     assert len(server.seen) == seen
 
@@ -169,8 +169,8 @@
         wire = sidecar.connect()
         wire.sock.sendall(data)
         wire.sock.close()
-    assert sidecar.ask().status == 200
+    assert sidecar.send_class_request().status == 200
 
 
 def test_a_very_long_timeout_is_accepted(serving: tuple[SidecarProcess, UpstreamServer]) -> None:
-    assert serving[0].ask(expires="1e300").status == 200
+    assert serving[0].send_class_request(expires="1e300").status == 200
--- a/tests/server/test_long_requests.py
+++ b/tests/server/test_long_requests.py
@@ -79,7 +79,7 @@
     """An upstream that closes the connection within the body has not executed the request."""
 
     class ClosingUpstream(UpstreamServer):
-        def speak(self, wire: HttpConnection) -> None:
+        def serve_connection(self, wire: HttpConnection) -> None:
             wire.sock.recv(1000)
 
     for memory_mb, statuses in ((192, {200}), (24, {200, 503})):
@@ -150,7 +150,7 @@
             thread.start()
         max_resident_bytes = 0
         for _ in range(40):
-            assert sidecar.ask("look").status in (200, 503)
+            assert sidecar.send_class_request("look").status in (200, 503)
             max_resident_bytes = max(max_resident_bytes, resident_bytes(sidecar))
         stop.set()
         for thread in threads:
--- a/tests/server/test_reload.py
+++ b/tests/server/test_reload.py
@@ -20,13 +20,13 @@
     a, b = UpstreamServer("a"), UpstreamServer("b")
     deployment = Deployment(tmp_path, a)
     with deployment as sidecar:
-        assert sidecar.ask().body == b"a"
+        assert sidecar.send_class_request().body == b"a"
         connection = sidecar.connect()
         for _ in range(2):
             other = DiscoveryServer([b.entry()])
             sidecar.config["discovery"] = other.address
             send_reload(sidecar, json.dumps(sidecar.config))
-            wait_until(partial(lambda name: sidecar.ask().body == name, b.name.encode()))
+            wait_until(partial(lambda name: sidecar.send_class_request().body == name, b.name.encode()))
             connection.sock.sendall(class_request())
             reply = connection.read()
             assert reply
@@ -69,7 +69,7 @@
             send_reload(sidecar, text)
             wait_until(partial(lambda start: "reload_rejected" in sidecar.log()[start:], log_length))
             assert f'"{key}' in sidecar.log()[log_length:]
-            assert sidecar.ask().status == 200
+            assert sidecar.send_class_request().status == 200
             time.sleep(1.0)  # an event is logged at most once a second
         (tmp_path / "config.json").unlink()
         assert sidecar.process is not None
--- a/tests/server/test_serving.py
+++ b/tests/server/test_serving.py
@@ -26,7 +26,7 @@
     )
     with Deployment(tmp_path, server) as sidecar:
         headers = ["X-Trace-Id: 9b1f", "X-Expires-In: 1.5", "Idempotency-Key: 5c0f"]
-        reply = sidecar.talk(http_request("/book/k9?q=%20", "POST", *headers, body=body))
+        reply = sidecar.exchange(http_request("/book/k9?q=%20", "POST", *headers, body=body))
         (seen,) = server.seen
         assert (reply.status, reply.body, reply.headers["content-type"]) == (200, body[::-1], "x/y")
         assert seen.start == "POST /book/k9?q=%20 HTTP/1.1"
@@ -73,7 +73,7 @@
 
 def test_without_endpoints_a_request_is_rejected_with_retry_after(tmp_path: Path) -> None:
     with Deployment(tmp_path) as sidecar:
-        reply = sidecar.ask()
+        reply = sidecar.send_class_request()
         assert reply.status == 503
         assert float(reply.headers["retry-after"]) == 0.5
 
@@ -82,7 +82,7 @@
     full, down, good = UpstreamServer("a", reject_as_never_run), UpstreamServer("b"), UpstreamServer("c")
     down.close()
     with Deployment(tmp_path, full, down, good) as sidecar:
-        assert [sidecar.ask("pay").status for _ in range(8)] == [200] * 8
+        assert [sidecar.send_class_request("pay").status for _ in range(8)] == [200] * 8
         assert len(good.seen) == 8
 
 
@@ -92,7 +92,7 @@
         UpstreamServer("b", lambda _request, _wire: None),
     )
     with Deployment(tmp_path, broken, spare) as sidecar:
-        assert [sidecar.ask("pay").status for _ in range(4)] == [502] * 4
+        assert [sidecar.send_class_request("pay").status for _ in range(4)] == [502] * 4
         assert len(broken.seen) + len(spare.seen) == 4
 
 
@@ -108,11 +108,11 @@
 def test_an_invalid_response_fails_only_its_own_request(tmp_path: Path, reply: bytes | None) -> None:
     server = UpstreamServer("a", lambda _request, _wire: reply)
     with Deployment(tmp_path, server) as sidecar:
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         server.script = lambda _request, _wire: http_response(
             b"ok", 200, "Endpoint-Load-Metrics: TEXT depth=\xff,="
         )
-        assert sidecar.ask("look").status == 200
+        assert sidecar.send_class_request("look").status == 200
 
 
 def test_a_large_response_is_served(tmp_path: Path) -> None:
@@ -120,7 +120,7 @@
     body = bytes(range(256)) * 1400
     server = UpstreamServer("a", lambda _request, _wire: http_response(body))
     with Deployment(tmp_path, server) as sidecar:
-        assert sidecar.ask("pay").body == body
+        assert sidecar.send_class_request("pay").body == body
         assert len(server.seen) == 1
 
 
@@ -129,7 +129,7 @@
         wire.sock.sendall(http_response(b"x" * 1000)[:500])
 
     with Deployment(tmp_path, UpstreamServer("a", send_half)) as sidecar:
-        reply = sidecar.ask("pay")
+        reply = sidecar.send_class_request("pay")
         assert (reply.status, reply.body) == (502, b"")
 
 
@@ -141,7 +141,7 @@
         stuck = sidecar.connect()
         stuck.sock.sendall(class_request("pay", "0.4", b"hold"))
         wait_until(lambda: server.seen)
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         reply = stuck.read()
         assert reply
         assert reply.status == 502
@@ -158,7 +158,7 @@
         wire.sock.close()
         wait_until(lambda: server.closed, "the attempt was cancelled")
         server.script = lambda _request, _wire: http_response(b"ok")
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         sidecar.end()
         assert final_counts(sidecar.log())["disconnected"] == 1
 
@@ -167,12 +167,12 @@
     a, b = UpstreamServer("a"), UpstreamServer("b")
     deployment = Deployment(tmp_path, a, b)
     with deployment as sidecar:
-        wait_until(lambda: sidecar.ask("pay").body == b"a")
+        wait_until(lambda: sidecar.send_class_request("pay").body == b"a")
         wait_until(lambda: deployment.discovery.calls)
         deployment.discovery.change(a.entry(state="DRAINING"))
         wait_until(lambda: a.closed == len(a.connections))
         seen = len(a.seen)
-        assert {sidecar.ask("pay").body for _ in range(10)} == {b"b"}
+        assert {sidecar.send_class_request("pay").body for _ in range(10)} == {b"b"}
         assert len(a.seen) == seen
 
 
@@ -180,10 +180,10 @@
     a, moved = UpstreamServer("a"), UpstreamServer("moved")
     deployment = Deployment(tmp_path, a)
     with deployment as sidecar:
-        assert sidecar.ask().body == b"a"
+        assert sidecar.send_class_request().body == b"a"
         wait_until(lambda: deployment.discovery.calls)
         deployment.discovery.change(a.entry(addr=moved.address))
-        wait_until(lambda: sidecar.ask().body == b"moved")
+        wait_until(lambda: sidecar.send_class_request().body == b"moved")
     moved.close()
 
 
@@ -196,14 +196,14 @@
                 reply = wire.read()
                 assert reply
                 assert reply.status == 200
-            assert is_kept or wire.ended()
+            assert is_kept or wire.wait_for_close()
             wire.sock.close()
 
 
 def test_idle_connections_are_closed_before_the_upstream_closes_them(tmp_path: Path) -> None:
     server = UpstreamServer("a")
     with Deployment(tmp_path, server, keepaliveUs=500 * MS, dialTimeoutUs=SECOND) as sidecar:
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         wait_until(lambda: server.closed == 1, "the idle connection was closed")
 
 
@@ -211,6 +211,6 @@
     with Deployment(tmp_path, UpstreamServer("a")) as sidecar:
         lines = len(sidecar.log().splitlines())
         for _ in range(10):
-            sidecar.ask()
+            sidecar.send_class_request()
         assert len(sidecar.log().splitlines()) == lines
         assert not re.search("Traceback|error", sidecar.log())
--- a/tests/server/test_settings_switch.py
+++ b/tests/server/test_settings_switch.py
@@ -30,7 +30,7 @@
         self.lock = threading.Lock()
 
     def send_request(self, sidecar: SidecarProcess, class_name: str, request_id: str) -> int:
-        reply = sidecar.talk(
+        reply = sidecar.exchange(
             http_request(f"/{class_name}/k", "GET", f"X-Trace-Id: {request_id}", "X-Expires-In: 2.0")
         )
         with self.lock:
@@ -119,7 +119,7 @@
     with Deployment(tmp_path, UpstreamServer("a", close_after_switch)) as sidecar:
         initial = dict(sidecar.config)
         statuses: list[int] = []
-        thread = threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status))
+        thread = threading.Thread(target=lambda: statuses.append(sidecar.send_class_request("look").status))
         thread.start()
         assert received.wait(20)
         reload(sidecar, with_other_settings(initial))
@@ -130,7 +130,7 @@
         # An idempotent request is rejected, as a retry is safe; a non-idempotent one that may have been
         # executed gets 502.
         assert statuses == [503]
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         assert sidecar.end() == 0
 
 
@@ -148,7 +148,8 @@
     with Deployment(tmp_path, server := UpstreamServer("a", respond_when_released)) as sidecar:
         statuses: list[int] = []
         threads = [
-            threading.Thread(target=lambda: statuses.append(sidecar.ask("look").status)) for _ in "123"
+            threading.Thread(target=lambda: statuses.append(sidecar.send_class_request("look").status))
+            for _ in "123"
         ]
         for thread in threads:
             thread.start()
@@ -162,8 +163,8 @@
         for thread in threads:
             thread.join()
         assert statuses == [200] * 3
-        assert sidecar.ask("quote5").status == 200
-        assert sidecar.ask("quote4").status == 400
+        assert sidecar.send_class_request("quote5").status == 200
+        assert sidecar.send_class_request("quote4").status == 400
         assert sidecar.end() == 0
 
 
@@ -173,12 +174,12 @@
     with deployment as sidecar:
         initial = dict(sidecar.config)
         deployment.discovery.change(a.entry(state="DRAINING"))
-        wait_until(lambda: all(sidecar.ask().body == b"b" for _ in range(12)))
+        wait_until(lambda: all(sidecar.send_class_request().body == b"b" for _ in range(12)))
         seen = len(a.seen)
         reload(sidecar, with_other_settings(initial))
-        assert {sidecar.ask("quote").body for _ in range(20)} == {b"b"}
+        assert {sidecar.send_class_request("quote").body for _ in range(20)} == {b"b"}
         reload(sidecar, initial)
-        assert {sidecar.ask("look").body for _ in range(20)} == {b"b"}
+        assert {sidecar.send_class_request("look").body for _ in range(20)} == {b"b"}
         assert len(a.seen) == seen
 
 
@@ -187,7 +188,7 @@
         initial = dict(sidecar.config)
         for values in invalid_files(initial).values():
             reload(sidecar, values)
-            assert sidecar.ask("look").status == 200
+            assert sidecar.send_class_request("look").status == 200
             time.sleep(1.0)  # an event is logged at most once a second
         assert "settings_switched" not in sidecar.log()
         assert sidecar.log().count("reload_rejected") == len(invalid_files(initial))
@@ -257,15 +258,17 @@
         del without["settings"]["classes"][1]
         free = json.loads(json.dumps(first))
         free["settings"]["classes"][1]["repeat"] = "free"
-        assert sidecar.ask("pay").status == 502
+        assert sidecar.send_class_request("pay").status == 502
         assert len(server.seen) + len(deployment.upstreams[1].seen) == 1
         reload(sidecar, without)
-        assert sidecar.ask("pay").status == 400
+        assert sidecar.send_class_request("pay").status == 400
         broken = json.loads(json.dumps(free))
         del broken["settings"]["classes"][1]["repeat"]
         reload(sidecar, broken)
-        assert sidecar.ask("pay").status == 400, "an invalid file takes no effect"
+        assert sidecar.send_class_request("pay").status == 400, "an invalid file takes no effect"
         reload(sidecar, free)
         seen = len(server.seen) + len(deployment.upstreams[1].seen)
-        assert sidecar.ask("pay").status == 503, "the class is idempotent, so that a retry is safe"
+        assert sidecar.send_class_request("pay").status == 503, (
+            "the class is idempotent, so that a retry is safe"
+        )
         assert len(server.seen) + len(deployment.upstreams[1].seen) > seen + 1
--- a/tests/server/test_shutdown.py
+++ b/tests/server/test_shutdown.py
@@ -35,7 +35,7 @@
         wait_until(lambda: '"draining"' in sidecar.log())
         # For a grace period new connections are served, but the process is not ready any more.
         try:
-            assert sidecar.ask().status == 200
+            assert sidecar.send_class_request().status == 200
             assert sidecar.get("/_health").status == 503
         except OSError:
             wait_until(
@@ -44,7 +44,7 @@
             )
         assert idle_reply
         assert idle_reply.status == 200
-        assert idle.ended()
+        assert idle.wait_for_close()
         wait_until(lambda: '"shutting_down"' in sidecar.log())
         sidecar.process.send_signal(signal.SIGTERM)
         release.set()
@@ -52,7 +52,7 @@
         assert reply
         assert reply.status == 200
         assert reply.headers["connection"] == "close"
-        assert busy.ended()
+        assert busy.wait_for_close()
         assert sidecar.process.wait(20) == 0
 
 
--- a/tests/server/test_startup.py
+++ b/tests/server/test_startup.py
@@ -50,7 +50,7 @@
     sidecar = SidecarProcess(tmp_path, sidecar_config(unused_address(), [server.entry()]))
     with sidecar:
         wait_until(lambda: "discovery_poll_failed" in sidecar.log())
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
     server.close()
 
 
@@ -75,7 +75,7 @@
         http_response(json.dumps(listed).encode()),
     ]
     with deployment as sidecar:
-        assert {sidecar.ask().body for _ in range(20)} == {b"b"}
+        assert {sidecar.send_class_request().body for _ in range(20)} == {b"b"}
         assert not a.seen
         assert "endpoint_list_timeout" not in sidecar.log()
 
@@ -86,18 +86,18 @@
     deployment.sidecar.config["settings"]["registryMode"] = "automatic"
     deployment.discovery.scripted = [b""] * 100
     with deployment as sidecar:
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         assert "endpoint_list_timeout" in sidecar.log()
 
 
 def test_a_restarted_program_serves_on_the_same_address(tmp_path: Path) -> None:
     deployment = Deployment(tmp_path, UpstreamServer("a"))
     with deployment as sidecar:
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
         assert sidecar.end() == 0
         sidecar.launch()
         wait_until(sidecar._ready)
-        assert sidecar.ask().status == 200
+        assert sidecar.send_class_request().status == 200
 
 
 def test_the_simulation_host_imports_nothing_of_the_server() -> None:
--- a/tests/support/servers.py
+++ b/tests/support/servers.py
@@ -1,4 +1,4 @@
-"""Servers on loopback in the place of upstreams and discovery, which respond as a test scripts it."""
+"""Servers on loopback that replace upstreams and discovery in tests, with scripted responses."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 def unique_loopback_host() -> str:
     """Return a loopback address that nothing else uses.
 
-    A port that was given back is then taken neither by an outgoing connection, which starts at 127.0.0.1, nor
-    by another run of the tests.
+    This prevents a released port from being taken by an outgoing connection, whose source is 127.0.0.1, or by
+    another run of the tests.
     """
     pid = os.getpid()
     return f"127.{1 + pid % 250}.{1 + pid // 250 % 250}.{next(_host_numbers)}"
 
 
 class StandInServer:
-    """Listens on a free port and serves each connection, in a thread of its own, as a subclass does."""
+    """Listens on a free port; a subclass serves each connection, in a thread of its own."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server((unique_loopback_host(), 0))
@@ -48,10 +48,10 @@
 
     def _serve(self, sock: socket.socket) -> None:
         with contextlib.suppress(OSError, AssertionError), sock:
-            self.speak(HttpConnection(sock))
+            self.serve_connection(HttpConnection(sock))
 
-    def speak(self, wire: HttpConnection) -> None:
-        """Serve one connection; it is closed once this returns."""
+    def serve_connection(self, connection: HttpConnection) -> None:
+        """Serve one connection, which is closed when this method returns."""
         raise NotImplementedError
 
     def close(self) -> None:
@@ -66,15 +66,15 @@
 
 def endpoint_entry(name: str, addr: str = "127.0.0.1:9", **changes: Any) -> dict[str, Any]:
     """Return an endpoint as discovery lists it."""
-    base = {"id": name, "addr": addr, "zone": "north", "kind": "plain", "cell": 1}
-    return {**base, "state": "SERVING", "weight": 1.0, "started_ms": 0, **changes}
+    defaults = {"id": name, "addr": addr, "zone": "north", "kind": "plain", "cell": 1}
+    return {**defaults, "state": "SERVING", "weight": 1.0, "started_ms": 0, **changes}
 
 
 Script = Callable[[HttpMessage, HttpConnection], bytes | None]
 
 
 class UpstreamServer(StandInServer):
-    """Responds by its script: bytes to send, or None to close the connection."""
+    """Responds by its script, which returns bytes to send, or None to close the connection."""
 
     def __init__(self, name: str, script: Script | None = None) -> None:
         self.name = name
@@ -83,14 +83,14 @@
         self.closed = 0
         super().__init__()
 
-    def speak(self, wire: HttpConnection) -> None:
+    def serve_connection(self, connection: HttpConnection) -> None:
         try:
-            while request := wire.read():
+            while request := connection.read():
                 self.seen.append(request)
-                reply = self.script(request, wire)
-                if reply is None:
+                response = self.script(request, connection)
+                if response is None:
                     return
-                wire.sock.sendall(reply)
+                connection.sock.sendall(response)
         finally:
             self.closed += 1
 
@@ -98,13 +98,13 @@
         return endpoint_entry(self.name, **{"addr": self.address, **changes})
 
 
-def never_respond(_request: HttpMessage, wire: HttpConnection) -> None:
-    """Wait until the sidecar closes the connection: a script for `UpstreamServer`."""
-    wire.ended()
+def never_respond(_request: HttpMessage, connection: HttpConnection) -> None:
+    """Wait until the sidecar closes the connection; a script for `UpstreamServer`."""
+    connection.wait_for_close()
 
 
 class DiscoveryServer(StandInServer):
-    """Has one list and answers long polls once it changes; `scripted` responses are sent first."""
+    """Serves one endpoint list and responds to long polls when it changes; `scripted` responses go first."""
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
         self.version = 1
@@ -121,18 +121,18 @@
             self.changed = list(entries)
             self.change_condition.notify_all()
 
-    def speak(self, wire: HttpConnection) -> None:
-        while request := wire.read():
+    def serve_connection(self, connection: HttpConnection) -> None:
+        while request := connection.read():
             with self.change_condition:
                 self.calls.append(request.target)
                 if self.scripted:
-                    reply = self.scripted.pop(0)
-                    if reply is None:
+                    response = self.scripted.pop(0)
+                    if response is None:
                         return
-                    wire.sock.sendall(reply)
+                    connection.sock.sendall(response)
                     continue
                 endpoint_list = self._endpoint_list(request.target)
-            wire.sock.sendall(http_response(json.dumps(endpoint_list).encode()))
+            connection.sock.sendall(http_response(json.dumps(endpoint_list).encode()))
 
     def _endpoint_list(self, target: str) -> dict[str, Any]:
         if "?" not in target:
@@ -151,6 +151,6 @@
 
 
 def unused_address() -> str:
-    """Return an address on which nothing listens, nor will by chance."""
+    """Return an address at which nothing listens and which no other socket is assigned by chance."""
     with socket.create_server((unique_loopback_host(), 0)) as probe:
         return "{}:{}".format(*probe.getsockname())
--- a/tests/test_large_fleets.py
+++ b/tests/test_large_fleets.py
@@ -30,9 +30,9 @@
     driver = Driver(entries=endpoints(), instance_count=ENDPOINT_COUNT)
     assert len(endpoints_used(driver)) > 100
     draining = endpoints(status=EndpointStatus.DRAINING)[: ENDPOINT_COUNT - 2]
-    driver.feed(EndpointListUpdate(ListForm.DELTA, draining))
+    driver.handle_event(EndpointListUpdate(ListForm.DELTA, draining))
     assert not endpoints_used(driver) & {e.endpoint for e in draining}
-    driver.feed(EndpointListUpdate(ListForm.SNAPSHOT, endpoints("b")))
+    driver.handle_event(EndpointListUpdate(ListForm.SNAPSHOT, endpoints("b")))
     assert endpoints_used(driver) <= {e.endpoint for e in endpoints("b")}
     assert len(driver.balancer.endpoints) == ENDPOINT_COUNT
 
