--- a/linetrack/cli/soak.py
+++ b/linetrack/cli/soak.py
@@ -110,9 +110,9 @@
             if shorten and result.verdict is SoakVerdict.BROKEN:
                 _shorten(campaign, result)
     except KeyboardInterrupt:
-        exit_invalid(f"stopped; the results of completed runs are in {campaign.out}")
+        exit_invalid(f"interrupted; the completed runs are kept in {campaign.out}")
     except (ChildFailedError, RunError, LedgerError, OSError) as error:
-        exit_invalid(f"{error}; there is no verdict")
+        exit_invalid(f"{error}; there is no valid result")
     _print_summary(campaign, results)
     verdicts = {result.verdict for result in results}
     if SoakVerdict.BROKEN in verdicts:
