--- a/tests/load/test_schedule.py
+++ b/tests/load/test_schedule.py
@@ -50,6 +50,12 @@
     assert np.all(np.abs(by_second - expected_by_second) <= 2 + 6 * np.sqrt(expected_by_second))
 
 
+def test_the_rates_of_a_shape_are_never_negative() -> None:
+    """Steps down to a rate of 0 must not end at a rate below 0 by rounding."""
+    shape = LoadShape(kind=ShapeKind.STEPS, rate=21.871445366883513, end_rate=0.0)
+    assert arrival_rates((shape,), 8 * SECOND).min() >= 0
+
+
 def test_arrivals_are_a_poisson_process() -> None:
     load = Load(shapes=(LoadShape(rate=500),))
     schedule = build_schedule(load, 60 * SECOND, CLASSES, 1, Path())
